--- a/batch/capacity_bench_test.go
+++ b/batch/capacity_bench_test.go
@@ -114,7 +114,7 @@
 		r.State, r.Epoch, r.Worker = task.Running, 1, name
 		f.table.Put(jobKey("wk/z/0", r.Spec.ID), encode(r))
 		f.workers[name].runs = append(f.workers[name].runs, infra.RunReport{
-			Run: r.Run(), State: infra.RunRunning, Resources: r.Spec.Resources, Class: r.Spec.Class,
+			Run: r.RunID(), State: infra.RunRunning, Resources: r.Spec.Resources, Class: r.Spec.Class,
 			Usage: infra.Resources{MilliCPU: 2500, MemoryMB: 3900},
 		})
 	}
@@ -142,7 +142,7 @@
 		Settings: b, TaskLease: settings.Default().Lease.TaskLease.D(), ClockRate: 0.01, Rand: rand.New(rand.NewPCG(1, 1)),
 	})
 	m.SetWorkers(map[string][]infra.Member{"wk/z/0": f.members})
-	m.SetView(&ownership.View{Owners: map[string]string{"wk/z/0": "h"}, Grants: map[string]ownership.Grant{"wk/z/0": {
+	m.SetOwnership(&ownership.View{Owners: map[string]string{"wk/z/0": "h"}, Grants: map[string]ownership.Grant{"wk/z/0": {
 		Shard: "wk/z/0", Epoch: 1, Version: version, Share: ownership.Full, Until: time.Now().Add(time.Hour),
 	}}})
 	var done sync.WaitGroup
--- a/batch/event_work.go
+++ b/batch/event_work.go
@@ -33,7 +33,7 @@
 }
 
 // Left counts the jobs that have not ended.
-func (w EventWork) Left() int { return w.Jobs - w.Done - w.Parked - w.Cancelled }
+func (w EventWork) Remaining() int { return w.Jobs - w.Done - w.Parked - w.Cancelled }
 
 // Add returns the work of both.
 func (w EventWork) Add(o EventWork) EventWork {
@@ -113,7 +113,7 @@
 	}
 	for _, r := range s.planner.Forecast(now) {
 		start := EventStart{r.Event, r.Start.UnixMilli()}
-		if w, ok := work[start]; ok && w.Left() > 0 {
+		if w, ok := work[start]; ok && w.Remaining() > 0 {
 			work[start] = w.foresee(r.Verdict, r.Reason)
 		}
 	}
--- a/batch/event_work_test.go
+++ b/batch/event_work_test.go
@@ -53,7 +53,7 @@
 		}
 		due("in-time", 10*time.Second)
 		r.settle(5 * time.Second)
-		if w := r.eventWork(n); w.Verdict != forecast.WillMeet || w.Left() != 1 {
+		if w := r.eventWork(n); w.Verdict != forecast.WillMeet || w.Remaining() != 1 {
 			t.Errorf("one short job: %+v", w)
 		}
 		due("late", 90*time.Second)
--- a/batch/lookup.go
+++ b/batch/lookup.go
@@ -33,22 +33,22 @@
 	case cancelDone, cancelNeverRan:
 		return r.Status, outcome.Answered, ""
 	case cancelFinished:
-		return r.Status, outcome.NotRun, ReasonFinished
+		return r.Status, outcome.NotRun, ReasonAlreadyFinished
 	case cancelRefused:
-		return r.Status, outcome.NotRun, ReasonStore
+		return r.Status, outcome.NotRun, ReasonStoreUnavailable
 	case cancelMissing, cancelNotReady: // the job exists, but is on its way
-		return r.Status, outcome.NotRun, ReasonNoShard
+		return r.Status, outcome.NotRun, ReasonNoShardReady
 	default:
-		return r.Status, outcome.Unknown, ReasonLost
+		return r.Status, outcome.Unknown, ReasonAnswerLost
 	}
 }
 
 // lossReason explains a call to an owner that was not answered.
 func lossReason(kind outcome.Kind) string {
 	if kind == outcome.NotRun {
-		return ReasonNoShard
+		return ReasonNoShardReady
 	}
-	return ReasonLost
+	return ReasonAnswerLost
 }
 
 // cancelHere cancels a job of a local shard.
@@ -95,7 +95,7 @@
 func (m *Manager) recorded(ctx context.Context, shard, id string) (Status, outcome.Kind, string) {
 	row, err := m.get(ctx, jobKey(shard, id))
 	if err != nil {
-		return Status{}, outcome.NotRun, ReasonStore
+		return Status{}, outcome.NotRun, ReasonStoreUnavailable
 	}
 	r, err := decodeRecord(row.Value)
 	if row.Version == 0 || err != nil {
@@ -111,7 +111,7 @@
 		if local := m.localShard(ctx, id); local != "" {
 			return local, ""
 		}
-		return "", ReasonStore
+		return "", ReasonStoreUnavailable
 	}
 	if row.Version == 0 {
 		return "", ReasonNotFound
--- a/batch/manager.go
+++ b/batch/manager.go
@@ -92,8 +92,8 @@
 	return m
 }
 
-// SetView takes in the newest ownership of shards.
-func (m *Manager) SetView(v *ownership.View) {
+// SetOwnership takes in the newest ownership of shards.
+func (m *Manager) SetOwnership(v *ownership.View) {
 	m.mu.Lock()
 	m.view = v
 	m.mu.Unlock()
--- a/batch/manager_quota.go
+++ b/batch/manager_quota.go
@@ -53,7 +53,7 @@
 func quotasOf(teams map[string]settings.Team) map[string]quota.Amount {
 	out := map[string]quota.Amount{}
 	for name, t := range teams {
-		if q := quota.Of(t.MilliCPU, t.MemoryMB); q.Bounded() {
+		if q := quota.NewAmount(t.MilliCPU, t.MemoryMB); q.Bounded() {
 			out[name] = q
 		}
 	}
--- a/batch/owners_test.go
+++ b/batch/owners_test.go
@@ -123,7 +123,7 @@
 			s := spec("k", time.Second)
 			s.Urgent = urgent
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			if _, kind, reason := n.Submit(ctx, s); kind != outcome.NotRun || reason != ReasonStore {
+			if _, kind, reason := n.Submit(ctx, s); kind != outcome.NotRun || reason != ReasonStoreUnavailable {
 				t.Errorf("submission during an outage: %v %s", kind, reason)
 			}
 			cancel()
--- a/batch/quota_round.go
+++ b/batch/quota_round.go
@@ -129,7 +129,7 @@
 	for _, shard := range shards {
 		target, ok := r.targets[shard]
 		if !ok {
-			target = quota.Of(0, 0)
+			target = quota.NewAmount(0, 0)
 		}
 		request.Shards = append(request.Shards, shardBound{
 			Shard: shard, Bound: r.stored.division.Bounds[shard], Target: target,
--- a/batch/quota_test.go
+++ b/batch/quota_test.go
@@ -108,7 +108,7 @@
 				Share: ownership.Full, Until: time.Now().Add(time.Hour),
 			}
 		}
-		n.SetView(v)
+		n.SetOwnership(v)
 	}
 	q.settle(0)
 }
--- a/batch/reason.go
+++ b/batch/reason.go
@@ -7,17 +7,17 @@
 	// ReasonNeverFits: no known host can ever hold the job; details follow
 	// after a colon.
 	ReasonNeverFits = "never_fits"
-	// ReasonNoShard: no shard of the zones asked for has an owner that is
+	// ReasonNoShardReady: no shard of the zones asked for has an owner that is
 	// ready.
-	ReasonNoShard = "no_shard_ready"
-	// ReasonStore: the table did not take the commit in time.
-	ReasonStore = "store_unavailable"
+	ReasonNoShardReady = "no_shard_ready"
+	// ReasonStoreUnavailable: the table did not take the commit in time.
+	ReasonStoreUnavailable = "store_unavailable"
 	// ReasonNotFound: there is no such job.
 	ReasonNotFound = "not_found"
-	// ReasonFinished: the job had finished before it could be cancelled.
-	ReasonFinished = "already_finished"
-	// ReasonLost: the answer to the request was lost.
-	ReasonLost = "answer_lost"
-	// ReasonInvalid: the spec lacks what every job needs.
-	ReasonInvalid = "invalid_spec"
+	// ReasonAlreadyFinished: the job had finished before it could be cancelled.
+	ReasonAlreadyFinished = "already_finished"
+	// ReasonAnswerLost: the answer to the request was lost.
+	ReasonAnswerLost = "answer_lost"
+	// ReasonInvalidSpec: the spec lacks what every job needs.
+	ReasonInvalidSpec = "invalid_spec"
 )
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -144,7 +144,7 @@
 	for _, g := range grants {
 		v.Grants[g.Shard] = g
 	}
-	n.SetView(v)
+	n.SetOwnership(v)
 	r.settle(0)
 }
 
--- a/batch/shard.go
+++ b/batch/shard.go
@@ -175,7 +175,7 @@
 func (s *Shard) enqueue(now time.Time, j *job) {
 	s.pending++
 	j.queued = now
-	s.planner.Enqueue(now, j.rec.Sized())
+	s.planner.Enqueue(now, j.rec.SpecWithFloor())
 	s.dirty = true
 }
 
@@ -185,11 +185,11 @@
 	w.jobs[j.rec.Spec.ID] = j
 	s.running++
 	s.show(now, w)
-	size := j.rec.Reserves()
+	size := j.rec.Reservation()
 	if s.faults.adoptDeclared {
 		size = j.rec.Spec.Resources
 	}
-	s.planner.AdoptSized(j.rec.Sized(), w.name, size)
+	s.planner.AdoptSized(j.rec.SpecWithFloor(), w.name, size)
 }
 
 // vacate frees what the job's run occupied.
--- a/batch/shard_cancel.go
+++ b/batch/shard_cancel.go
@@ -79,7 +79,7 @@
 		s.answerCancels(j, cancelReply{Code: code})
 	}, func(now time.Time) {
 		if before == task.Pending {
-			s.planner.Enqueue(now, j.rec.Sized())
+			s.planner.Enqueue(now, j.rec.SpecWithFloor())
 		}
 		s.answerCancels(j, cancelReply{Code: cancelRefused})
 	})
@@ -113,5 +113,5 @@
 // status returns what is told of a job.
 func (s *Shard) status(j *job) Status {
 	id := j.rec.Spec.ID
-	return Status{ID: id, Shard: s.name, State: j.rec.State, Record: j.rec, Why: s.planner.Why(id)}
+	return Status{ID: id, Shard: s.name, State: j.rec.State, Record: j.rec, Explanation: s.planner.Why(id)}
 }
--- a/batch/shard_exchange.go
+++ b/batch/shard_exchange.go
@@ -77,7 +77,7 @@
 		}
 		if j.rec.State == task.Running && j.throttling() {
 			throttles[id] = j.percent
-			out = append(out, infra.Order{Kind: infra.OrderThrottle, Run: j.rec.Run(), Percent: j.percent})
+			out = append(out, infra.Order{Kind: infra.OrderThrottle, Run: j.rec.RunID(), Percent: j.percent})
 		}
 	}
 	return out
@@ -85,13 +85,13 @@
 
 // orderFor returns the order that brings the job's run where it should be.
 func (s *Shard) orderFor(j *job) (infra.Order, bool) {
-	run := j.rec.Run()
+	run := j.rec.RunID()
 	switch {
 	case j.rec.State == task.Starting && (!j.committing || s.faults.sendBeforeDurable):
 		j.sent = true
 		spec := j.rec.Spec
 		return infra.Order{
-			Kind: infra.OrderStart, Run: run, Resources: j.rec.Reserves(), Declared: spec.Resources,
+			Kind: infra.OrderStart, Run: run, Resources: j.rec.Reservation(), Declared: spec.Resources,
 			Class: spec.Class, WorkMS: spec.RunMS, Checkpoint: j.rec.Checkpoint,
 		}, true
 	case j.rec.State == task.Stopping:
@@ -186,7 +186,7 @@
 		present[r.Run] = struct{}{}
 	}
 	for _, j := range w.jobs {
-		if _, ok := present[j.rec.Run()]; !ok && j.sent {
+		if _, ok := present[j.rec.RunID()]; !ok && j.sent {
 			s.lapse(now, w, j)
 		}
 	}
--- a/batch/shard_move.go
+++ b/batch/shard_move.go
@@ -37,7 +37,7 @@
 		if len(out) > 0 && !slices.Equal(out[0].Zones, j.rec.Spec.Zones) {
 			continue
 		}
-		if out = append(out, j.rec.Sized()); len(out) == moveLimit {
+		if out = append(out, j.rec.SpecWithFloor()); len(out) == moveLimit {
 			break
 		}
 	}
--- a/batch/shard_plan.go
+++ b/batch/shard_plan.go
@@ -105,7 +105,7 @@
 func (s *Shard) giveBack(now time.Time, j *job) {
 	s.planner.Release(now, j.rec.Spec.ID, false)
 	if j.rec.State == task.Pending && !j.committing {
-		s.planner.Enqueue(now, j.rec.Sized())
+		s.planner.Enqueue(now, j.rec.SpecWithFloor())
 	}
 }
 
--- a/batch/shard_quota.go
+++ b/batch/shard_quota.go
@@ -20,7 +20,7 @@
 func (s *Shard) setQuotas(quotas map[string]quota.Amount) {
 	for team := range s.quotas {
 		if _, ok := quotas[team]; !ok {
-			s.planner.SetAllotment(team, quota.Of(0, 0))
+			s.planner.SetAllotment(team, quota.NewAmount(0, 0))
 		}
 	}
 	before := s.quotas
@@ -35,7 +35,7 @@
 	}
 	for team := range before {
 		if _, ok := quotas[team]; !ok {
-			s.noteQuota(team, quota.Of(0, 0))
+			s.noteQuota(team, quota.NewAmount(0, 0))
 		}
 	}
 }
@@ -43,7 +43,7 @@
 // noteQuota tells operators, who lower a quota and see no job ended by it, that
 // the planner keeps to it.
 func (s *Shard) noteQuota(team string, q quota.Amount) {
-	held := quota.Of(0, 0)
+	held := quota.NewAmount(0, 0)
 	if q != held {
 		held = s.allotment(team).Held()
 	}
@@ -65,7 +65,7 @@
 // beginAllotments takes in the divisions as they were read after the take-over.
 func (s *Shard) beginAllotments(divisions map[string]storedDivision) {
 	for team, d := range divisions {
-		begun := quota.Begin(d.version, d.division.Bounds[s.name])
+		begun := quota.NewAllotment(d.version, d.division.Bounds[s.name])
 		s.allotments[team] = &begun
 	}
 	s.setQuotas(s.quotas)
--- a/batch/shard_report.go
+++ b/batch/shard_report.go
@@ -67,7 +67,7 @@
 	case infra.RunRefused:
 		return j.rec.Refused(epoch, r.Reason, nowMS)
 	default:
-		return j.rec.LeaseLapsed(epoch, max(r.DoneMS, j.doneMS), nowMS)
+		return j.rec.LeaseExpired(epoch, max(r.DoneMS, j.doneMS), nowMS)
 	}
 }
 
@@ -100,7 +100,7 @@
 // again queues a job whose run has ended, or parks it if it grew too large for
 // every host.
 func (s *Shard) again(now time.Time, j *job, state infra.RunState) {
-	reason, never := s.planner.NeverFits(j.rec.Sized())
+	reason, never := s.planner.NeverFits(j.rec.SpecWithFloor())
 	if state != infra.RunKilled || !never {
 		s.enqueue(now, j)
 		return
@@ -144,7 +144,7 @@
 
 // lapse ends a run that is surely over without a report.
 func (s *Shard) lapse(now time.Time, w *worker, j *job) {
-	r := infra.RunReport{Run: j.rec.Run(), State: infra.RunExpired, DoneMS: j.doneMS}
+	r := infra.RunReport{Run: j.rec.RunID(), State: infra.RunExpired, DoneMS: j.doneMS}
 	if j.committing {
 		j.late = &r
 		return
--- a/batch/shard_submit.go
+++ b/batch/shard_submit.go
@@ -101,11 +101,11 @@
 	case infra.CommitApplied:
 		return s.accept(now, spec, r.Version)
 	case infra.CommitNotApplied:
-		return submitReply{Code: submitRefused, Reason: ReasonStore}
+		return submitReply{Code: submitRefused, Reason: ReasonStoreUnavailable}
 	case infra.CommitConflict:
 		return s.taken(spec, r.Conflicts)
 	default:
-		return submitReply{Code: submitUnknown, Status: Status{ID: spec.ID, Shard: s.name}, Reason: ReasonLost}
+		return submitReply{Code: submitUnknown, Status: Status{ID: spec.ID, Shard: s.name}, Reason: ReasonAnswerLost}
 	}
 }
 
--- a/batch/status.go
+++ b/batch/status.go
@@ -11,7 +11,7 @@
 	// confirmation of a start is not written.
 	Record task.Record `msgpack:"r"`
 	// Why says why it is pending or where it runs, for people.
-	Why string `msgpack:"w,omitempty"`
+	Explanation string `msgpack:"w,omitempty"`
 	// Existing is set when a submission named a job that was already known.
 	Existing bool `msgpack:"x,omitempty"`
 }
--- a/batch/submit.go
+++ b/batch/submit.go
@@ -19,7 +19,7 @@
 // The spec's ID and time are given here if they are not set.
 func (m *Manager) Submit(ctx context.Context, spec task.Spec) (Status, outcome.Kind, string) {
 	if spec.Team == "" || spec.Class == "" || spec.RunMS < 0 {
-		return Status{}, outcome.NotRun, ReasonInvalid
+		return Status{}, outcome.NotRun, ReasonInvalidSpec
 	}
 	if spec.ID == "" {
 		spec.ID = uuid.NewString()
@@ -27,14 +27,14 @@
 	if spec.SubmittedUnixMS == 0 {
 		spec.SubmittedUnixMS = m.config.Now().UnixMilli()
 	}
-	reason := ReasonNoShard
+	reason := ReasonNoShardReady
 	left := m.candidates(spec.Zones)
 	for len(left) > 0 {
 		shard := m.pick(left)
 		left = slices.DeleteFunc(left, func(s string) bool { return s == shard })
 		r, kind := m.submitTo(ctx, shard, spec)
 		if kind == outcome.Unknown {
-			return Status{ID: spec.ID, Shard: shard}, outcome.Unknown, ReasonLost
+			return Status{ID: spec.ID, Shard: shard}, outcome.Unknown, ReasonAnswerLost
 		}
 		if done, st, k, why := m.verdict(ctx, shard, r, kind); done {
 			return st, k, why
@@ -61,9 +61,9 @@
 	case submitKeyConflict:
 		return true, r.Status, outcome.NotRun, ReasonKeyConflict
 	case submitRefused:
-		return true, Status{}, outcome.NotRun, ReasonStore
+		return true, Status{}, outcome.NotRun, ReasonStoreUnavailable
 	case submitUnknown:
-		return true, r.Status, outcome.Unknown, ReasonLost
+		return true, r.Status, outcome.Unknown, ReasonAnswerLost
 	default:
 		return false, Status{}, outcome.NotRun, ""
 	}
--- a/booking/refusals.go
+++ b/booking/refusals.go
@@ -14,7 +14,7 @@
 	ReasonStoreDown = "store_unavailable"
 	// ReasonInProgress: the first request under the key has not ended.
 	ReasonInProgress = "in_progress"
-	// ReasonLost: the claimant died without recording an outcome.
+	// ReasonAnswerLost: the claimant died without recording an outcome.
 	ReasonLost = "outcome_lost"
 	// ReasonUnreadable: the outcome is recorded but can't be read now.
 	ReasonUnreadable = "outcome_unreadable"
--- a/capacity/skew_test.go
+++ b/capacity/skew_test.go
@@ -27,7 +27,7 @@
 					if roster.IsEndpointShard(shard) {
 						continue
 					}
-					owner, _ := r.Member(r.Preferred(shard)[0])
+					owner, _ := r.Member(r.PreferredOwners(shard)[0])
 					workers[owner.Name] += len(r.Members(shard))
 					if !strings.Contains(shard, owner.Zone+"/") {
 						cross += len(r.Members(shard))
--- a/control/carry.go
+++ b/control/carry.go
@@ -111,11 +111,11 @@
 	}
 	for i := range rep.Active {
 		x := &rep.Active[i]
-		r.Active = append(r.Active, activeRow{Task: nameOf(x.Task), Run: x.Run, Saved: x.Saved, Percent: x.Percent, Usage: x.Usage})
+		r.Active = append(r.Active, activeRow{Task: nameOf(x.Task), Run: x.Run, Saved: x.Checkpoint, Percent: x.Percent, Usage: x.Usage})
 	}
 	for i := range rep.Ends {
 		x := &rep.Ends[i]
-		r.Ends = append(r.Ends, endRow{Number: x.Number, Task: nameOf(x.Task), Run: x.Run, Kind: x.Kind, Saved: x.Saved})
+		r.Ends = append(r.Ends, endRow{Number: x.Number, Task: nameOf(x.Task), Run: x.Run, Kind: x.Kind, Saved: x.Checkpoint})
 	}
 	return r
 }
@@ -134,11 +134,11 @@
 	rep := runner.Report{ClockMS: r.ClockMS}
 	for i := range r.Active {
 		x := &r.Active[i]
-		rep.Active = append(rep.Active, runner.Active{Task: x.Task.id(), Run: x.Run, Saved: x.Saved, Percent: x.Percent, Usage: x.Usage})
+		rep.Active = append(rep.Active, runner.ActiveRun{Task: x.Task.id(), Run: x.Run, Checkpoint: x.Saved, Percent: x.Percent, Usage: x.Usage})
 	}
 	for i := range r.Ends {
 		x := &r.Ends[i]
-		rep.Ends = append(rep.Ends, runner.End{Number: x.Number, Task: x.Task.id(), Run: x.Run, Kind: x.Kind, Saved: x.Saved})
+		rep.Ends = append(rep.Ends, runner.RunEnd{Number: x.Number, Task: x.Task.id(), Run: x.Run, Kind: x.Kind, Checkpoint: x.Saved})
 	}
 	return rep
 }
@@ -161,7 +161,7 @@
 	case carryStop:
 		a = n.opts.Workers.Stop(ctx, w, runner.Stop{Task: q.Task.id(), Run: q.Run, Token: q.Token})
 	case carryPace:
-		a = n.opts.Workers.Pace(ctx, w, runner.Pace{Task: q.Task.id(), Run: q.Run, Percent: q.Percent, Token: q.Token})
+		a = n.opts.Workers.SetCPULimit(ctx, w, runner.CPULimit{Task: q.Task.id(), Run: q.Run, Percent: q.Percent, Token: q.Token})
 	case carryRenewal:
 		a, rep = n.opts.Workers.Renew(ctx, w, runner.Renewal{
 			Token: q.Token, Acknowledged: q.Acknowledged, LeaseUntil: q.LeaseUntil, WaitMS: q.WaitMS,
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -29,9 +29,9 @@
 // fakeWorker is one worker of a fleet.
 type fakeWorker struct {
 	token   uint64
-	ends    []runner.End
+	ends    []runner.RunEnd
 	number  uint64
-	active  map[workload.TaskID]runner.Active
+	active  map[workload.TaskID]runner.ActiveRun
 	stopped map[workload.TaskID]uint64
 }
 
@@ -43,7 +43,7 @@
 	}
 	for i := range n {
 		f.workers[fmt.Sprintf("w%d", i)] = &fakeWorker{
-			active: map[workload.TaskID]runner.Active{}, stopped: map[workload.TaskID]uint64{},
+			active: map[workload.TaskID]runner.ActiveRun{}, stopped: map[workload.TaskID]uint64{},
 		}
 	}
 	return f
@@ -101,7 +101,7 @@
 			f.twice = append(f.twice, o.Task)
 		}
 	}
-	w.active[o.Task] = runner.Active{Task: o.Task, Run: o.Run, Percent: 100}
+	w.active[o.Task] = runner.ActiveRun{Task: o.Task, Run: o.Run, Percent: 100}
 	f.started <- o
 	return runner.Answer{Status: runner.Done, ClockMS: f.clock()}
 }
@@ -120,7 +120,7 @@
 }
 
 // Pace implements runner.Client.
-func (f *fleet) Pace(context.Context, runner.Worker, runner.Pace) runner.Answer {
+func (f *fleet) SetCPULimit(context.Context, runner.Worker, runner.CPULimit) runner.Answer {
 	return runner.Answer{Status: runner.Done, ClockMS: f.clock()}
 }
 
@@ -163,7 +163,7 @@
 	}
 	delete(w.active, id)
 	w.number++
-	w.ends = append(w.ends, runner.End{Number: w.number, Task: id, Run: a.Run, Kind: how})
+	w.ends = append(w.ends, runner.RunEnd{Number: w.number, Task: id, Run: a.Run, Kind: how})
 }
 
 // finish has a task end as done wherever it runs.
--- a/control/orders.go
+++ b/control/orders.go
@@ -105,7 +105,7 @@
 // orderPace gives a change of pace.
 func (o *Owner) orderPace(p dispatch.PaceOrder) {
 	o.call(p.Worker.ID, "pace", func(ctx context.Context) runner.Answer {
-		return o.relays.Pace(ctx, p.Worker, p.Pace)
+		return o.relays.SetCPULimit(ctx, p.Worker, p.Pace)
 	}, func(a runner.Answer) {
 		event.PaceAnswered.Log(o.opts.Log, slog.Any("task", p.Pace.Task), slog.Uint64("run", p.Pace.Run),
 			slog.String("worker", p.Worker.ID), slog.Int("percent", p.Pace.Percent), slog.Any("known", p.Known), slog.Any("status", a.Status),
--- a/control/relays.go
+++ b/control/relays.go
@@ -208,9 +208,9 @@
 }
 
 // Pace implements runner.Client.
-func (r *relays) Pace(ctx context.Context, w runner.Worker, o runner.Pace) runner.Answer {
+func (r *relays) SetCPULimit(ctx context.Context, w runner.Worker, o runner.CPULimit) runner.Answer {
 	return r.order(ctx, &w, &carryRequest{Kind: carryPace, Task: nameOf(o.Task), Run: o.Run, Percent: o.Percent, Token: o.Token},
-		func() runner.Answer { return r.direct.Pace(ctx, w, o) })
+		func() runner.Answer { return r.direct.SetCPULimit(ctx, w, o) })
 }
 
 // Renew implements runner.Client.
--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -31,7 +31,7 @@
 		r.phase = uncertain
 		s.unheard(now, w)
 		return s.raiseToken(w)
-	case runner.Reborn:
+	case runner.Restarted:
 		s.Reborn(now, w.info.ID)
 	default:
 		s.Stats.StartsRefused++
@@ -47,7 +47,7 @@
 	switch why {
 	case runner.NoPermit:
 		r.task.step.dropTicket(w)
-	case runner.NoRoom:
+	case runner.NoCapacity:
 		if !s.cfg.Without.Has(mechanism.RoomPause) {
 			w.pausedUntil = now.Add(s.cfg.RoomPause)
 		}
@@ -76,7 +76,7 @@
 		return
 	}
 	w.tick(now, a.ClockMS)
-	if a.Status == runner.Reborn {
+	if a.Status == runner.Restarted {
 		s.Reborn(now, w.info.ID)
 	}
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -23,7 +23,7 @@
 	for i := range 150 {
 		r.submit(queueShort, fmt.Sprintf("short%d", i), step(6, 6))
 		r.submit(queueLong, fmt.Sprintf("fill%d", i), step(8, 7, func(s *workload.Step) {
-			s.Filler, s.Image, s.Checkpointing = true, fmt.Sprintf("fill%d", i%9), true
+			s.BestEffort, s.Image, s.Checkpointing = true, fmt.Sprintf("fill%d", i%9), true
 		}))
 	}
 	benchPlan(b, r)
@@ -56,7 +56,7 @@
 			s.Image, s.TailTarget = fmt.Sprintf("serve%d", i%10), 50*time.Millisecond
 		}))
 	}
-	serving := map[string][]runner.Active{}
+	serving := map[string][]runner.ActiveRun{}
 	for _, o := range r.plan() {
 		serving[o.Worker.ID] = append(serving[o.Worker.ID], withTail(o, 14))
 	}
@@ -68,7 +68,7 @@
 	}
 	for i := range 150 {
 		r.submit(queueLong, fmt.Sprintf("fill%d", i), step(20, int64(4+i%8), func(s *workload.Step) {
-			s.Filler, s.Image, s.Checkpointing = true, fmt.Sprintf("fill%d", i%18), true
+			s.BestEffort, s.Image, s.Checkpointing = true, fmt.Sprintf("fill%d", i%18), true
 		}))
 	}
 	benchPlan(b, r)
--- a/dispatch/benchlarge_test.go
+++ b/dispatch/benchlarge_test.go
@@ -40,7 +40,7 @@
 	var running [][]dispatch.StartOrder
 	cycle := func(i int) {
 		r.submit(queueLong, fmt.Sprintf("fill%d", i), step(39, 3, func(s *workload.Step) {
-			s.Filler, s.Image, s.Checkpointing = true, fmt.Sprintf("fill%d", i%30), true
+			s.BestEffort, s.Image, s.Checkpointing = true, fmt.Sprintf("fill%d", i%30), true
 		}))
 		r.submit(queueShort, fmt.Sprintf("short%d", i), step(10, 4))
 		r.pass(largeCycle)
@@ -53,7 +53,7 @@
 		}
 		for _, o := range running[0] {
 			numbers[o.Worker.ID]++
-			r.report(o.Worker.ID, nil, []runner.End{end(numbers[o.Worker.ID], o, runner.EndDone)})
+			r.report(o.Worker.ID, nil, []runner.RunEnd{end(numbers[o.Worker.ID], o, runner.EndDone)})
 		}
 		running = running[1:]
 		r.flush()
@@ -79,7 +79,7 @@
 	numbers := map[string]uint64{}
 	for i := range 100 {
 		r.submit(queueLong, fmt.Sprintf("fill%d", i), step(160, 3, func(s *workload.Step) {
-			s.Filler, s.Image, s.Checkpointing = true, fmt.Sprintf("fill%d", i%30), true
+			s.BestEffort, s.Image, s.Checkpointing = true, fmt.Sprintf("fill%d", i%30), true
 		}))
 	}
 	b.ReportAllocs()
@@ -92,7 +92,7 @@
 		for _, o := range starts {
 			r.state.StartAnswered(r.now, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()})
 			numbers[o.Worker.ID]++
-			r.report(o.Worker.ID, nil, []runner.End{end(numbers[o.Worker.ID], o, runner.EndFailed)})
+			r.report(o.Worker.ID, nil, []runner.RunEnd{end(numbers[o.Worker.ID], o, runner.EndFailed)})
 		}
 	}
 }
--- a/dispatch/burstrig_test.go
+++ b/dispatch/burstrig_test.go
@@ -51,7 +51,7 @@
 // simWorker is a simulated worker.
 type simWorker struct {
 	runs map[workload.TaskID]*simRun
-	ends []runner.End
+	ends []runner.RunEnd
 	last uint64
 }
 
@@ -107,7 +107,7 @@
 		steps = append(steps, step(4+b.random.IntN(6), 0, func(s *workload.Step) {
 			s.Needs = infra.Resources{MilliCPU: 1200 + int64(b.random.IntN(1000)), MemoryMB: 1000}
 			s.Estimate = time.Duration(1000+b.random.IntN(2400)) * time.Millisecond
-			s.Filler, s.Image, s.Checkpointing = true, image, b.random.Float64() < 0.85
+			s.BestEffort, s.Image, s.Checkpointing = true, image, b.random.Float64() < 0.85
 			if i > 0 {
 				s.After = []int{i - 1}
 			}
@@ -168,7 +168,7 @@
 	at := b.now.Sub(b.began).Seconds()/burstSwing.Seconds() + b.phase[serving.job]
 	slack := 3 - 1.4*math.Sin(2*math.Pi*at)
 	for _, r := range c.runs {
-		if r.step.Filler {
+		if r.step.BestEffort {
 			part := float64(r.step.Needs.MilliCPU) / 16_000 * float64(r.pace) / 100
 			slack -= part * b.takes[[2]string{r.step.Image, serving.step.Image}]
 		}
@@ -191,17 +191,17 @@
 	if kind == runner.EndStopped && r.step.Checkpointing {
 		saved = fmt.Sprint(r.done.Milliseconds())
 	}
-	c.ends = append(c.ends, runner.End{Number: c.last, Task: id, Run: r.number, Kind: kind, Saved: saved})
+	c.ends = append(c.ends, runner.RunEnd{Number: c.last, Task: id, Run: r.number, Kind: kind, Checkpoint: saved})
 }
 
 // tell reports what runs on a worker and what has ended.
 func (b *burst) tell(id string) {
 	b.t.Helper()
 	c := b.workers[id]
-	var at []runner.Active
+	var at []runner.ActiveRun
 	for _, task := range c.tasks() {
 		r := c.runs[task]
-		a := runner.Active{Task: task, Run: r.number, Percent: 100}
+		a := runner.ActiveRun{Task: task, Run: r.number, Percent: 100}
 		if r.step.LongRunning {
 			a.Usage = int64(float64(burstTarget.Milliseconds()) / b.slack(c, r))
 		} else {
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -25,7 +25,7 @@
 
 // fillable reports whether a filler finds processors worth having on a worker.
 func (c *cycle) fillable(st *step, w *worker) bool {
-	return !st.spec.Filler || float64(c.view(w).unused) >= leastFill*float64(st.spec.Needs.MilliCPU)
+	return !st.spec.BestEffort || float64(c.view(w).unused) >= leastFill*float64(st.spec.Needs.MilliCPU)
 }
 
 // crowded reports whether a worker has as many tasks of the step as it may.
@@ -43,7 +43,7 @@
 // it may be placed all the same.
 func (c *cycle) harm(st *step, w *worker) (float64, bool) {
 	switch {
-	case st.spec.Filler:
+	case st.spec.BestEffort:
 		v := c.view(w)
 		if v.serving == 0 {
 			return 0, true
@@ -60,7 +60,7 @@
 // rankTask describes a step's tasks to the ranking.
 func (c *cycle) rankTask(st *step) rank.Task {
 	return rank.Task{
-		Needs: st.spec.Needs, Serving: st.spec.Serving(), Filler: st.spec.Filler, Spread: st.spec.LongRunning,
+		Needs: st.spec.Needs, Serving: st.spec.Serving(), Filler: st.spec.BestEffort, Spread: st.spec.LongRunning,
 		Quiet: c.wanted.quiet[st.spec.Image], AnyClass: c.s.cfg.Without.Has(mechanism.Classes),
 	}
 }
--- a/dispatch/evidence_test.go
+++ b/dispatch/evidence_test.go
@@ -17,7 +17,7 @@
 	r.pass(1500 * time.Millisecond)
 	started := halfDone(filler)
 	started.Percent = 10 // little is lost by beginning anew
-	r.report(worker(0), []runner.Active{withTail(serving, 90), started}, nil)
+	r.report(worker(0), []runner.ActiveRun{withTail(serving, 90), started}, nil)
 	r.pass(20 * time.Millisecond)
 	stops := r.state.Plan(r.now).Stops
 	if len(stops) != 1 || stops[0].Cause != dispatch.TailTooLong {
@@ -37,7 +37,7 @@
 func TestEndIsNewOnce(t *testing.T) {
 	r := newRig(t, 1)
 	r.submit(queueShort, "job", step(1, 1))
-	ends := []runner.End{end(1, r.plan()[0], runner.EndDone)}
+	ends := []runner.RunEnd{end(1, r.plan()[0], runner.EndDone)}
 	if got := r.report(worker(0), nil, ends); len(got) != 1 {
 		t.Errorf("%d ends were new, want 1", len(got))
 	}
--- a/dispatch/faultjobs_test.go
+++ b/dispatch/faultjobs_test.go
@@ -32,7 +32,7 @@
 	case kind < 7:
 		s.accept(queueLong, id, step(2, 1, cores(1, 4), func(st *workload.Step) { st.Gang = true }))
 	case kind < 8:
-		s.accept(queueLong, id, step(n, 1, cores(2, 6), func(st *workload.Step) { st.Filler, st.Image = true, "fill" }))
+		s.accept(queueLong, id, step(n, 1, cores(2, 6), func(st *workload.Step) { st.BestEffort, st.Image = true, "fill" }))
 	default:
 		if s.lastingCores() < 50_000 {
 			s.accept(queueShort, id, step(n, 1, cores(2, 6), longRunning, func(st *workload.Step) { st.MaxPerWorker = s.random.IntN(3) }))
--- a/dispatch/faultsite_test.go
+++ b/dispatch/faultsite_test.go
@@ -158,7 +158,7 @@
 		case members[g] == r.step.Tasks && age >= r.need:
 			w.end(id, runner.EndDone)
 		case members[g] < r.step.Tasks && age >= aloneAfter:
-			w.end(id, runner.EndAlone)
+			w.end(id, runner.EndGangTimeout)
 		}
 	})
 }
@@ -254,7 +254,7 @@
 	reach := func() (status runner.Status) {
 		switch {
 		case w.reborn:
-			return runner.Reborn
+			return runner.Restarted
 		case !w.reachable(s.now):
 			return runner.Unknown
 		default:
--- a/dispatch/faultworker_test.go
+++ b/dispatch/faultworker_test.go
@@ -22,7 +22,7 @@
 	runs       map[workload.TaskID]*faultRun
 	// highest is the highest run of a task that was stopped or ended here.
 	highest map[workload.TaskID]uint64
-	ends    []runner.End
+	ends    []runner.RunEnd
 	last    uint64
 	// darkUntil is until when nothing reaches it, hiddenUntil until when the
 	// membership list lacks it.
@@ -79,13 +79,13 @@
 	case !w.fence(o.Token):
 		return runner.Fenced
 	case o.LeaseUntil <= clock:
-		return runner.TooLate
+		return runner.LeaseExpired
 	case old != nil && old.number == o.Run:
 		return runner.Done
 	case old != nil || o.Run <= w.highest[o.Task]:
 		return runner.Superseded
 	case !run.step.Reserved().Fits(w.room()):
-		return runner.NoRoom
+		return runner.NoCapacity
 	}
 	w.leaseUntil = max(w.leaseUntil, o.LeaseUntil)
 	w.runs[o.Task] = run
@@ -116,7 +116,7 @@
 	rep := runner.Report{ClockMS: clock}
 	for _, id := range w.tasks() {
 		r := w.runs[id]
-		rep.Active = append(rep.Active, runner.Active{Task: id, Run: r.number, Percent: 100})
+		rep.Active = append(rep.Active, runner.ActiveRun{Task: id, Run: r.number, Percent: 100})
 	}
 	rep.Ends = append(rep.Ends, w.ends...)
 	return runner.Done, rep
@@ -128,7 +128,7 @@
 	delete(w.runs, id)
 	w.highest[id] = max(w.highest[id], r.number)
 	w.last++
-	w.ends = append(w.ends, runner.End{Number: w.last, Task: id, Run: r.number, Kind: kind})
+	w.ends = append(w.ends, runner.RunEnd{Number: w.last, Task: id, Run: r.number, Kind: kind})
 }
 
 // work ends the runs whose work or lease is over.
--- a/dispatch/fill_test.go
+++ b/dispatch/fill_test.go
@@ -18,7 +18,7 @@
 	r.submit(queueShort, "serving", step(2, 7, longRunning, func(s *workload.Step) {
 		s.Image, s.TailTarget = "web", 50*time.Millisecond
 	}))
-	var at []runner.Active
+	var at []runner.ActiveRun
 	for _, o := range r.plan() {
 		at = append(at, withTail(o, 5))
 	}
@@ -26,7 +26,7 @@
 		r.pass(500 * time.Millisecond)
 		r.report(worker(0), at, nil)
 	}
-	r.submit(queueLong, "filling", step(6, 4, func(s *workload.Step) { s.Filler, s.Image = true, "plan" }))
+	r.submit(queueLong, "filling", step(6, 4, func(s *workload.Step) { s.BestEffort, s.Image = true, "plan" }))
 	started := len(r.plan())
 	if started != 3 {
 		t.Errorf("%d fillers started, want 3", started)
--- a/dispatch/ledger_test.go
+++ b/dispatch/ledger_test.go
@@ -17,18 +17,18 @@
 	r.submit(queueShort, "second", step(1, 16))
 	r.state.Account(r.now)
 	first := r.plan()[0]
-	account := func(seconds int, active []runner.Active) {
+	account := func(seconds int, active []runner.ActiveRun) {
 		for range seconds {
 			r.pass(time.Second)
 			r.report(first.Worker.ID, active, nil)
 			r.state.Account(r.now)
 		}
 	}
-	account(2, []runner.Active{active(first)})
-	r.report(first.Worker.ID, nil, []runner.End{end(1, first, runner.EndDone)})
+	account(2, []runner.ActiveRun{active(first)})
+	r.report(first.Worker.ID, nil, []runner.RunEnd{end(1, first, runner.EndDone)})
 	second := r.plan()[0]
-	account(3, []runner.Active{active(second)})
-	r.report(second.Worker.ID, nil, []runner.End{end(2, second, runner.EndDone)})
+	account(3, []runner.ActiveRun{active(second)})
+	r.report(second.Worker.ID, nil, []runner.RunEnd{end(2, second, runner.EndDone)})
 	over := r.state.EndedJobs()
 	if len(over) != 2 {
 		t.Fatalf("%d jobs told of, want 2: %+v", len(over), over)
--- a/dispatch/loststop_test.go
+++ b/dispatch/loststop_test.go
@@ -29,7 +29,7 @@
 				}
 				r.state.StopAnswered(r.now, *first, runner.Answer{Status: status})
 				r.pass(1500 * time.Millisecond)
-				r.report(victim.Worker.ID, []runner.Active{halfDone(victim)}, nil)
+				r.report(victim.Worker.ID, []runner.ActiveRun{halfDone(victim)}, nil)
 				if again := r.stopOf(victim); again == nil || again.Cause != cause {
 					t.Errorf("got stop %+v after the first was lost, want one for %v", again, cause)
 				}
@@ -45,7 +45,7 @@
 		t.Fatal("no stop")
 	}
 	r.pass(300 * time.Millisecond)
-	r.report(victim.Worker.ID, []runner.Active{active(victim)}, nil)
+	r.report(victim.Worker.ID, []runner.ActiveRun{active(victim)}, nil)
 	if again := r.stopOf(victim); again != nil {
 		t.Errorf("got stop %+v while the first is under way", again)
 	}
@@ -80,7 +80,7 @@
 	r, serving, filler := besideServing(t)
 	for range 60 {
 		r.pass(testTick)
-		r.report(worker(0), []runner.Active{withTail(serving, 400), {Task: filler.Start.Task, Run: filler.Start.Run, Percent: 10, Usage: 1000}}, nil)
+		r.report(worker(0), []runner.ActiveRun{withTail(serving, 400), {Task: filler.Start.Task, Run: filler.Start.Run, Percent: 10, Usage: 1000}}, nil)
 		if stop := r.stopOf(filler); stop != nil {
 			return r, filler, stop
 		}
@@ -94,7 +94,7 @@
 	r := newRig(t, 1)
 	r.submit(queueLong, "later", step(1, 16))
 	victim := r.plan()[0]
-	r.report(worker(0), []runner.Active{halfDone(victim)}, nil)
+	r.report(worker(0), []runner.ActiveRun{halfDone(victim)}, nil)
 	r.submit(queueShort, "urgent", step(1, 16))
 	r.plan()
 	r.pass(200 * time.Millisecond)
@@ -110,6 +110,6 @@
 	twin := first
 	twin.Worker = workerInfo(other(first.Worker.ID))
 	twin.Start.Run++
-	r.report(twin.Worker.ID, []runner.Active{active(twin)}, nil)
+	r.report(twin.Worker.ID, []runner.ActiveRun{active(twin)}, nil)
 	return r, twin, r.stopOf(twin)
 }
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -17,7 +17,7 @@
 	present := make(map[string]bool, len(members))
 	for _, m := range members {
 		present[m.ID] = true
-		if m.Unsound || !pools[m.Pool] || s.elsewhere(&m) {
+		if m.Malformed || !pools[m.Pool] || s.elsewhere(&m) {
 			s.unlist(now, m.ID)
 			continue
 		}
--- a/dispatch/membership_test.go
+++ b/dispatch/membership_test.go
@@ -10,7 +10,7 @@
 
 // unsound lists two workers, one of them by an entry that can't be used.
 func (r *rig) unsound(id string) {
-	r.state.SetMembers(r.now, []runner.Worker{workerInfo(other(id)), {ID: id, Unsound: true}})
+	r.state.SetMembers(r.now, []runner.Worker{workerInfo(other(id)), {ID: id, Malformed: true}})
 }
 
 // TestUnsoundEntryKeepsRuns lets a run go on at a worker whose entry became
@@ -24,7 +24,7 @@
 	for range 200 { // 20 s, more than three leases
 		r.pass(testTick)
 		r.unsound(id)
-		r.report(id, []runner.Active{active(first)}, nil)
+		r.report(id, []runner.ActiveRun{active(first)}, nil)
 		r.report(other(id), nil, nil)
 		if more := r.plan(); len(more) != 0 {
 			t.Fatalf("started again although it runs: %v", more)
@@ -41,7 +41,7 @@
 	if len(again) == 0 || again[0].Worker.ID != id {
 		t.Errorf("got %v, want starts on the worker that is sound again", again)
 	}
-	r.report(id, nil, []runner.End{end(1, first, runner.EndFailed)})
+	r.report(id, nil, []runner.RunEnd{end(1, first, runner.EndFailed)})
 	r.flush()
 	r.mustState("lasting", workload.InProgress)
 }
@@ -97,7 +97,7 @@
 	if len(starts) != 1 || starts[0].Worker.ID != worker(0) {
 		t.Fatalf("got %v, want the start of the dropped queue's job", starts)
 	}
-	r.report(worker(0), nil, []runner.End{end(1, starts[0], runner.EndDone)})
+	r.report(worker(0), nil, []runner.RunEnd{end(1, starts[0], runner.EndDone)})
 	r.flush()
 	r.mustState("job", workload.Complete)
 }
@@ -121,7 +121,7 @@
 			r.state.SetMembers(r.now, []runner.Worker{workerInfo(other(id)), moved})
 			w, o, ok := r.state.Renewal(r.now, id, true)
 			if ok && w.Address == moved.Address {
-				r.state.Report(r.now, id, o, runner.Answer{Status: runner.Reborn}, runner.Report{})
+				r.state.Report(r.now, id, o, runner.Answer{Status: runner.Restarted}, runner.Report{})
 			}
 		})
 		if waited < 6*time.Second {
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -21,7 +21,7 @@
 // PaceOrder is a change of pace for one worker.
 type PaceOrder struct {
 	Worker runner.Worker
-	Pace   runner.Pace
+	Pace   runner.CPULimit
 	Known  Evidence
 }
 
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -42,7 +42,7 @@
 				s.OverFor = now.Sub(r.tailOver)
 			}
 			c.Serving = append(c.Serving, s)
-		case st.spec.Filler && r.phase != stopping:
+		case st.spec.BestEffort && r.phase != stopping:
 			c.Fillers = append(c.Fillers, r.filler(now))
 			fillers = append(fillers, r)
 		}
@@ -196,6 +196,6 @@
 	r.pacedAt, r.paceOpen = now, false
 	return PaceOrder{
 		Worker: r.worker.info, Known: r.worker.evidence(now),
-		Pace: runner.Pace{Task: r.task.id(), Run: r.number, Percent: r.pace, Token: r.worker.token},
+		Pace: runner.CPULimit{Task: r.task.id(), Run: r.number, Percent: r.pace, Token: r.worker.token},
 	}
 }
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -20,10 +20,10 @@
 	serving = r.plan()[0]
 	for range 10 {
 		r.pass(500 * time.Millisecond)
-		r.report(worker(0), []runner.Active{withTail(serving, 13)}, nil)
+		r.report(worker(0), []runner.ActiveRun{withTail(serving, 13)}, nil)
 		r.plan()
 	}
-	r.submit(queueLong, "filling", step(1, 1, func(s *workload.Step) { s.Filler, s.Image = true, "plan" }))
+	r.submit(queueLong, "filling", step(1, 1, func(s *workload.Step) { s.BestEffort, s.Image = true, "plan" }))
 	starts := r.plan()
 	if len(starts) != 1 {
 		t.Fatalf("%d starts, want the filler beside a task with slack to spare", len(starts))
@@ -32,15 +32,15 @@
 }
 
 // withTail is a serving run whose tail is so many milliseconds.
-func withTail(o dispatch.StartOrder, ms int64) runner.Active {
+func withTail(o dispatch.StartOrder, ms int64) runner.ActiveRun {
 	a := active(o)
 	a.Usage = ms
 	return a
 }
 
 // halfDone is a filling run past its half that uses a core.
-func halfDone(o dispatch.StartOrder) runner.Active {
-	return runner.Active{Task: o.Start.Task, Run: o.Start.Run, Percent: 60, Usage: 1000}
+func halfDone(o dispatch.StartOrder) runner.ActiveRun {
+	return runner.ActiveRun{Task: o.Start.Task, Run: o.Start.Run, Percent: 60, Usage: 1000}
 }
 
 // paceOf plans and returns the pace that is ordered, -1 if none is.
@@ -57,7 +57,7 @@
 	t.Helper()
 	r, serving, filler = besideServing(t)
 	r.pass(1500 * time.Millisecond)
-	r.report(worker(0), []runner.Active{withTail(serving, 90), halfDone(filler)}, nil)
+	r.report(worker(0), []runner.ActiveRun{withTail(serving, 90), halfDone(filler)}, nil)
 	if got := r.paceOf(); got != 0 {
 		t.Fatalf("pace %d beside a tail of 90 ms, want 0", got)
 	}
@@ -71,7 +71,7 @@
 	resumed := -1
 	for range 20 {
 		r.pass(500 * time.Millisecond)
-		r.report(worker(0), []runner.Active{withTail(serving, 13), halfDone(filler)}, nil)
+		r.report(worker(0), []runner.ActiveRun{withTail(serving, 13), halfDone(filler)}, nil)
 		if resumed = r.paceOf(); resumed >= 0 {
 			break
 		}
@@ -87,7 +87,7 @@
 	r, serving, filler := besideLongTail(t)
 	r.state.Cancel(r.now, "serving")
 	r.pass(time.Second)
-	r.report(worker(0), []runner.Active{halfDone(filler)}, []runner.End{end(1, serving, runner.EndStopped)})
+	r.report(worker(0), []runner.ActiveRun{halfDone(filler)}, []runner.RunEnd{end(1, serving, runner.EndStopped)})
 	if got := r.paceOf(); got != 100 {
 		t.Errorf("pace %d once nobody serves there, want 100", got)
 	}
@@ -99,7 +99,7 @@
 	r, serving, filler := besideServing(t)
 	r.pass(1500 * time.Millisecond)
 	report := func() {
-		r.report(worker(0), []runner.Active{withTail(serving, 90), halfDone(filler)}, nil)
+		r.report(worker(0), []runner.ActiveRun{withTail(serving, 90), halfDone(filler)}, nil)
 	}
 	report()
 	p := r.state.Plan(r.now)
@@ -128,7 +128,7 @@
 	r.flush()
 	r.takeOver(worker(0))
 	r.members(1)
-	r.report(worker(0), []runner.Active{withTail(serving, 13), halfDone(filler)}, nil)
+	r.report(worker(0), []runner.ActiveRun{withTail(serving, 13), halfDone(filler)}, nil)
 	if got := r.paceOf(); got != 100 {
 		t.Errorf("pace %d ordered by the next owner, want 100", got)
 	}
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -238,7 +238,7 @@
 // behind it in the queue: without this, small tasks take each gap before a
 // large one fits. Room that long-running tasks hold never comes.
 func (c *cycle) keepRoom(st *step) {
-	if c.s.cfg.Without.Has(mechanism.KeptRoom) || st.spec.Filler || c.keeps >= max(1, len(c.workers)/keptShare) {
+	if c.s.cfg.Without.Has(mechanism.KeptRoom) || st.spec.BestEffort || c.keeps >= max(1, len(c.workers)/keptShare) {
 		return
 	}
 	var best *worker
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -11,7 +11,7 @@
 // Report takes in a worker's answer to a renewal. It returns the ends that are
 // new: a worker lists each until it is durable, which takes as long as the
 // store is away.
-func (s *State) Report(now time.Time, id string, sent runner.Renewal, a runner.Answer, rep runner.Report) []runner.End {
+func (s *State) Report(now time.Time, id string, sent runner.Renewal, a runner.Answer, rep runner.Report) []runner.RunEnd {
 	w := s.workers[id]
 	if w == nil {
 		return nil
@@ -19,7 +19,7 @@
 	w.tick(now, a.ClockMS)
 	switch a.Status {
 	case runner.Done:
-	case runner.Reborn:
+	case runner.Restarted:
 		s.Reborn(now, id)
 		return nil
 	default:
@@ -66,8 +66,8 @@
 }
 
 // takeEnds takes in the ends that weren't seen before, and returns them.
-func (s *State) takeEnds(now time.Time, w *worker, ends []runner.End) []runner.End {
-	var fresh []runner.End
+func (s *State) takeEnds(now time.Time, w *worker, ends []runner.RunEnd) []runner.RunEnd {
+	var fresh []runner.RunEnd
 	for _, e := range ends {
 		if e.Number <= w.seen {
 			continue
@@ -81,9 +81,9 @@
 
 // takeEnd takes in one end. Ends of runs that an earlier owner started count
 // as those of our own.
-func (s *State) takeEnd(now time.Time, w *worker, e runner.End) {
+func (s *State) takeEnd(now time.Time, w *worker, e runner.RunEnd) {
 	if r := w.runs[e.Task]; r != nil && r.number == e.Run {
-		if r.task.step.spec.Filler {
+		if r.task.step.spec.BestEffort {
 			w.noteLeaving(now, r)
 		}
 		s.release(r)
@@ -101,8 +101,8 @@
 		return
 	}
 	s.begin(j)
-	if e.Saved != "" {
-		t.saved = e.Saved
+	if e.Checkpoint != "" {
+		t.saved = e.Checkpoint
 	}
 	switch e.Kind {
 	case runner.EndDone:
@@ -178,7 +178,7 @@
 }
 
 // takeActive takes in what is at work.
-func (s *State) takeActive(now time.Time, w *worker, active []runner.Active) {
+func (s *State) takeActive(now time.Time, w *worker, active []runner.ActiveRun) {
 	for i := range active {
 		a := &active[i]
 		r := w.runs[a.Task]
@@ -190,9 +190,9 @@
 		}
 		r.confirm()
 		r.percent, r.usage = a.Percent, a.Usage
-		if a.Saved != "" {
-			r.saved = a.Saved
-			r.task.saved = a.Saved
+		if a.Checkpoint != "" {
+			r.saved = a.Checkpoint
+			r.task.saved = a.Checkpoint
 		}
 		switch {
 		case r.task.step.job.state.Final():
@@ -210,7 +210,7 @@
 
 // adopt takes over a run that this owner didn't start. A run that shouldn't
 // be there is stopped; nil if nothing is known of its task.
-func (s *State) adopt(now time.Time, w *worker, a *runner.Active) *run {
+func (s *State) adopt(now time.Time, w *worker, a *runner.ActiveRun) *run {
 	j := s.jobs[a.Task.Job]
 	var t *task
 	if j != nil {
@@ -233,7 +233,7 @@
 	r := &run{
 		task: t, number: a.Run, token: w.token, worker: w, phase: running,
 		confirmed: true, since: now, reserved: t.step.spec.Reserved(), pace: fullPace,
-		paceOpen: t.step.spec.Filler, // an earlier owner may have slowed it
+		paceOpen: t.step.spec.BestEffort, // an earlier owner may have slowed it
 	}
 	w.add(r)
 	t.attach(r)
@@ -246,7 +246,7 @@
 // settleUncertain resolves starts that got no answer: a worker that has
 // answered under a higher token never carries them out, so those that it
 // doesn't report never ran.
-func (s *State) settleUncertain(w *worker, token uint64, active []runner.Active) {
+func (s *State) settleUncertain(w *worker, token uint64, active []runner.ActiveRun) {
 	for _, r := range slices.Clone(w.inOrder) {
 		if r.phase != uncertain || r.token >= token {
 			continue
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -22,7 +22,7 @@
 		t.Fatalf("started %v on full workers", got)
 	}
 	r.pass(10 * time.Millisecond)
-	r.report(full[1].Worker.ID, nil, []runner.End{end(1, full[1], runner.EndDone)})
+	r.report(full[1].Worker.ID, nil, []runner.RunEnd{end(1, full[1], runner.EndDone)})
 	got := r.plan()
 	if len(got) != 1 || got[0].Worker.ID != full[1].Worker.ID {
 		t.Errorf("starts %v, want one where the room came", got)
@@ -39,7 +39,7 @@
 	if len(p.Starts) != 1 {
 		t.Fatalf("%d starts, want 1", len(p.Starts))
 	}
-	r.state.StartAnswered(r.now, p.Starts[0], runner.Answer{Status: runner.NoRoom, ClockMS: r.clock()})
+	r.state.StartAnswered(r.now, p.Starts[0], runner.Answer{Status: runner.NoCapacity, ClockMS: r.clock()})
 	for waited := time.Duration(0); waited < time.Second; waited += testTick {
 		if len(r.plan()) > 0 {
 			return
--- a/dispatch/rig_test.go
+++ b/dispatch/rig_test.go
@@ -143,7 +143,7 @@
 func (r *rig) clock() int64 { return 1 + r.now.Sub(r.began).Milliseconds() }
 
 // report answers a renewal and returns the ends that were new.
-func (r *rig) report(id string, active []runner.Active, ends []runner.End) []runner.End {
+func (r *rig) report(id string, active []runner.ActiveRun, ends []runner.RunEnd) []runner.RunEnd {
 	r.t.Helper()
 	_, o, ok := r.state.Renewal(r.now, id, true)
 	if !ok {
@@ -209,13 +209,13 @@
 }
 
 // end is the end of a started run.
-func end(number uint64, o dispatch.StartOrder, how runner.EndKind) runner.End {
-	return runner.End{Number: number, Task: o.Start.Task, Run: o.Start.Run, Kind: how}
+func end(number uint64, o dispatch.StartOrder, how runner.EndKind) runner.RunEnd {
+	return runner.RunEnd{Number: number, Task: o.Start.Task, Run: o.Start.Run, Kind: how}
 }
 
 // active is a started run at work.
-func active(o dispatch.StartOrder) runner.Active {
-	return runner.Active{Task: o.Start.Task, Run: o.Start.Run, Percent: 100}
+func active(o dispatch.StartOrder) runner.ActiveRun {
+	return runner.ActiveRun{Task: o.Start.Task, Run: o.Start.Run, Percent: 100}
 }
 
 // pass lets time pass.
--- a/dispatch/room.go
+++ b/dispatch/room.go
@@ -36,7 +36,7 @@
 	}
 	want := map[string]int64{}
 	for _, wt := range waiting {
-		if spec := wt.step.spec; !spec.LongRunning && !spec.Filler {
+		if spec := wt.step.spec; !spec.LongRunning && !spec.BestEffort {
 			want[wt.step.job.queue.Pool] += spec.Needs.MilliCPU * int64(wt.step.idle)
 		}
 	}
--- a/dispatch/settle_test.go
+++ b/dispatch/settle_test.go
@@ -20,7 +20,7 @@
 		after, wait time.Duration
 	}{{400 * time.Millisecond, 500 * time.Millisecond}, {200 * time.Millisecond, 2 * time.Second}} {
 		r.pass(c.after)
-		r.report(worker(0), []runner.Active{withTail(serving, 13), filling}, nil)
+		r.report(worker(0), []runner.ActiveRun{withTail(serving, 13), filling}, nil)
 		r.flush()
 		_, renewal, ok := r.state.Renewal(r.now, worker(0), true)
 		if wait := time.Duration(renewal.WaitMS) * time.Millisecond; !ok || wait != c.wait {
--- a/dispatch/shortlist_test.go
+++ b/dispatch/shortlist_test.go
@@ -28,7 +28,7 @@
 					s.Image, s.TailTarget, s.MaxPerWorker = image, 50*time.Millisecond, random.IntN(3)
 				}))
 			case 1:
-				r.submit(queueLong, fmt.Sprint("fill", i), step(n, cores, func(s *workload.Step) { s.Filler, s.Image = true, image }))
+				r.submit(queueLong, fmt.Sprint("fill", i), step(n, cores, func(s *workload.Step) { s.BestEffort, s.Image = true, image }))
 			default:
 				r.submit(queueShort, fmt.Sprint("short", i), step(n, cores))
 			}
@@ -56,7 +56,7 @@
 	for _, o := range starts {
 		if random.IntN(3) == 0 {
 			r.ends++
-			r.report(o.Worker.ID, nil, []runner.End{end(r.ends, o, runner.EndDone)})
+			r.report(o.Worker.ID, nil, []runner.RunEnd{end(r.ends, o, runner.EndDone)})
 		}
 	}
 }
--- a/dispatch/silence_test.go
+++ b/dispatch/silence_test.go
@@ -28,7 +28,7 @@
 		at[o.Worker.ID] = o
 	}
 	for id, o := range at {
-		r.report(id, []runner.Active{active(o)}, nil)
+		r.report(id, []runner.ActiveRun{active(o)}, nil)
 	}
 	r.flush()
 	if len(at) != silenceWorkers {
@@ -58,7 +58,7 @@
 		}
 	}
 	for id, o := range at {
-		r.report(id, nil, []runner.End{end(1, o, runner.EndDone)})
+		r.report(id, nil, []runner.RunEnd{end(1, o, runner.EndDone)})
 	}
 	r.flush()
 	if starts := r.plan(); len(starts) > 0 {
@@ -78,7 +78,7 @@
 				r.silence(worker(i))
 				continue
 			}
-			var ends []runner.End // room for those that are lost
+			var ends []runner.RunEnd // room for those that are lost
 			if o, ok := at[worker(i)]; ok {
 				ends = append(ends, end(1, o, runner.EndDone))
 				delete(at, worker(i))
--- a/dispatch/state_test.go
+++ b/dispatch/state_test.go
@@ -21,16 +21,16 @@
 	}
 	r.mustState("job", workload.InProgress)
 	id := first[0].Worker.ID
-	r.report(id, nil, []runner.End{end(1, first[0], runner.EndDone)})
+	r.report(id, nil, []runner.RunEnd{end(1, first[0], runner.EndDone)})
 	if more := r.plan(); len(more) != 0 {
 		t.Fatalf("the second step began before the first was done: %v", more)
 	}
-	r.report(first[1].Worker.ID, nil, []runner.End{end(2, first[1], runner.EndDone)})
+	r.report(first[1].Worker.ID, nil, []runner.RunEnd{end(2, first[1], runner.EndDone)})
 	last := r.plan()
 	if len(last) != 1 || last[0].Start.Task.Step != 1 {
 		t.Fatalf("got %v, want the start of step 1", last)
 	}
-	r.report(last[0].Worker.ID, nil, []runner.End{end(3, last[0], runner.EndDone)})
+	r.report(last[0].Worker.ID, nil, []runner.RunEnd{end(3, last[0], runner.EndDone)})
 	r.mustState("job", workload.InProgress)
 	r.flush()
 	r.mustState("job", workload.Complete)
@@ -81,7 +81,7 @@
 		if renewal.Token <= o.Start.Token {
 			t.Fatalf("asked under token %d, the start had %d", renewal.Token, o.Start.Token)
 		}
-		var at []runner.Active
+		var at []runner.ActiveRun
 		if ran {
 			at = append(at, active(o))
 		}
@@ -103,18 +103,18 @@
 	r.submit(queueShort, "job", step(1, 4))
 	first := r.plan()[0]
 	failure := end(1, first, runner.EndFailed)
-	r.report(first.Worker.ID, nil, []runner.End{failure})
+	r.report(first.Worker.ID, nil, []runner.RunEnd{failure})
 	r.flush()
 	r.takeOver(first.Worker.ID)
 	r.members(1)
-	r.report(first.Worker.ID, nil, []runner.End{failure}) // not acknowledged, so told again
+	r.report(first.Worker.ID, nil, []runner.RunEnd{failure}) // not acknowledged, so told again
 	r.flush()
 	r.mustState("job", workload.InProgress)
 	second := r.plan()
 	if len(second) != 1 {
 		t.Fatalf("%d starts, want one more attempt", len(second))
 	}
-	r.report(first.Worker.ID, nil, []runner.End{end(2, second[0], runner.EndFailed)})
+	r.report(first.Worker.ID, nil, []runner.RunEnd{end(2, second[0], runner.EndFailed)})
 	r.flush()
 	r.mustState("job", workload.Failed)
 }
@@ -132,12 +132,12 @@
 	if starts := r.plan(); len(starts) != 0 {
 		t.Fatalf("started %v while its worker hasn't reported", starts)
 	}
-	r.report(first.Worker.ID, []runner.Active{active(first)}, nil)
+	r.report(first.Worker.ID, []runner.ActiveRun{active(first)}, nil)
 	if starts := r.plan(); len(starts) != 0 {
 		t.Fatalf("started %v although it runs", starts)
 	}
 	r.pass(time.Second)
-	r.report(first.Worker.ID, nil, []runner.End{end(1, first, runner.EndDone)})
+	r.report(first.Worker.ID, nil, []runner.RunEnd{end(1, first, runner.EndDone)})
 	r.flush()
 	r.mustState("job", workload.Complete)
 }
@@ -212,7 +212,7 @@
 	if len(starts) != 2 || starts[0].Start.Run != starts[1].Start.Run {
 		t.Fatalf("got %v, want 2 starts with one run number", starts)
 	}
-	r.report(starts[0].Worker.ID, nil, []runner.End{end(1, starts[0], runner.EndDone)})
+	r.report(starts[0].Worker.ID, nil, []runner.RunEnd{end(1, starts[0], runner.EndDone)})
 	r.flush()
 	r.mustState("fits", workload.Complete)
 }
@@ -234,7 +234,7 @@
 	if len(p.Stops) != 1 {
 		t.Fatalf("%d stops, want one for the long-running task", len(p.Stops))
 	}
-	r.report(first.Worker.ID, nil, []runner.End{end(1, first, runner.EndStopped)})
+	r.report(first.Worker.ID, nil, []runner.RunEnd{end(1, first, runner.EndStopped)})
 	again := r.plan()
 	if len(again) != 1 || again[0].Worker.ID == first.Worker.ID {
 		t.Fatalf("got %v, want a start on the other worker", again)
@@ -247,8 +247,8 @@
 	r := newRig(t, 1)
 	r.submit(queueShort, "job", step(1, 4))
 	first := r.plan()[0]
-	r.report(first.Worker.ID, nil, []runner.End{end(1, first, runner.EndStopped)})
-	r.report(first.Worker.ID, []runner.Active{active(first)}, nil)
+	r.report(first.Worker.ID, nil, []runner.RunEnd{end(1, first, runner.EndStopped)})
+	r.report(first.Worker.ID, []runner.ActiveRun{active(first)}, nil)
 	again := r.plan()
 	if len(again) != 1 || again[0].Start.Run <= first.Start.Run {
 		t.Fatalf("got %v, want one start with a higher run", again)
@@ -329,11 +329,11 @@
 	r.submit(queueShort, "large", step(1, 16))
 	r.pass(300 * time.Millisecond)
 	r.submit(queueShort, "small", step(2, 8))
-	r.report(first[0].Worker.ID, []runner.Active{active(first[1])}, []runner.End{end(1, first[0], runner.EndDone)})
+	r.report(first[0].Worker.ID, []runner.ActiveRun{active(first[1])}, []runner.RunEnd{end(1, first[0], runner.EndDone)})
 	if starts := r.plan(); len(starts) != 0 {
 		t.Fatalf("got %v, want the room kept for the large task", starts)
 	}
-	r.report(first[0].Worker.ID, nil, []runner.End{end(2, first[1], runner.EndDone)})
+	r.report(first[0].Worker.ID, nil, []runner.RunEnd{end(2, first[1], runner.EndDone)})
 	if starts := r.plan(); len(starts) != 1 || starts[0].Start.Task.Job != "large" {
 		t.Errorf("got %v, want the large task", starts)
 	}
--- a/dispatch/summary.go
+++ b/dispatch/summary.go
@@ -60,7 +60,7 @@
 		switch st := wt.step; {
 		case st.spec.Serving():
 			sum.WaitingServing += st.idle
-		case st.spec.Filler:
+		case st.spec.BestEffort:
 			sum.WaitingFillers += st.idle
 		default:
 			sum.WaitingReserved += st.idle
--- a/dispatch/tally.go
+++ b/dispatch/tally.go
@@ -29,7 +29,7 @@
 	switch {
 	case st.spec.Serving():
 		t.serving += n
-	case st.spec.Filler:
+	case st.spec.BestEffort:
 		t.fillers += n
 		if r.pace < fullPace {
 			t.slowed += n
@@ -52,7 +52,7 @@
 	} else {
 		t.ending = t.ending.Sub(r.reserved)
 	}
-	if !st.spec.Filler {
+	if !st.spec.BestEffort {
 		t.short += int64(n) * r.reserved.MilliCPU
 	}
 }
--- a/dispatch/unanswered_test.go
+++ b/dispatch/unanswered_test.go
@@ -16,7 +16,7 @@
 // on a pool of 350 workers four to ten were each short of 4 to 9 cores half a
 // minute later, and lasting tasks of lost workers found no room there.
 func TestStoppedBeforeStartIsAnswered(t *testing.T) {
-	for _, status := range []runner.Status{runner.NoRoom, runner.Unhealthy, runner.Unknown} {
+	for _, status := range []runner.Status{runner.NoCapacity, runner.Unhealthy, runner.Unknown} {
 		t.Run(status.String(), func(t *testing.T) {
 			r := newRig(t, 2)
 			first, copied := r.stopCopyEarly()
@@ -42,7 +42,7 @@
 	_, copied := r.stopCopyEarly()
 	r.state.StartAnswered(r.now, copied, runner.Answer{Status: runner.Unknown})
 	r.pass(2 * time.Second)
-	r.report(copied.Worker.ID, []runner.Active{active(copied)}, nil)
+	r.report(copied.Worker.ID, []runner.ActiveRun{active(copied)}, nil)
 	r.submit(queueShort, "whole", step(2, 16))
 	p := r.state.Plan(r.now)
 	if len(p.Starts) != 1 || p.Starts[0].Worker.ID == copied.Worker.ID {
@@ -62,13 +62,13 @@
 	r.pass(3 * time.Second) // three times the estimate
 	slow := active(first)
 	slow.Percent = 1
-	r.report(first.Worker.ID, []runner.Active{slow}, nil)
+	r.report(first.Worker.ID, []runner.ActiveRun{slow}, nil)
 	r.report(other(first.Worker.ID), nil, nil)
 	p := r.state.Plan(r.now)
 	if len(p.Starts) != 1 {
 		r.t.Fatalf("%d copies ordered, want 1", len(p.Starts))
 	}
-	r.report(first.Worker.ID, nil, []runner.End{end(1, first, runner.EndDone)})
+	r.report(first.Worker.ID, nil, []runner.RunEnd{end(1, first, runner.EndDone)})
 	r.flush()
 	if stops := r.state.Plan(r.now).Stops; len(stops) != 1 {
 		r.t.Fatalf("%d stops, want that of the copy", len(stops))
--- a/dispatch/unstuck_test.go
+++ b/dispatch/unstuck_test.go
@@ -83,5 +83,5 @@
 // describe tells what kind of job it is.
 func describe(j *workload.Job) string {
 	st := &j.Steps[0]
-	return fmt.Sprintf("%d tasks, filler %v, gang %v, lasting %v, speculative %v", st.Tasks, st.Filler, st.Gang, st.LongRunning, st.Speculative)
+	return fmt.Sprintf("%d tasks, filler %v, gang %v, lasting %v, speculative %v", st.Tasks, st.BestEffort, st.Gang, st.LongRunning, st.Speculative)
 }
--- a/dispatch/urgent_test.go
+++ b/dispatch/urgent_test.go
@@ -39,7 +39,7 @@
 	}
 	for i, o := range starts {
 		if o.Start.Task.Job == "over" || o.Start.Task.Index == 1 {
-			r.report(o.Worker.ID, nil, []runner.End{end(uint64(i+1), o, runner.EndDone)})
+			r.report(o.Worker.ID, nil, []runner.RunEnd{end(uint64(i+1), o, runner.EndDone)})
 		}
 	}
 	r.state.Hasten("hastened")
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -41,7 +41,7 @@
 	if s.class != "" || s.spec.MaxPerWorker > 0 || s.spec.Gang || s.job.queue.NeedsPermit {
 		return kindKey{}, false
 	}
-	k := kindKey{pool: s.job.queue.Pool, label: s.spec.Label, filler: s.spec.Filler}
+	k := kindKey{pool: s.job.queue.Pool, label: s.spec.Label, filler: s.spec.BestEffort}
 	if k.filler {
 		k.image = s.spec.Image
 	}
--- a/dispatch/wanted.go
+++ b/dispatch/wanted.go
@@ -42,7 +42,7 @@
 
 // add counts a step.
 func (w *wanted) add(s *State, st *step) {
-	if !st.spec.Filler || st.undone == 0 {
+	if !st.spec.BestEffort || st.undone == 0 {
 		return
 	}
 	w.tasks += st.undone
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -138,7 +138,7 @@
 	unused := w.free.MilliCPU
 	for _, r := range w.inOrder {
 		switch spec := r.task.step.spec; {
-		case spec.Filler:
+		case spec.BestEffort:
 			unused -= r.fillerUse(now)
 		case spec.Serving():
 			unused += int64((1 - servingLoad) * float64(spec.Needs.MilliCPU))
--- a/gate/events.go
+++ b/gate/events.go
@@ -88,16 +88,16 @@
 	switch {
 	case w.Late > 0:
 		return forecast.Missed, fmt.Sprintf("%d of %d jobs were done after they were due", w.Late, w.Jobs)
-	case passed && w.Left()+w.Parked > 0:
-		return forecast.Missed, fmt.Sprintf("%d of %d jobs were not done by the start", w.Left()+w.Parked, w.Jobs)
+	case passed && w.Remaining()+w.Parked > 0:
+		return forecast.Missed, fmt.Sprintf("%d of %d jobs were not done by the start", w.Remaining()+w.Parked, w.Jobs)
 	case w.Parked > 0:
 		return forecast.AtRisk, fmt.Sprintf("%d of %d jobs are parked", w.Parked, w.Jobs)
 	case w.Jobs == w.Cancelled && !passed:
 		return forecast.WillMeet, "no work is due"
-	case w.Left() == 0:
+	case w.Remaining() == 0:
 		return forecast.Met, "all work is done"
 	case w.Verdict == "":
-		return forecast.AtRisk, fmt.Sprintf("%d jobs left, and their shards foresee nothing yet", w.Left())
+		return forecast.AtRisk, fmt.Sprintf("%d jobs left, and their shards foresee nothing yet", w.Remaining())
 	default:
 		return w.Verdict, w.Reason
 	}
--- a/gate/janitor.go
+++ b/gate/janitor.go
@@ -74,7 +74,7 @@
 
 // mine reports whether this host has the duty now.
 func (j *janitor) mine(string) bool {
-	order := j.gate.roster.Load().Preferred(janitorDuty)
+	order := j.gate.roster.Load().PreferredOwners(janitorDuty)
 	return len(order) > 0 && order[0] == j.gate.local.Host.Name && j.gate.State() == Ready
 }
 
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -51,11 +51,11 @@
 func problemName(reason string) string {
 	code, _, _ := strings.Cut(reason, ":")
 	switch code {
-	case batch.ReasonInvalid, batch.ReasonNeverFits:
+	case batch.ReasonInvalidSpec, batch.ReasonNeverFits:
 		return "bad_request"
 	case batch.ReasonNotFound:
 		return "not_found"
-	case batch.ReasonKeyConflict, batch.ReasonFinished:
+	case batch.ReasonKeyConflict, batch.ReasonAlreadyFinished:
 		return "conflict"
 	default:
 		return "unavailable"
@@ -104,7 +104,7 @@
 }
 
 func jobStatusOf(s batch.Status) *jobs.JobStatus {
-	reason := s.Why
+	reason := s.Explanation
 	if reason == "" {
 		reason = s.Record.Reason
 	}
--- a/gate/membership.go
+++ b/gate/membership.go
@@ -35,7 +35,7 @@
 	version, _ := g.watcher.Version()
 	now := g.deps.Now()
 	fresh := now.Sub(g.taken.at) < refeedAfter
-	if before.Known() && !before.Doubting() && fresh && g.taken.same(list, version) {
+	if before.Known() && !before.HasUnconfirmedRemovals() && fresh && g.taken.same(list, version) {
 		return
 	}
 	g.taken = takenList{list: list, config: version, at: now}
--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -66,7 +66,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		s, kind, _ := g.batch.Show(ctx, "job-4")
-		return kind == outcome.Answered && strings.Contains(s.Why, "quota of team routes is used up")
+		return kind == outcome.Answered && strings.Contains(s.Explanation, "quota of team routes is used up")
 	})
 	apply(t, g, 1, func(s *settings.Settings) { s.Teams["routes"] = settings.Team{Weight: 1, MilliCPU: 6000} })
 	eventually(t, "six jobs under a quota of six", running(6))
--- a/gate/run.go
+++ b/gate/run.go
@@ -81,7 +81,7 @@
 // startBackground starts everything that runs until the host stops.
 func (g *Gate) startBackground(ctx context.Context, wg *sync.WaitGroup) {
 	g.watcher.Subscribe(g.takeConfig)
-	g.keeper.Subscribe(g.batch.SetView)
+	g.keeper.Subscribe(g.batch.SetOwnership)
 	poller := &memberPoller{
 		members: g.deps.Members, interval: g.local.Platform.MembersInterval.D(),
 		timeout: g.local.Platform.Timeout.D(), log: g.deps.Log, now: g.deps.Now, onList: g.takeList,
--- a/ownership/claim.go
+++ b/ownership/claim.go
@@ -243,7 +243,7 @@
 
 // rank is this host's place in the order of preference for a shard.
 func (m *Machine) rank(s *shardState) int {
-	order := m.roster.Preferred(s.name)
+	order := m.roster.PreferredOwners(s.name)
 	at := slices.Index(order, m.cfg.Host)
 	if at < 0 {
 		return len(order)
--- a/ownership/read.go
+++ b/ownership/read.go
@@ -115,7 +115,7 @@
 		heirs = 1 + m.cfg.Lease.Successors
 		hosts = append(hosts, s.row.Successors...)
 	}
-	order := m.roster.Preferred(s.name)
+	order := m.roster.PreferredOwners(s.name)
 	hosts = append(hosts, order[:min(heirs, len(order))]...)
 	if s.move != nil {
 		hosts = append(hosts, s.move.to)
--- a/ownership/release.go
+++ b/ownership/release.go
@@ -50,7 +50,7 @@
 // betterOwner returns the preferred host of a shard if it is another one that
 // has been there for a while; empty otherwise.
 func (m *Machine) betterOwner(now time.Time, s *shardState) string {
-	order := m.roster.Preferred(s.name)
+	order := m.roster.PreferredOwners(s.name)
 	if len(order) == 0 || order[0] == m.cfg.Host {
 		return ""
 	}
@@ -67,7 +67,7 @@
 // lives, so that those who know the shard's endpoints best get it, else the
 // most preferred host that lives, else nobody.
 func (m *Machine) heir(now time.Time, s *shardState) string {
-	for _, h := range slices.Concat(m.roster.Preferred(s.name), s.row.Successors) {
+	for _, h := range slices.Concat(m.roster.PreferredOwners(s.name), s.row.Successors) {
 		if h != m.cfg.Host && m.roster.LiveHost(h) && m.fresh(now, h) {
 			return h
 		}
--- a/placement/teams.go
+++ b/placement/teams.go
@@ -29,11 +29,11 @@
 // configure replaces weights and quotas; what is used and allotted stays.
 func (t *teams) configure(configured map[string]settings.Team) {
 	for _, entry := range t.byName {
-		entry.weight, entry.quota = 1, quota.Of(0, 0)
+		entry.weight, entry.quota = 1, quota.NewAmount(0, 0)
 	}
 	for name, c := range configured {
 		entry := t.get(name)
-		entry.quota = quota.Of(c.MilliCPU, c.MemoryMB)
+		entry.quota = quota.NewAmount(c.MilliCPU, c.MemoryMB)
 		if c.Weight > 0 {
 			entry.weight = c.Weight
 		}
@@ -43,7 +43,7 @@
 func (t *teams) get(name string) *team {
 	entry, known := t.byName[name]
 	if !known {
-		entry = &team{weight: 1, quota: quota.Of(0, 0), allotment: quota.Of(0, 0)}
+		entry = &team{weight: 1, quota: quota.NewAmount(0, 0), allotment: quota.NewAmount(0, 0)}
 		t.byName[name] = entry
 	}
 	return entry
--- a/quota/allotment.go
+++ b/quota/allotment.go
@@ -7,16 +7,16 @@
 // in the table. The zero value holds nothing.
 type Allotment struct {
 	quota    Amount
-	milliCPU Holder
-	memoryMB Holder
+	milliCPU VersionedBound
+	memoryMB VersionedBound
 }
 
 // Begin returns what a new owner holds, by the division as it read it after it
 // took over.
-func Begin(version uint64, bound Amount) Allotment {
+func NewAllotment(version uint64, bound Amount) Allotment {
 	return Allotment{
-		milliCPU: Holder{held: max(bound.MilliCPU, 0), reported: version},
-		memoryMB: Holder{held: max(bound.MemoryMB, 0), reported: version},
+		milliCPU: VersionedBound{held: max(bound.MilliCPU, 0), reported: version},
+		memoryMB: VersionedBound{held: max(bound.MemoryMB, 0), reported: version},
 	}
 }
 
--- a/quota/amount.go
+++ b/quota/amount.go
@@ -15,7 +15,7 @@
 }
 
 // Of turns the settings' quota, where zero is for none, into an Amount.
-func Of(milliCPU, memoryMB int64) Amount {
+func NewAmount(milliCPU, memoryMB int64) Amount {
 	a := Amount{MilliCPU: milliCPU, MemoryMB: memoryMB}
 	if milliCPU <= 0 {
 		a.MilliCPU = Unlimited
--- a/quota/divide_test.go
+++ b/quota/divide_test.go
@@ -58,7 +58,7 @@
 // owner is a shard's owner in the test below: it reports and applies late, or
 // not at all.
 type owner struct {
-	holder Holder
+	holder VersionedBound
 	used   int64
 	demand int64
 }
@@ -165,10 +165,10 @@
 		amount Amount
 		want   bool
 	}{
-		{Of(0, 0), true},
-		{Of(1000, 200), true},
-		{Of(999, 0), false},
-		{Of(0, 199), false},
+		{NewAmount(0, 0), true},
+		{NewAmount(1000, 200), true},
+		{NewAmount(999, 0), false},
+		{NewAmount(0, 199), false},
 		{Amount{MilliCPU: 0, MemoryMB: Unlimited}, false},
 	}
 	for _, tt := range tests {
--- a/quota/division_test.go
+++ b/quota/division_test.go
@@ -76,7 +76,7 @@
 		}
 		target, ok := targets[m.name(i)]
 		if !ok {
-			target = Of(0, 0)
+			target = NewAmount(0, 0)
 		}
 		w := tell{version, row.Bounds[m.name(i)], target}
 		m.late, m.lateTo = append(m.late, w), append(m.lateTo, i)
@@ -104,7 +104,7 @@
 		switch m.rng.IntN(4) {
 		case 0:
 			m.shards[i].fence++
-			m.shards[i].allotment = Begin(m.version, m.division.Bounds[m.name(i)])
+			m.shards[i].allotment = NewAllotment(m.version, m.division.Bounds[m.name(i)])
 			m.shards[i].allotment.SetQuota(Amount{MilliCPU: modelQuota, MemoryMB: Unlimited})
 		case 1:
 			if n := len(m.late); n > 0 {
--- a/roster/build.go
+++ b/roster/build.go
@@ -8,13 +8,13 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// DoubtReads is how many lists in a row must lack a member before its absence
+// RemovalConfirmations is how many lists in a row must lack a member before its absence
 // is believed, when more than half of the members of its kind vanished at
 // once. A broken or half-read list would otherwise end the work of a whole
 // site; a list that lacks up to half is believed at once, so that the loss of
 // an availability zone is. Absences that leave no member of a kind are never
 // believed. Everything else that such a list says is taken as it stands.
-const DoubtReads = 20
+const RemovalConfirmations = 20
 
 // Build returns the roster after one more list was read. A list older than the
 // previous one is passed over. The zero previous Roster believes any list.
@@ -39,7 +39,7 @@
 		if 2*len(gone) <= before {
 			continue
 		}
-		if len(gone) < before && previous.doubts+1 >= DoubtReads {
+		if len(gone) < before && previous.doubts+1 >= RemovalConfirmations {
 			continue
 		}
 		for _, m := range gone {
--- a/roster/preferred.go
+++ b/roster/preferred.go
@@ -12,7 +12,7 @@
 // only that host's part. For a shard of workers hosts in the workers' zone come
 // first, then those in their region, so that zones and regions that lose each
 // other leave runs with an owner that reaches them. It works for any shard name.
-func (r Roster) Preferred(shard string) []string {
+func (r Roster) PreferredOwners(shard string) []string {
 	if order, ok := r.preferred[shard]; ok {
 		return order
 	}
@@ -25,7 +25,7 @@
 func (r Roster) Successors(shard, owner string, n int) []string {
 	zones := map[string]bool{r.byName[owner].Zone: true}
 	var apart, rest []string
-	for _, h := range r.Preferred(shard) {
+	for _, h := range r.PreferredOwners(shard) {
 		zone := r.byName[h].Zone
 		switch {
 		case h == owner:
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -32,7 +32,7 @@
 func (r Roster) Known() bool { return r.byName != nil }
 
 // Doubting reports whether it keeps members that the newest list lacks.
-func (r Roster) Doubting() bool { return r.doubts > 0 }
+func (r Roster) HasUnconfirmedRemovals() bool { return r.doubts > 0 }
 
 // Revision returns the revision of the newest list taken in.
 func (r Roster) Revision() uint64 { return r.revision }
@@ -85,4 +85,4 @@
 
 // Doubted returns the members that the newest list lacks and that are kept,
 // because too many vanished at once.
-func (r Roster) Doubted() []string { return r.doubted }
+func (r Roster) UnconfirmedRemovals() []string { return r.doubted }
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -49,7 +49,7 @@
 	moved, total := 0, 1000
 	for i := range total {
 		shard := fmt.Sprint("ep/x/", i)
-		a, b := small.Preferred(shard)[0], big.Preferred(shard)[0]
+		a, b := small.PreferredOwners(shard)[0], big.PreferredOwners(shard)[0]
 		if a != b && b != "h9" {
 			t.Fatalf("%s moved from %s to %s, not to the new host", shard, a, b)
 		}
@@ -65,7 +65,7 @@
 func TestSuccessorsAreInOtherZones(t *testing.T) {
 	r := Build(Roster{}, list(1, 9), lease)
 	for _, shard := range r.Shards() {
-		owner := r.Preferred(shard)[0]
+		owner := r.PreferredOwners(shard)[0]
 		got := r.Successors(shard, owner, 2)
 		zones := map[string]bool{zoneOf(r, owner): true, zoneOf(r, got[0]): true, zoneOf(r, got[1]): true}
 		if len(zones) != 3 || slices.Contains(got, owner) {
@@ -101,14 +101,14 @@
 		// after is how many lists it takes until absences are believed, 0
 		// for never.
 		after int
-	}{"a tenth gone": {9, 1}, "half gone": {5, 1}, "most gone": {2, DoubtReads}, "all gone": {0, 0}}
+	}{"a tenth gone": {9, 1}, "half gone": {5, 1}, "most gone": {2, RemovalConfirmations}, "all gone": {0, 0}}
 	for name, tc := range cases {
 		r := before
-		for read := 1; read <= DoubtReads+5; read++ {
+		for read := 1; read <= RemovalConfirmations+5; read++ {
 			r = Build(r, list(2, tc.left), lease)
 			believed := tc.after != 0 && read >= tc.after
-			if gone := !r.Listed("h9"); gone != believed || (len(r.Doubted()) == 0) != believed {
-				t.Fatalf("%s: after %d lists gone is %v, doubted %d", name, read, gone, len(r.Doubted()))
+			if gone := !r.Listed("h9"); gone != believed || (len(r.UnconfirmedRemovals()) == 0) != believed {
+				t.Fatalf("%s: after %d lists gone is %v, doubted %d", name, read, gone, len(r.UnconfirmedRemovals()))
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 	r := Build(Roster{}, l, lease)
 	firsts := map[string]bool{}
 	for _, shard := range r.Shards() {
-		order := r.Preferred(shard)
+		order := r.PreferredOwners(shard)
 		if IsEndpointShard(shard) {
 			firsts[zoneOf(r, order[0])] = true
 			continue
--- a/runner/answer.go
+++ b/runner/answer.go
@@ -16,10 +16,10 @@
 	Fenced
 	// Superseded: the run isn't higher than one stopped or ended there.
 	Superseded
-	// TooLate: the lease that the order carried is over.
-	TooLate
-	// NoRoom: the worker's guard refused it.
-	NoRoom
+	// LeaseExpired: the lease that the order carried is over.
+	LeaseExpired
+	// NoCapacity: the worker's guard refused it.
+	NoCapacity
 	// NoPermit: the policy service's ticket is missing or over.
 	NoPermit
 	// Invalid: the worker can't read the order.
@@ -27,7 +27,7 @@
 	// Unhealthy: the worker refused it for now and did nothing.
 	Unhealthy
 	// Reborn: another life of the worker answered; the one meant is over.
-	Reborn
+	Restarted
 )
 
 var statusNames = [...]string{
--- a/runner/client.go
+++ b/runner/client.go
@@ -8,7 +8,7 @@
 	// Start, Stop and Pace give an order.
 	Start(ctx context.Context, w Worker, o Start) Answer
 	Stop(ctx context.Context, w Worker, o Stop) Answer
-	Pace(ctx context.Context, w Worker, o Pace) Answer
+	SetCPULimit(ctx context.Context, w Worker, o CPULimit) Answer
 	// Renew renews the lease and returns the report; the report is empty
 	// unless the answer is Done.
 	Renew(ctx context.Context, w Worker, o Renewal) (Answer, Report)
--- a/runner/order.go
+++ b/runner/order.go
@@ -31,7 +31,7 @@
 }
 
 // Pace limits a run to a share of its processors.
-type Pace struct {
+type CPULimit struct {
 	Task    workload.TaskID
 	Run     uint64
 	Percent int
--- a/runner/report.go
+++ b/runner/report.go
@@ -21,10 +21,10 @@
 	EndStopped
 	// EndExpired ended with its lease.
 	EndExpired
-	// EndBroken ended because another member of its gang did.
-	EndBroken
-	// EndAlone waited in vain for the rest of its gang.
-	EndAlone
+	// EndGangBroken ended because another member of its gang did.
+	EndGangBroken
+	// EndGangTimeout waited in vain for the rest of its gang.
+	EndGangTimeout
 )
 
 var endNames = [...]string{"unknown", "done", "failed", "stopped", "expired", "broken", "alone"}
@@ -38,11 +38,11 @@
 }
 
 // Active is a run at work.
-type Active struct {
+type ActiveRun struct {
 	Task workload.TaskID
 	Run  uint64
 	// Saved is its newest checkpoint, empty for none.
-	Saved string
+	Checkpoint string
 	// Percent is how far it has come; a long-running task serves at 100.
 	Percent int
 	// Usage is, over the last half second, the tail of response times in
@@ -51,23 +51,23 @@
 }
 
 // End is a run that is over.
-type End struct {
+type RunEnd struct {
 	// Number counts the ends of one life of a worker, from 1.
 	Number uint64
 	Task   workload.TaskID
 	Run    uint64
 	Kind   EndKind
 	// Saved is the newest checkpoint, empty for none.
-	Saved string
+	Checkpoint string
 }
 
 // Report is a worker's answer to a renewal.
 type Report struct {
 	// ClockMS is the worker's own steady clock.
 	ClockMS int64
-	Active  []Active
+	Active  []ActiveRun
 	// Ends that aren't acknowledged, oldest first, at most MaxEnds.
-	Ends []End
+	Ends []RunEnd
 }
 
 // MaxEnds is the largest number of ends in one report, from the worker's
--- a/runner/worker.go
+++ b/runner/worker.go
@@ -25,7 +25,7 @@
 	LeavesIn time.Duration `msgpack:"-"`
 	// Unsound is set if the list holds an entry with this ID that names no
 	// worker to use; nothing but the ID is known then.
-	Unsound bool `msgpack:"-"`
+	Malformed bool `msgpack:"-"`
 }
 
 // HasLabel reports whether the worker carries the label; every worker carries
--- a/task/life.go
+++ b/task/life.go
@@ -65,7 +65,7 @@
 		return r, t
 	}
 	r.Kills++
-	r.Learned.MemoryMB = r.Reserves().MemoryMB * growthNumerator / growthDenominator
+	r.LearnedFloor.MemoryMB = r.Reservation().MemoryMB * growthNumerator / growthDenominator
 	if r.State != Stopping && r.Kills >= maxKills {
 		return r.over(doneMS).finish(Parked, reason, nowMS), Applied
 	}
@@ -96,9 +96,9 @@
 	return r.again(0, reason, nowMS), Applied
 }
 
-// LeaseLapsed notes that the run is surely over without a report. It resumes
+// LeaseExpired notes that the run is surely over without a report. It resumes
 // from the last checkpoint.
-func (r Record) LeaseLapsed(epoch uint64, doneMS, nowMS int64) (Record, Transition) {
+func (r Record) LeaseExpired(epoch uint64, doneMS, nowMS int64) (Record, Transition) {
 	if t := r.check(epoch); t != Applied {
 		return r, t
 	}
--- a/task/life_test.go
+++ b/task/life_test.go
@@ -80,7 +80,7 @@
 	case 4:
 		next, tr = was.Refused(e, "no", 1)
 	case 5:
-		next, tr = was.LeaseLapsed(e, 5, 1)
+		next, tr = was.LeaseExpired(e, 5, 1)
 	default:
 		next, tr = was.Confirmed(e)
 	}
@@ -122,7 +122,7 @@
 		t.Error("the same run was stopped twice")
 	}
 	r, _ = r.Start("b", infra.Resources{})
-	r, _ = r.LeaseLapsed(2, 900, 1)
+	r, _ = r.LeaseExpired(2, 900, 1)
 	if r.Checkpoint != "cp1" || r.LostMS != 500 {
 		t.Errorf("after a lapse: checkpoint %q, lost %d ms; want cp1 and the 500 beyond it", r.Checkpoint, r.LostMS)
 	}
@@ -133,7 +133,7 @@
 	for reserved, want := range map[int64]int64{0: 150, 60: 90, 400: 600} {
 		r, _ := New(spec).Start("a", infra.Resources{MemoryMB: reserved})
 		r, _ = r.Killed(1, "memory", 0, testKills, 1)
-		if got := r.Sized(); got.Floor.MemoryMB != want || got.Resources != spec.Resources {
+		if got := r.SpecWithFloor(); got.Floor.MemoryMB != want || got.Resources != spec.Resources {
 			t.Errorf("%d MB reserved: floor %d MB after a kill, want %d; declared %+v", reserved, got.Floor.MemoryMB, want, got.Resources)
 		}
 	}
--- a/task/record.go
+++ b/task/record.go
@@ -34,7 +34,7 @@
 	// LostMS is the work done and lost, in milliseconds at full speed.
 	LostMS int64 `msgpack:"l,omitempty"`
 	// Learned is the size it reserves at the least once one proved small.
-	Learned infra.Resources `msgpack:"g,omitempty"`
+	LearnedFloor infra.Resources `msgpack:"g,omitempty"`
 	// Reason explains the last failure or the terminal state.
 	Reason string `msgpack:"r,omitempty"`
 	// FinishedUnixMS is when it became terminal, in Unix milliseconds.
@@ -45,23 +45,23 @@
 func New(s Spec) Record { return Record{Spec: s} }
 
 // Run returns the run of the record's epoch.
-func (r Record) Run() infra.RunID { return infra.RunID{Job: r.Spec.ID, Epoch: r.Epoch} }
+func (r Record) RunID() infra.RunID { return infra.RunID{Job: r.Spec.ID, Epoch: r.Epoch} }
 
 // Sized returns the spec with what was learned of the job's own size as its
 // floor.
-func (r Record) Sized() Spec {
+func (r Record) SpecWithFloor() Spec {
 	s := r.Spec
-	s.Floor = r.Learned
+	s.Floor = r.LearnedFloor
 	return s
 }
 
 // Reserves returns what the run of the record's epoch reserves.
-func (r Record) Reserves() infra.Resources {
+func (r Record) Reservation() infra.Resources {
 	if r.Reserved != (infra.Resources{}) {
 		return r.Reserved
 	}
 	size := r.Spec.Resources
-	size.MemoryMB = max(size.MemoryMB, r.Learned.MemoryMB)
+	size.MemoryMB = max(size.MemoryMB, r.LearnedFloor.MemoryMB)
 	return size
 }
 
--- a/workload/step.go
+++ b/workload/step.go
@@ -45,7 +45,7 @@
 	TailTarget time.Duration `msgpack:"t,omitempty"`
 	// Filler tasks take the processors that other tasks leave unused; their
 	// processors aren't counted against a worker's capacity.
-	Filler bool `msgpack:"f,omitempty"`
+	BestEffort bool `msgpack:"f,omitempty"`
 	// DisruptionBudget is how many tasks of a long-running step may be
 	// unavailable at once through the scheduler's own orders; -1 for no bound.
 	DisruptionBudget int `msgpack:"b,omitempty"`
@@ -54,7 +54,7 @@
 // Reserved returns what a task of the step takes from a worker's capacity.
 func (s *Step) Reserved() infra.Resources {
 	r := s.Needs
-	if s.Filler {
+	if s.BestEffort {
 		r.MilliCPU = 0
 	}
 	return r
