--- a/batch/planner_test.go
+++ b/batch/planner_test.go
@@ -74,14 +74,14 @@
 
 func (p *firstFit) Forecast(time.Time) []forecast.Report { return nil }
 
-func (p *firstFit) Killed(job string) {
+func (p *firstFit) RecordOOMKill(job string) {
 	if _, ok := p.placed[job]; ok {
 		p.killed++
 	}
 }
 func (p *firstFit) Avoid(job, host string)  { p.avoid[job] = append(p.avoid[job], host) }
 func (p *firstFit) Observe(placement.Usage) {}
-func (p *firstFit) Why(string) string       { return "" }
+func (p *firstFit) Explain(string) string   { return "" }
 
 func (p *firstFit) Plan(_ time.Time, limit int) []placement.Action {
 	out := p.wanted
--- a/batch/shard_cancel.go
+++ b/batch/shard_cancel.go
@@ -113,5 +113,5 @@
 // status returns what is told of a job.
 func (s *Shard) status(j *job) Status {
 	id := j.rec.Spec.ID
-	return Status{ID: id, Shard: s.name, State: j.rec.State, Record: j.rec, Explanation: s.planner.Why(id)}
+	return Status{ID: id, Shard: s.name, State: j.rec.State, Record: j.rec, Explanation: s.planner.Explain(id)}
 }
--- a/batch/shard_plan.go
+++ b/batch/shard_plan.go
@@ -60,7 +60,7 @@
 	case placement.Start:
 		s.start(now, j, a)
 	case placement.Throttle:
-		s.throttle(j, a.Percent)
+		s.throttle(j, a.CPULimit)
 	case placement.Evict:
 		s.evict(j)
 	}
--- a/batch/shard_report.go
+++ b/batch/shard_report.go
@@ -75,7 +75,7 @@
 func (s *Shard) ended(now time.Time, w *worker, j *job, r infra.RunReport) {
 	id := j.rec.Spec.ID
 	if r.State == infra.RunKilled {
-		s.planner.Killed(id)
+		s.planner.RecordOOMKill(id)
 	}
 	s.vacate(now, j, w.name, r.State == infra.RunDone)
 	s.judge(now, w, id, r.State)
--- a/colocate/guard.go
+++ b/colocate/guard.go
@@ -12,8 +12,8 @@
 // Action is what to do about one filler.
 type Action struct {
 	Kind Kind
-	// Pace is the share of its speed, in percent, for SetPace.
-	Pace int
+	// Pace is the share of its speed, in percent, for SetCPULimit.
+	CPULimit int
 }
 
 // Kind says what an Action does.
@@ -22,17 +22,17 @@
 // The kinds of action.
 const (
 	// Leave it as it is.
-	Leave Kind = iota
-	// SetPace slows it down, or lets it go on.
-	SetPace
+	NoAction Kind = iota
+	// SetCPULimit slows it down, or lets it go on.
+	SetCPULimit
 	// Move stops it, so that it resumes elsewhere.
-	Move
+	Migrate
 )
 
 const (
 	// Patience is how long a worker is left alone after an action: one window
 	// of half a second and the way of an order and a report.
-	Patience = 700 * time.Millisecond
+	ActionCooldown = 700 * time.Millisecond
 	// reactTime is how far ahead a slack must hold: until the next report has
 	// come and an order has shown its effect.
 	reactTime = 900 * time.Millisecond
@@ -63,7 +63,7 @@
 // leaves Patience between two decisions that act; bound is how long a tail may
 // be over its target at all. As many fillers are acted on as restore the slack
 // of the task that is worst off, those that take most from it first.
-func (m *Model) Guard(now time.Time, w *Worker, bound time.Duration) []Action {
+func (m *Model) Actions(now time.Time, w *Worker, bound time.Duration) []Action {
 	actions := m.decide(now, w, bound)
 	m.restrict(w, actions)
 	return actions
@@ -71,13 +71,13 @@
 
 // decide is Guard with the whole policy.
 func (m *Model) decide(now time.Time, w *Worker, bound time.Duration) []Action {
-	actions := make([]Action, len(w.Fillers))
-	if len(w.Fillers) == 0 {
+	actions := make([]Action, len(w.BestEffort))
+	if len(w.BestEffort) == 0 {
 		return actions
 	}
 	if w.overFor() >= time.Duration(lastResortShare*float64(bound)) {
-		for i := range w.Fillers {
-			actions[i] = w.Fillers[i].giveWay(0)
+		for i := range w.BestEffort {
+			actions[i] = w.BestEffort[i].giveWay(0)
 		}
 		return actions
 	}
@@ -87,7 +87,7 @@
 			m.relieve(w, s, actions)
 		}
 	}
-	if !slices.ContainsFunc(actions, func(a Action) bool { return a.Kind != Leave }) {
+	if !slices.ContainsFunc(actions, func(a Action) bool { return a.Kind != NoAction }) {
 		m.resume(now, w, actions)
 	}
 	return actions
@@ -97,10 +97,10 @@
 func (m *Model) restrict(w *Worker, actions []Action) {
 	for i, a := range actions {
 		switch {
-		case a.Kind == Move && m.without.Has(mechanism.Moving):
-			actions[i] = Action{Kind: SetPace}
-		case a.Kind == SetPace && a.Pace > 0 && a.Pace < fullPace && m.without.Has(mechanism.Pacing):
-			actions[i] = w.Fillers[i].giveWay(0)
+		case a.Kind == Migrate && m.without.Has(mechanism.Moving):
+			actions[i] = Action{Kind: SetCPULimit}
+		case a.Kind == SetCPULimit && a.CPULimit > 0 && a.CPULimit < fullPace && m.without.Has(mechanism.Pacing):
+			actions[i] = w.BestEffort[i].giveWay(0)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 func (w *Worker) overFor() time.Duration {
 	longest := time.Duration(0)
 	for i := range w.Serving {
-		longest = max(longest, w.Serving[i].OverFor)
+		longest = max(longest, w.Serving[i].OverTargetFor)
 	}
 	return longest
 }
@@ -134,8 +134,8 @@
 		if need <= 0 {
 			return
 		}
-		if actions[f.at].Kind == Leave {
-			filler := &w.Fillers[f.at]
+		if actions[f.at].Kind == NoAction {
+			filler := &w.BestEffort[f.at]
 			actions[f.at] = filler.giveWay(filler.paceFor(s, need/f.effect))
 		}
 		need -= f.effect
@@ -146,11 +146,11 @@
 // effect that a serving task needs. Once the tail is over its target the
 // estimate has proved wrong, and the filler gives up all: slowed to a pace
 // held to be enough, one kept a tail over its target for 4 s.
-func (f *Filler) paceFor(s *Serving, share float64) int {
-	if s.OverFor > 0 || s.Slack() < 1 {
+func (f *BestEffortTask) paceFor(s *Serving, share float64) int {
+	if s.OverTargetFor > 0 || s.Slack() < 1 {
 		return 0
 	}
-	return int(float64(f.Pace) * (1 - share))
+	return int(float64(f.CPULimit) * (1 - share))
 }
 
 // blamed is a filler and what it takes from a slack.
@@ -163,10 +163,10 @@
 // that take most first.
 func (m *Model) blamed(w *Worker, class string) []blamed {
 	var all []blamed
-	for i := range w.Fillers {
-		f := &w.Fillers[i]
+	for i := range w.BestEffort {
+		f := &w.BestEffort[i]
 		e, d := m.effect(class, f.Image, f.press())
-		if e+d/2 >= leastEffect && f.Pace > 0 {
+		if e+d/2 >= leastEffect && f.CPULimit > 0 {
 			all = append(all, blamed{i, e + d/2})
 		}
 	}
@@ -176,16 +176,16 @@
 
 // giveWay returns how a filler makes room: by going on at a pace that still is
 // worth it, else by resuming elsewhere if that loses little.
-func (f *Filler) giveWay(pace int) Action {
+func (f *BestEffortTask) giveWay(pace int) Action {
 	switch {
 	case pace >= slowestPace:
-		return Action{Kind: SetPace, Pace: pace}
-	case f.Saves || f.Percent < restartPercent:
-		return Action{Kind: Move}
-	case f.Pace == 0:
+		return Action{Kind: SetCPULimit, CPULimit: pace}
+	case f.Resumable || f.ProgressPercent < restartPercent:
+		return Action{Kind: Migrate}
+	case f.CPULimit == 0:
 		return Action{}
 	default:
-		return Action{Kind: SetPace}
+		return Action{Kind: SetCPULimit}
 	}
 }
 
@@ -194,15 +194,15 @@
 	if w.leastSlack() < resumeAbove {
 		return
 	}
-	for i := range w.Fillers {
-		f := &w.Fillers[i]
-		if f.Pace == fullPace {
+	for i := range w.BestEffort {
+		f := &w.BestEffort[i]
+		if f.CPULimit == fullPace {
 			continue
 		}
 		rest := *w
-		rest.Fillers = slices.Delete(slices.Clone(w.Fillers), i, i+1)
-		if m.HarmOf(m.Rooms(now, &rest), f.Image, f.Part).Short <= 0 {
-			actions[i] = Action{Kind: SetPace, Pace: fullPace}
+		rest.BestEffort = slices.Delete(slices.Clone(w.BestEffort), i, i+1)
+		if m.ImpactOf(m.SlackBudgets(now, &rest), f.Image, f.CPUShare).Shortfall <= 0 {
+			actions[i] = Action{Kind: SetCPULimit, CPULimit: fullPace}
 			return
 		}
 	}
@@ -220,8 +220,8 @@
 
 // Watch reports whether the worker's tails may pass a target soon, so that it
 // should be looked at often: a tail is long, or a filler is new.
-func (w *Worker) Watch() bool {
-	if len(w.Serving) == 0 || len(w.Fillers) == 0 {
+func (w *Worker) NeedsFrequentPolls() bool {
+	if len(w.Serving) == 0 || len(w.BestEffort) == 0 {
 		return false
 	}
 	for i := range w.Serving {
--- a/colocate/guard_test.go
+++ b/colocate/guard_test.go
@@ -30,13 +30,13 @@
 // serving is a task of a step with the given slack.
 func serving(step string, slack float64, over time.Duration) colocate.Serving {
 	return colocate.Serving{
-		Class: "watch", Step: workload.StepID{Job: step}, Target: target, Tail: tailOf(slack), OverFor: over,
+		Class: "watch", Step: workload.StepID{Job: step}, Target: target, Tail: tailOf(slack), OverTargetFor: over,
 	}
 }
 
 // filler is a settled and busy filler that asks for a tenth of the processors.
-func filler(image string, saves bool) colocate.Filler {
-	return colocate.Filler{Image: image, Part: 0.1, Use: 1, Pace: 100, Saves: saves, Percent: 50, Settled: true}
+func filler(image string, saves bool) colocate.BestEffortTask {
+	return colocate.BestEffortTask{Image: image, CPUShare: 0.1, Utilization: 1, CPULimit: 100, Resumable: saves, ProgressPercent: 50, Settled: true}
 }
 
 // learned returns a model that has seen, in 40 s of reports, that "loud" takes
@@ -52,10 +52,10 @@
 			slack := 2.6
 			switch (i/4 + worker) % 3 {
 			case 0:
-				w.Fillers = []colocate.Filler{filler("quiet", true)}
+				w.BestEffort = []colocate.BestEffortTask{filler("quiet", true)}
 				slack -= 0.05
 			case 1:
-				w.Fillers = []colocate.Filler{filler("loud", true)}
+				w.BestEffort = []colocate.BestEffortTask{filler("loud", true)}
 				slack -= 1.0
 			}
 			w.Serving = []colocate.Serving{serving("a", slack, 0)}
@@ -78,11 +78,11 @@
 func TestGuardActsOnTheOneToBlame(t *testing.T) {
 	m, now := learned()
 	w := &colocate.Worker{
-		Serving: []colocate.Serving{serving("a", 0.9, 0)},
-		Fillers: []colocate.Filler{filler("quiet", true), filler("loud", true)},
+		Serving:    []colocate.Serving{serving("a", 0.9, 0)},
+		BestEffort: []colocate.BestEffortTask{filler("quiet", true), filler("loud", true)},
 	}
-	got := kinds(m.Guard(now, w, bound))
-	if got[0] != colocate.Leave || got[1] == colocate.Leave {
+	got := kinds(m.Actions(now, w, bound))
+	if got[0] != colocate.NoAction || got[1] == colocate.NoAction {
 		t.Errorf("actions %v, want only the loud one to give way", got)
 	}
 }
@@ -91,13 +91,13 @@
 // restores the slack, and moves one that would hardly go on.
 func TestGuardSlowsNoMoreThanNeeded(t *testing.T) {
 	m, now := learned()
-	w := &colocate.Worker{Fillers: []colocate.Filler{filler("loud", true)}}
+	w := &colocate.Worker{BestEffort: []colocate.BestEffortTask{filler("loud", true)}}
 	w.Serving = []colocate.Serving{serving("a", 1.0, 0)}
-	if got := m.Guard(now, w, bound)[0]; got.Kind != colocate.SetPace || got.Pace < 50 || got.Pace > 90 {
+	if got := m.Actions(now, w, bound)[0]; got.Kind != colocate.SetCPULimit || got.CPULimit < 50 || got.CPULimit > 90 {
 		t.Errorf("action %+v for a slack of 1.0, want it slowed to about 70%%", got)
 	}
 	w.Serving = []colocate.Serving{serving("a", 0.4, 0)}
-	if got := m.Guard(now, w, bound)[0]; got.Kind != colocate.Move {
+	if got := m.Actions(now, w, bound)[0]; got.Kind != colocate.Migrate {
 		t.Errorf("action %+v for a slack of 0.4, want it moved", got)
 	}
 }
@@ -106,14 +106,14 @@
 func TestGuardPausesWhatCannotSave(t *testing.T) {
 	m, now := learned()
 	w := &colocate.Worker{
-		Serving: []colocate.Serving{serving("a", 0.4, 0)},
-		Fillers: []colocate.Filler{filler("loud", false)},
+		Serving:    []colocate.Serving{serving("a", 0.4, 0)},
+		BestEffort: []colocate.BestEffortTask{filler("loud", false)},
 	}
-	if got := m.Guard(now, w, bound)[0]; got.Kind != colocate.SetPace || got.Pace != 0 {
+	if got := m.Actions(now, w, bound)[0]; got.Kind != colocate.SetCPULimit || got.CPULimit != 0 {
 		t.Errorf("action %+v, want it paused", got)
 	}
-	w.Fillers[0].Percent = 10
-	if got := m.Guard(now, w, bound)[0]; got.Kind != colocate.Move {
+	w.BestEffort[0].ProgressPercent = 10
+	if got := m.Actions(now, w, bound)[0]; got.Kind != colocate.Migrate {
 		t.Errorf("action %+v, want it moved: it has done little", got)
 	}
 }
@@ -123,11 +123,11 @@
 func TestGuardLastResort(t *testing.T) {
 	m, now := learned()
 	w := &colocate.Worker{
-		Serving: []colocate.Serving{serving("a", 0.95, bound/4)},
-		Fillers: []colocate.Filler{filler("quiet", true), filler("quiet", false)},
+		Serving:    []colocate.Serving{serving("a", 0.95, bound/4)},
+		BestEffort: []colocate.BestEffortTask{filler("quiet", true), filler("quiet", false)},
 	}
-	got := m.Guard(now, w, bound)
-	if got[0].Kind != colocate.Move || got[1].Kind != colocate.SetPace || got[1].Pace != 0 {
+	got := m.Actions(now, w, bound)
+	if got[0].Kind != colocate.Migrate || got[1].Kind != colocate.SetCPULimit || got[1].CPULimit != 0 {
 		t.Errorf("actions %+v, want one moved and one paused", got)
 	}
 }
@@ -147,10 +147,10 @@
 			m.Learn(now, &colocate.Worker{Serving: []colocate.Serving{serving("b", level, 0)}})
 		}
 		w := &colocate.Worker{
-			Serving: []colocate.Serving{serving("b", 1.2, 0)},
-			Fillers: []colocate.Filler{filler("loud", true)},
+			Serving:    []colocate.Serving{serving("b", 1.2, 0)},
+			BestEffort: []colocate.BestEffortTask{filler("loud", true)},
 		}
-		if got := m.Guard(now, w, bound)[0].Kind != colocate.Leave; got != c.want {
+		if got := m.Actions(now, w, bound)[0].Kind != colocate.NoAction; got != c.want {
 			t.Errorf("slack 1.2 with a slope of %.1f: acted %v, want %v", c.slope, got, c.want)
 		}
 	}
@@ -166,10 +166,10 @@
 			m.Learn(now, &colocate.Worker{Serving: []colocate.Serving{serving("a", slack, 0)}})
 		}
 		f := filler("loud", false)
-		f.Pace = 0
-		w := &colocate.Worker{Serving: []colocate.Serving{serving("a", slack, 0)}, Fillers: []colocate.Filler{f}}
-		got := m.Guard(now, w, bound)[0]
-		if (got.Kind == colocate.SetPace && got.Pace == 100) != want {
+		f.CPULimit = 0
+		w := &colocate.Worker{Serving: []colocate.Serving{serving("a", slack, 0)}, BestEffort: []colocate.BestEffortTask{f}}
+		got := m.Actions(now, w, bound)[0]
+		if (got.Kind == colocate.SetCPULimit && got.CPULimit == 100) != want {
 			t.Errorf("at a slack of %.1f: %+v, want resumed %v", slack, got, want)
 		}
 	}
@@ -185,16 +185,16 @@
 		m.Learn(now, &colocate.Worker{Serving: []colocate.Serving{serving("a", 3.2, 0)}})
 	}
 	slowed := filler("loud", false)
-	slowed.Pace = 0
-	w := &colocate.Worker{Serving: []colocate.Serving{serving("a", 1.1, 0)}, Fillers: []colocate.Filler{slowed}}
-	if got := m.Guard(now, w, bound)[0]; got.Kind != colocate.Leave {
+	slowed.CPULimit = 0
+	w := &colocate.Worker{Serving: []colocate.Serving{serving("a", 1.1, 0)}, BestEffort: []colocate.BestEffortTask{slowed}}
+	if got := m.Actions(now, w, bound)[0]; got.Kind != colocate.NoAction {
 		t.Errorf("action %+v beside a slack of 1.1, want it to stay slowed", got)
 	}
 	w = &colocate.Worker{
-		Serving: []colocate.Serving{serving("a", 0.95, beat/2)},
-		Fillers: []colocate.Filler{filler("loud", false)},
+		Serving:    []colocate.Serving{serving("a", 0.95, beat/2)},
+		BestEffort: []colocate.BestEffortTask{filler("loud", false)},
 	}
-	if got := m.Guard(now, w, bound)[0]; got.Kind != colocate.SetPace || got.Pace != 0 {
+	if got := m.Actions(now, w, bound)[0]; got.Kind != colocate.SetCPULimit || got.CPULimit != 0 {
 		t.Errorf("action %+v for a tail over its target, want it paused", got)
 	}
 }
@@ -208,23 +208,23 @@
 		now = now.Add(beat)
 		m.Learn(now, near)
 	}
-	quiet, loud := m.HarmOf(m.Rooms(now, near), "quiet", 0.1), m.HarmOf(m.Rooms(now, near), "loud", 0.1)
-	if quiet.Short > 0 || loud.Short <= 0 {
-		t.Errorf("short by %.2f for quiet and %.2f for loud, want only loud to be refused", quiet.Short, loud.Short)
+	quiet, loud := m.ImpactOf(m.SlackBudgets(now, near), "quiet", 0.1), m.ImpactOf(m.SlackBudgets(now, near), "loud", 0.1)
+	if quiet.Shortfall > 0 || loud.Shortfall <= 0 {
+		t.Errorf("short by %.2f for quiet and %.2f for loud, want only loud to be refused", quiet.Shortfall, loud.Shortfall)
 	}
 	if quiet.Effect > 0.3 || loud.Effect < 0.7 {
 		t.Errorf("effects %.2f and %.2f, want about 0.05 and 1.0", quiet.Effect, loud.Effect)
 	}
-	if h := m.HarmOf(m.Rooms(now, near), "new", 0.1); h.Short <= 0 {
-		t.Errorf("an unknown filler is short by %.2f beside a task near its target, want it refused", h.Short)
+	if h := m.ImpactOf(m.SlackBudgets(now, near), "new", 0.1); h.Shortfall <= 0 {
+		t.Errorf("an unknown filler is short by %.2f beside a task near its target, want it refused", h.Shortfall)
 	}
 	far := &colocate.Worker{Serving: []colocate.Serving{serving("b", 3.8, 0)}}
 	for range 8 {
 		now = now.Add(beat)
 		m.Learn(now, far)
 	}
-	if h := m.HarmOf(m.Rooms(now, far), "new", 0.1); h.Short > 0 {
-		t.Errorf("an unknown filler is short by %.2f beside a task with slack to spare, want it tried", h.Short)
+	if h := m.ImpactOf(m.SlackBudgets(now, far), "new", 0.1); h.Shortfall > 0 {
+		t.Errorf("an unknown filler is short by %.2f beside a task with slack to spare, want it tried", h.Shortfall)
 	}
 }
 
@@ -247,7 +247,7 @@
 			w := &colocate.Worker{}
 			taken := 0.0
 			if (i/6+worker)%5 != 0 {
-				w.Fillers = []colocate.Filler{filler(image, true)}
+				w.BestEffort = []colocate.BestEffortTask{filler(image, true)}
 				taken = truth[image] * 0.1
 			}
 			w.Serving = []colocate.Serving{serving(step, own-taken, 0)}
@@ -256,7 +256,7 @@
 	}
 	w := &colocate.Worker{Serving: []colocate.Serving{serving("job0", 2.5, 0)}}
 	for _, image := range images {
-		got := m.HarmOf(m.Rooms(now, w), image, 0.1).Effect
+		got := m.ImpactOf(m.SlackBudgets(now, w), image, 0.1).Effect
 		if want := truth[image] * 0.1; !(math.Abs(got-want) <= 0.2) {
 			t.Errorf("%s takes %.2f of the slack, in truth %.2f", image, got, want)
 		}
@@ -272,11 +272,11 @@
 		now = now.Add(gap)
 		slack := 2.5 + math.Sin(float64(i))
 		w := &colocate.Worker{
-			Serving: []colocate.Serving{serving("gaps", slack, 0)},
-			Fillers: []colocate.Filler{filler("loud", true)},
+			Serving:    []colocate.Serving{serving("gaps", slack, 0)},
+			BestEffort: []colocate.BestEffortTask{filler("loud", true)},
 		}
 		m.Learn(now, w)
-		if h := m.HarmOf(m.Rooms(now, w), "quiet", 0.1); math.IsNaN(h.Short) || math.IsNaN(h.Effect) {
+		if h := m.ImpactOf(m.SlackBudgets(now, w), "quiet", 0.1); math.IsNaN(h.Shortfall) || math.IsNaN(h.Effect) {
 			t.Fatalf("after %d reports the estimates are %+v", i+1, h)
 		}
 	}
@@ -287,15 +287,15 @@
 func TestWatch(t *testing.T) {
 	calm := colocate.Worker{Serving: []colocate.Serving{serving("a", 2.6, 0)}}
 	settled, fresh, long := calm, calm, calm
-	settled.Fillers = []colocate.Filler{filler("quiet", true)}
-	fresh.Fillers = []colocate.Filler{{Image: "quiet", Part: 0.1, Pace: 100}}
+	settled.BestEffort = []colocate.BestEffortTask{filler("quiet", true)}
+	fresh.BestEffort = []colocate.BestEffortTask{{Image: "quiet", CPUShare: 0.1, CPULimit: 100}}
 	long.Serving = []colocate.Serving{serving("a", 1.1, 0)}
-	long.Fillers = settled.Fillers
+	long.BestEffort = settled.BestEffort
 	for name, c := range map[string]struct {
 		w    colocate.Worker
 		want bool
 	}{"no fillers": {calm, false}, "settled": {settled, false}, "new": {fresh, true}, "long tail": {long, true}} {
-		if got := c.w.Watch(); got != c.want {
+		if got := c.w.NeedsFrequentPolls(); got != c.want {
 			t.Errorf("%s: watched %v, want %v", name, got, c.want)
 		}
 	}
@@ -315,9 +315,9 @@
 		w := &colocate.Worker{Serving: []colocate.Serving{own}}
 		for i := range 60 {
 			now = now.Add(beat)
-			w.Fillers, w.Serving[0].Tail = nil, tailOf(2.6)
+			w.BestEffort, w.Serving[0].Tail = nil, tailOf(2.6)
 			if i%8 >= 4 {
-				w.Fillers, w.Serving[0].Tail = []colocate.Filler{filler("loud", true)}, tailOf(1.6)
+				w.BestEffort, w.Serving[0].Tail = []colocate.BestEffortTask{filler("loud", true)}, tailOf(1.6)
 			}
 			m.Learn(now, w)
 		}
@@ -325,7 +325,7 @@
 			t.Fatalf("release %d: the effect is learned as %.1f, in truth 10", release, got)
 		}
 	}
-	if got := len(m.Lessons()); got > 2 {
+	if got := len(m.Export()); got > 2 {
 		t.Errorf("%d classes are kept, want only those seen lately", got)
 	}
 }
--- a/colocate/harm.go
+++ b/colocate/harm.go
@@ -24,10 +24,10 @@
 const noRoom = -10.0
 
 // Harm is what adding a task is expected to do to those who serve.
-type Harm struct {
+type Impact struct {
 	// Short is by how much the slack of the task that is worst off would be
 	// below 1 and Margin, uncertainty counted in; 0 if it would not.
-	Short float64
+	Shortfall float64
 	// Effect is the most that is taken from any task's slack.
 	Effect float64
 }
@@ -35,7 +35,7 @@
 // Room is how much slack a step's tasks on a worker are expected to have left
 // beside its fillers, all of them as busy as they can be, since they turn so
 // within a second.
-type Room struct {
+type SlackBudget struct {
 	Class           string
 	Slack, Variance float64
 	// pairs are the effects on the class.
@@ -46,8 +46,8 @@
 // all placements of a planning cycle, which weighs hundreds of them. Beside a
 // tail over its target there is none, whatever the model expects: it has just
 // proved wrong, and one filler after the other kept a tail over for 4 s.
-func (m *Model) Rooms(now time.Time, w *Worker) []Room {
-	rooms := make([]Room, 0, len(w.Serving))
+func (m *Model) SlackBudgets(now time.Time, w *Worker) []SlackBudget {
+	rooms := make([]SlackBudget, 0, len(w.Serving))
 	closed := w.overFor() > 0 && !m.without.Has(mechanism.TailStop)
 	for i := range w.Serving {
 		s := &w.Serving[i]
@@ -59,22 +59,22 @@
 			slack = noRoom
 		}
 		taken, variance := m.takenWhenBusy(s.Class, w)
-		rooms = append(rooms, Room{
+		rooms = append(rooms, SlackBudget{
 			Class: s.Class, Slack: slack - taken, Variance: deviation*deviation + variance, pairs: m.classPairs(s.Class),
 		})
 	}
 	return rooms
 }
 
-// HarmOf returns what a filler of the image that asks for part of the worker's
+// ImpactOf returns what a filler of the image that asks for part of the worker's
 // processors would do to those who serve there.
-func (m *Model) HarmOf(rooms []Room, image string, part float64) Harm {
-	var h Harm
+func (m *Model) ImpactOf(rooms []SlackBudget, image string, part float64) Impact {
+	var h Impact
 	for i := range rooms {
 		r := &rooms[i]
 		e := m.pair(r.pairs, r.Class, image)
 		mean, d := e.mean*part, e.deviation*part
-		h.Short = max(h.Short, 1+Margin+math.Sqrt(r.Variance+d*d)-(r.Slack-mean))
+		h.Shortfall = max(h.Shortfall, 1+Margin+math.Sqrt(r.Variance+d*d)-(r.Slack-mean))
 		h.Effect = max(h.Effect, mean)
 	}
 	return h
@@ -91,9 +91,9 @@
 // takenWhenBusy returns what the fillers take from a class's slack if all are
 // as busy as they can be at their pace.
 func (m *Model) takenWhenBusy(class string, w *Worker) (mean, variance float64) {
-	for i := range w.Fillers {
-		f := &w.Fillers[i]
-		e, d := m.effect(class, f.Image, f.Part*float64(f.Pace)/100)
+	for i := range w.BestEffort {
+		f := &w.BestEffort[i]
+		e, d := m.effect(class, f.Image, f.CPUShare*float64(f.CPULimit)/100)
 		mean += e
 		variance += d * d
 	}
--- a/colocate/harm_test.go
+++ b/colocate/harm_test.go
@@ -20,7 +20,7 @@
 		now := start.Add(time.Duration(i) * beat)
 		own := 3 - 1.65*math.Sin(2*math.Pi*now.Sub(start).Seconds()/20)
 		beside := colocate.Worker{
-			Serving: []colocate.Serving{serving("a", own-0.15, 0)}, Fillers: []colocate.Filler{filler("quiet", true)},
+			Serving: []colocate.Serving{serving("a", own-0.15, 0)}, BestEffort: []colocate.BestEffortTask{filler("quiet", true)},
 		}
 		m.Learn(now, &beside)
 		alone := colocate.Worker{Serving: []colocate.Serving{serving("a", own, 0)}}
@@ -29,7 +29,7 @@
 			continue // it learns in the first two swings
 		}
 		asked++
-		if m.HarmOf(m.Rooms(now, &alone), "quiet", 0.1).Short <= 0 {
+		if m.ImpactOf(m.SlackBudgets(now, &alone), "quiet", 0.1).Shortfall <= 0 {
 			fitted++
 		}
 	}
@@ -54,7 +54,7 @@
 			now = start.Add(time.Duration(i) * beat)
 			m.Learn(now, &w)
 		}
-		if fits := m.HarmOf(m.Rooms(now, &w), "new", 0.1).Short <= 0; fits != c.fits {
+		if fits := m.ImpactOf(m.SlackBudgets(now, &w), "new", 0.1).Shortfall <= 0; fits != c.fits {
 			t.Errorf("beside a slack of %.1f an unknown filler fits: %v, want %v", c.slack, fits, c.fits)
 		}
 	}
@@ -66,11 +66,11 @@
 func TestNothingJoinsATailOverTarget(t *testing.T) {
 	m, now := learned()
 	w := colocate.Worker{Serving: []colocate.Serving{serving("a", 0.9, beat)}}
-	if m.HarmOf(m.Rooms(now, &w), "quiet", 0.1).Short <= 0 {
+	if m.ImpactOf(m.SlackBudgets(now, &w), "quiet", 0.1).Shortfall <= 0 {
 		t.Error("a filler fits beside a tail over its target")
 	}
-	w.Serving[0].OverFor = 0
-	if m.HarmOf(m.Rooms(now, &w), "quiet", 0.1).Short > 0 {
+	w.Serving[0].OverTargetFor = 0
+	if m.ImpactOf(m.SlackBudgets(now, &w), "quiet", 0.1).Shortfall > 0 {
 		t.Error("a quiet filler doesn't fit beside a task with slack")
 	}
 }
--- a/colocate/learn.go
+++ b/colocate/learn.go
@@ -100,8 +100,8 @@
 // taken returns what the worker's fillers take from a class's slack, as the
 // last report shows it, and the variance of the estimate.
 func (m *Model) taken(class string, w *Worker) (mean, variance float64) {
-	for i := range w.Fillers {
-		if f := &w.Fillers[i]; f.Settled {
+	for i := range w.BestEffort {
+		if f := &w.BestEffort[i]; f.Settled {
 			e, d := m.effect(class, f.Image, f.press())
 			mean += e
 			variance += d * d
@@ -114,18 +114,18 @@
 // passing is taken for the fillers that are not, or no longer, at work for the
 // whole window of a report: about half of their effect shows.
 func (m *Model) passing(class string, w *Worker) (mean, variance float64) {
-	add := func(f *Filler) {
-		e, d := m.effect(class, f.Image, f.Part)
+	add := func(f *BestEffortTask) {
+		e, d := m.effect(class, f.Image, f.CPUShare)
 		mean += e / 2
 		variance += (d + e/2) * (d + e/2)
 	}
-	for i := range w.Fillers {
-		if !w.Fillers[i].Settled {
-			add(&w.Fillers[i])
+	for i := range w.BestEffort {
+		if !w.BestEffort[i].Settled {
+			add(&w.BestEffort[i])
 		}
 	}
-	for i := range w.Leaving {
-		add(&w.Leaving[i])
+	for i := range w.RecentlyEnded {
+		add(&w.RecentlyEnded[i])
 	}
 	return mean, variance
 }
--- a/colocate/low.go
+++ b/colocate/low.go
@@ -24,7 +24,7 @@
 )
 
 // observe takes in the level of a step.
-func (l *low) observe(s *Swing) {
+func (l *low) observe(s *SlackTrend) {
 	l.at = s.at
 	if s.levelVar > lowVariance {
 		return
--- a/colocate/model.go
+++ b/colocate/model.go
@@ -16,7 +16,7 @@
 	pairs   map[string]map[string]pairEffect
 	// classes are the classes that effects knows, as its objectives.
 	classes map[string]float64
-	swings  map[workload.StepID]*Swing
+	swings  map[workload.StepID]*SlackTrend
 	lows    map[string]*low
 	// without names what the policy leaves out, for experiments.
 	without mechanism.Set
@@ -60,24 +60,24 @@
 	return &Model{
 		without: without,
 		effects: interference.NewModelWith(classes, 0, interference.Priors{
-			Any:   interference.Prior{Mean: anyEffect, Variance: anyVariance},
-			Class: interference.Prior{Variance: classVariance},
-			Drift: effectDrift,
+			AnyBatch:   interference.Prior{Mean: anyEffect, Variance: anyVariance},
+			BatchClass: interference.Prior{Variance: classVariance},
+			Drift:      effectDrift,
 		}),
 		classes: classes,
 		pairs:   map[string]map[string]pairEffect{},
-		swings:  map[workload.StepID]*Swing{},
+		swings:  map[workload.StepID]*SlackTrend{},
 		lows:    map[string]*low{},
 	}
 }
 
 // Lessons returns what is known of pairs, to be recalled by a later model. How
 // steps swing is left out: it is learned again within a second.
-func (m *Model) Lessons() []interference.Lesson { return m.effects.Lessons() }
+func (m *Model) Export() []interference.ClassEstimate { return m.effects.Export() }
 
 // Recall takes in what another model has learned.
-func (m *Model) Recall(lessons []interference.Lesson) {
-	m.effects.Recall(lessons)
+func (m *Model) Import(lessons []interference.ClassEstimate) {
+	m.effects.Import(lessons)
 	clear(m.pairs)
 }
 
@@ -92,10 +92,10 @@
 }
 
 // swing returns the step's swing and begins one if need be.
-func (m *Model) swing(now time.Time, step workload.StepID) *Swing {
+func (m *Model) swing(now time.Time, step workload.StepID) *SlackTrend {
 	s := m.swings[step]
 	if s == nil {
-		s = &Swing{}
+		s = &SlackTrend{}
 		if len(m.swings) < maxSwings {
 			m.swings[step] = s
 		}
--- a/colocate/pairs.go
+++ b/colocate/pairs.go
@@ -24,7 +24,7 @@
 func (m *Model) pair(images map[string]pairEffect, class, image string) pairEffect {
 	e, known := images[image]
 	if !known {
-		e.mean, e.deviation = m.effects.Blame(class, image, 1)
+		e.mean, e.deviation = m.effects.Effect(class, image, 1)
 		if e.deviation == 0 { // more classes than the model holds
 			e.mean, e.deviation = anyEffect, math.Sqrt(anyVariance+classVariance)
 		}
@@ -54,7 +54,7 @@
 
 // Loudest returns the most that a filler of the image is estimated to take
 // from any class's slack if it had all processors of a worker.
-func (m *Model) Loudest(image string) float64 {
+func (m *Model) MaxEffect(image string) float64 {
 	loudest := 0.0
 	for class := range m.classes {
 		loudest = max(loudest, m.Effect(class, image))
--- a/colocate/slow_test.go
+++ b/colocate/slow_test.go
@@ -20,7 +20,7 @@
 				slack /= 4
 			}
 			m.Learn(now, &colocate.Worker{
-				Serving: []colocate.Serving{serving("a", slack, 0)}, Fillers: []colocate.Filler{filler("quiet", true)},
+				Serving: []colocate.Serving{serving("a", slack, 0)}, BestEffort: []colocate.BestEffortTask{filler("quiet", true)},
 			})
 		}
 	}
@@ -41,7 +41,7 @@
 			w := colocate.Worker{Serving: []colocate.Serving{serving("a", 2.6, 0)}}
 			if worker == 0 {
 				w.Serving[0] = serving("a", 1.3, 0)
-				w.Fillers = []colocate.Filler{filler("new", true)}
+				w.BestEffort = []colocate.BestEffortTask{filler("new", true)}
 			}
 			m.Learn(now, &w)
 		}
--- a/colocate/swing.go
+++ b/colocate/swing.go
@@ -8,7 +8,7 @@
 // Swing follows the slack that the tasks of a step would have by themselves.
 // It rises and falls with their users, and all tasks of the step share it. It
 // is a Kalman filter over the level and its slope.
-type Swing struct {
+type SlackTrend struct {
 	level, slope float64
 	// variance of the level, of the slope, and of both together.
 	levelVar, slopeVar, cross float64
@@ -33,7 +33,7 @@
 )
 
 // advance moves the estimate to now.
-func (s *Swing) advance(now time.Time) {
+func (s *SlackTrend) advance(now time.Time) {
 	if s.at.IsZero() {
 		s.level, s.levelVar, s.slopeVar = firstLevel, firstLevelVar, firstSlopeVar
 		s.at = now
@@ -57,7 +57,7 @@
 
 // bound keeps the variances within what is assumed before any report, and the
 // covariance within what they allow.
-func (s *Swing) bound() {
+func (s *SlackTrend) bound() {
 	s.levelVar = min(max(s.levelVar, leastVar), firstLevelVar)
 	s.slopeVar = min(max(s.slopeVar, leastVar), firstSlopeVar)
 	most := math.Sqrt(s.levelVar * s.slopeVar)
@@ -65,7 +65,7 @@
 }
 
 // observe takes in one reading of the level.
-func (s *Swing) observe(now time.Time, level, variance float64) {
+func (s *SlackTrend) observe(now time.Time, level, variance float64) {
 	s.advance(now)
 	total := s.levelVar + variance
 	residual := level - s.level
@@ -85,7 +85,7 @@
 
 // ahead returns the least level to expect within the horizon, not below low,
 // and the deviation of the estimate.
-func (s *Swing) ahead(now time.Time, horizon time.Duration, low float64) (level, deviation float64) {
+func (s *SlackTrend) ahead(now time.Time, horizon time.Duration, low float64) (level, deviation float64) {
 	if s == nil || s.at.IsZero() {
 		return low, math.Sqrt(firstLevelVar)
 	}
@@ -97,7 +97,7 @@
 
 // fall returns by how much the level is expected to fall within the horizon:
 // along its slope, but not below low, where it turns.
-func (s *Swing) fall(horizon time.Duration, low float64) float64 {
+func (s *SlackTrend) fall(horizon time.Duration, low float64) float64 {
 	if s == nil || s.slope >= 0 {
 		return 0
 	}
--- a/colocate/worker.go
+++ b/colocate/worker.go
@@ -12,7 +12,7 @@
 	Serving []Serving
 	// Fillers are at work, Leaving have ended so lately that the tails may
 	// still show them.
-	Fillers, Leaving []Filler
+	BestEffort, RecentlyEnded []BestEffortTask
 }
 
 // Serving is a task that serves users.
@@ -26,8 +26,8 @@
 	// Tail is the tail of its response times over the last half second, 0
 	// while it doesn't serve yet.
 	Tail time.Duration
-	// OverFor is how long its tail has been over the target.
-	OverFor time.Duration
+	// OverTargetFor is how long its tail has been over the target.
+	OverTargetFor time.Duration
 }
 
 // Slack is the target over the tail; below 1 the tail is too long. 0 while the
@@ -40,19 +40,19 @@
 }
 
 // Filler is a task that fills what others leave.
-type Filler struct {
+type BestEffortTask struct {
 	Image string
 	// Part is the share of the worker's processors that it asks for, 0 to 1.
-	Part float64
+	CPUShare float64
 	// Use is how much it used over the last half second of what it asks for,
 	// at its pace.
-	Use float64
+	Utilization float64
 	// Pace is the share of its speed that it is allowed, in percent.
-	Pace int
+	CPULimit int
 	// Saves is set if it can resume elsewhere from a checkpoint.
-	Saves bool
+	Resumable bool
 	// Percent is how far it has come.
-	Percent int
+	ProgressPercent int
 	// Settled is set once a report covers a whole window of it at its pace.
 	Settled bool
 }
@@ -61,20 +61,20 @@
 // now: what it asks for, weighed by the cube of how busy it is. One that uses
 // 0.67 of its processors disturbs a third as much as one that uses all, by
 // regression over 9,000 readings of tails.
-func (f *Filler) press() float64 {
-	allowed := f.Part * float64(f.Pace) / 100
+func (f *BestEffortTask) press() float64 {
+	allowed := f.CPUShare * float64(f.CPULimit) / 100
 	if !f.Settled {
 		return allowed
 	}
-	u := min(f.Use, 1)
+	u := min(f.Utilization, 1)
 	return allowed * u * u * u
 }
 
 // load returns the settled fillers as the interference model sees them.
 func (w *Worker) load() interference.Load {
 	var l interference.Load
-	for i := range w.Fillers {
-		if f := &w.Fillers[i]; f.Settled {
+	for i := range w.BestEffort {
+		if f := &w.BestEffort[i]; f.Settled {
 			l.Batch = addShare(l.Batch, f.Image, f.press())
 		}
 	}
@@ -85,17 +85,17 @@
 func addShare(batch []interference.Share, class string, part float64) []interference.Share {
 	for i := range batch {
 		if batch[i].Class == class {
-			batch[i].Part += part
+			batch[i].CPUShare += part
 			return batch
 		}
 	}
-	return append(batch, interference.Share{Class: class, Part: part})
+	return append(batch, interference.Share{Class: class, CPUShare: part})
 }
 
 // Unsettled reports whether a filler's effect isn't in the tails yet.
 func (w *Worker) Unsettled() bool {
-	for i := range w.Fillers {
-		if !w.Fillers[i].Settled {
+	for i := range w.BestEffort {
+		if !w.BestEffort[i].Settled {
 			return true
 		}
 	}
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -49,7 +49,7 @@
 			return 0, true
 		}
 		h := v.harmOf(c, st)
-		return h.Effect, h.Short <= 0
+		return h.Effect, h.Shortfall <= 0
 	case st.class != "":
 		return c.s.model.EffectOn(c.view(w).colocation(c), st.class), true
 	default:
@@ -60,8 +60,8 @@
 // rankTask describes a step's tasks to the ranking.
 func (c *cycle) rankTask(st *step) rank.Task {
 	return rank.Task{
-		Needs: st.spec.Needs, Serving: st.spec.Serving(), Filler: st.spec.BestEffort, Spread: st.spec.LongRunning,
-		Quiet: c.wanted.quiet[st.spec.Image], AnyClass: c.s.cfg.Without.Has(mechanism.Classes),
+		Request: st.spec.Needs, Serving: st.spec.Serving(), BestEffort: st.spec.BestEffort, Spread: st.spec.LongRunning,
+		LowImpact: c.wanted.quiet[st.spec.Image], IgnoreClasses: c.s.cfg.Without.Has(mechanism.Classes),
 	}
 }
 
@@ -76,7 +76,7 @@
 		return 0, false
 	}
 	candidate := c.candidate(st, w)
-	candidate.Harm, candidate.FailedBefore = harm, failed
+	candidate.Impact, candidate.FailedBefore = harm, failed
 	return rank.Cost(rt, &candidate), true
 }
 
@@ -119,16 +119,16 @@
 		siblings = st.onWorker(w)
 	}
 	return rank.Worker{
-		Free:      w.free,
-		Capacity:  w.info.Capacity,
-		UnusedCPU: v.unused,
-		Serving:   v.serving,
-		Fillers:   v.fillers,
-		Strangers: v.serving - v.byClass[st.class],
-		Wanted:    v.wanted,
-		Siblings:  siblings,
-		DataNear:  w.info.HasLabel(st.spec.DataRack),
-		Suspect:   w.health.suspect(c.now) && !c.s.cfg.Without.Has(mechanism.Suspects),
+		Free:           w.free,
+		Capacity:       w.info.Capacity,
+		UnusedMilliCPU: v.unused,
+		Serving:        v.serving,
+		BestEffort:     v.fillers,
+		OtherClasses:   v.serving - v.byClass[st.class],
+		Demand:         v.wanted,
+		SameStep:       siblings,
+		DataLocal:      w.info.HasLabel(st.spec.DataRack),
+		Suspect:        w.health.suspect(c.now) && !c.s.cfg.Without.Has(mechanism.Suspects),
 	}
 }
 
--- a/dispatch/evict.go
+++ b/dispatch/evict.go
@@ -69,7 +69,7 @@
 			r.task.step.job.queue.Priority <= st.job.queue.Priority {
 			continue
 		}
-		all = append(all, preempt.Victim{ID: i, Reserved: r.reserved, Loss: r.unsaved(c.now)})
+		all = append(all, preempt.Victim{ID: i, Reserved: r.reserved, LostWork: r.unsaved(c.now)})
 	}
 	return all
 }
--- a/dispatch/flushroster.go
+++ b/dispatch/flushroster.go
@@ -57,7 +57,7 @@
 
 // flushLessons writes what is known of pairs of images.
 func (s *State) flushLessons(now time.Time, b *Batch) error {
-	value, err := msgpack.Marshal(s.model.Lessons())
+	value, err := msgpack.Marshal(s.model.Export())
 	if err != nil {
 		return errors.Wrap(err, "encode lessons")
 	}
@@ -71,10 +71,10 @@
 	if s.cfg.Without.Has(mechanism.Lessons) {
 		return nil
 	}
-	var lessons []interference.Lesson
+	var lessons []interference.ClassEstimate
 	if err := msgpack.Unmarshal(value, &lessons); err != nil {
 		return errors.Wrap(err, "decode lessons")
 	}
-	s.model.Recall(lessons)
+	s.model.Import(lessons)
 	return nil
 }
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -30,7 +30,7 @@
 	Job, Queue string
 	State      workload.State
 	// Hope is what it reached: on time, late, or past its use.
-	Hope queue.Hope
+	Hope queue.Timeliness
 	// Age is the time since it was due, Objective when it should have ended.
 	Age, Objective time.Duration
 	// CoreMS is its work by the caller's estimates, in core-milliseconds.
@@ -53,7 +53,7 @@
 			continue // never ends by itself
 		}
 		j.book(now, min(passed, now.Sub(j.accepted)), causes)
-		if !j.toldLost && queue.HopeOf(&queue.Entry{LatestStart: j.dueBy(), LastUse: j.useLimit()}, now) == queue.Lost {
+		if !j.toldLost && queue.TimelinessOf(&queue.Entry{LatestStart: j.dueBy(), LatestUsefulStart: j.useLimit()}, now) == queue.Expired {
 			j.toldLost = true
 			s.tellOver(now, j)
 		}
@@ -111,7 +111,7 @@
 	o := j.occurrences[len(j.occurrences)-1]
 	told := JobEnd{
 		Job: j.spec.ID, Queue: j.queue.Name, State: j.state, Age: now.Sub(o.due), Objective: j.dueBy().Sub(o.due),
-		Hope:   queue.HopeOf(&queue.Entry{LatestStart: j.dueBy(), LastUse: j.useLimit()}, now),
+		Hope:   queue.TimelinessOf(&queue.Entry{LatestStart: j.dueBy(), LatestUsefulStart: j.useLimit()}, now),
 		Ledger: j.ledger,
 	}
 	for i := range j.spec.Steps {
--- a/dispatch/ledger_test.go
+++ b/dispatch/ledger_test.go
@@ -52,7 +52,7 @@
 	}
 	r.state.Cancel(r.now, "too large")
 	over := r.state.EndedJobs()
-	if len(over) != 1 || over[0].Hope != queue.Lost {
+	if len(over) != 1 || over[0].Hope != queue.Expired {
 		t.Fatalf("told of %+v, want once, as lost", over)
 	}
 	if waited := over[0].Ledger.Waited[dispatch.NoProcessors]; waited < 4*time.Second || waited > 6*time.Second {
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -39,17 +39,17 @@
 				s.Tail = time.Duration(r.usage) * time.Millisecond
 			}
 			if !r.tailOver.IsZero() {
-				s.OverFor = now.Sub(r.tailOver)
+				s.OverTargetFor = now.Sub(r.tailOver)
 			}
 			c.Serving = append(c.Serving, s)
 		case st.spec.BestEffort && r.phase != stopping:
-			c.Fillers = append(c.Fillers, r.filler(now))
+			c.BestEffort = append(c.BestEffort, r.filler(now))
 			fillers = append(fillers, r)
 		}
 	}
 	for i := range w.leaving {
 		if l := &w.leaving[i]; now.Sub(l.at) < effectShows {
-			c.Leaving = append(c.Leaving, l.filler)
+			c.RecentlyEnded = append(c.RecentlyEnded, l.filler)
 		}
 	}
 	return c, fillers
@@ -57,7 +57,7 @@
 
 // leaver is a filler that has ended, and when.
 type leaver struct {
-	filler colocate.Filler
+	filler colocate.BestEffortTask
 	at     time.Time
 }
 
@@ -68,16 +68,16 @@
 }
 
 // filler describes a filling run.
-func (r *run) filler(now time.Time) colocate.Filler {
+func (r *run) filler(now time.Time) colocate.BestEffortTask {
 	spec := r.task.step.spec
 	pace := r.pace
 	if r.paceOpen {
 		pace = fullPace // it may not have slowed
 	}
 	allowed := max(spec.Needs.MilliCPU*int64(pace)/100, 1)
-	return colocate.Filler{
-		Image: spec.Image, Part: float64(spec.Needs.MilliCPU) / float64(max(r.worker.info.Capacity.MilliCPU, 1)),
-		Use: float64(r.usage) / float64(allowed), Pace: pace, Saves: spec.Checkpointing, Percent: r.percent, Settled: r.settled(now),
+	return colocate.BestEffortTask{
+		Image: spec.Image, CPUShare: float64(spec.Needs.MilliCPU) / float64(max(r.worker.info.Capacity.MilliCPU, 1)),
+		Utilization: float64(r.usage) / float64(allowed), CPULimit: pace, Resumable: spec.Checkpointing, ProgressPercent: r.percent, Settled: r.settled(now),
 	}
 }
 
@@ -141,23 +141,23 @@
 			continue
 		}
 		orders = w.paceAgain(now, orders)
-		if now.Sub(w.guardedAt) < colocate.Patience || !w.guardable() {
+		if now.Sub(w.guardedAt) < colocate.ActionCooldown || !w.guardable() {
 			continue
 		}
 		w.reportedTails = false
 		c, runs := w.colocation(now)
-		for i, action := range s.model.Guard(now, c, s.cfg.TailBound) {
+		for i, action := range s.model.Actions(now, c, s.cfg.TailBound) {
 			r := runs[i]
-			if action.Kind == colocate.Leave || r.phase != running {
+			if action.Kind == colocate.NoAction || r.phase != running {
 				continue
 			}
 			w.guardedAt = now
-			if action.Kind == colocate.Move {
+			if action.Kind == colocate.Migrate {
 				s.Stats.FillersMoved++
 				s.stop(now, r, TailTooLong)
 				continue
 			}
-			r.setPace(action.Pace)
+			r.setPace(action.CPULimit)
 			s.changed(w)
 			orders = append(orders, r.paceOrder(now))
 		}
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -78,14 +78,14 @@
 	j, o := st.job, st.occurrence
 	rest := j.path[st.index]
 	return queue.Entry{
-		Priority: j.queue.Priority,
-		Restart:  st.spec.LongRunning && st.began(),
-		Lasting:  st.spec.LongRunning && !st.began() && !s.cfg.Without.Has(mechanism.BoundedFirst), MaxPerWorker: st.spec.MaxPerWorker,
-		LatestStart: j.objective(o).Add(-rest),
-		LastUse:     j.lateLimit(o).Add(-rest),
-		Arrived:     o.due,
-		Work:        int64(st.undone) * st.spec.Needs.MilliCPU * st.spec.Estimate.Milliseconds() / 1000,
-		ID:          j.spec.ID,
+		Priority:    j.queue.Priority,
+		Restart:     st.spec.LongRunning && st.began(),
+		LongRunning: st.spec.LongRunning && !st.began() && !s.cfg.Without.Has(mechanism.BoundedFirst), MaxPerWorker: st.spec.MaxPerWorker,
+		LatestStart:       j.objective(o).Add(-rest),
+		LatestUsefulStart: j.lateLimit(o).Add(-rest),
+		Arrived:           o.due,
+		RemainingWork:     int64(st.undone) * st.spec.Needs.MilliCPU * st.spec.Estimate.Milliseconds() / 1000,
+		ID:                j.spec.ID,
 	}
 }
 
--- a/dispatch/renewal.go
+++ b/dispatch/renewal.go
@@ -40,7 +40,7 @@
 	}
 	if w.reported && w.unheardSince.IsZero() && w.token == w.tokenSeen && w.seen == w.acknowledged {
 		o.WaitMS = longPoll.Milliseconds()
-		if load, _ := w.colocation(now); load.Watch() {
+		if load, _ := w.colocation(now); load.NeedsFrequentPolls() {
 			o.WaitMS = tailWindow.Milliseconds()
 		}
 	}
@@ -69,7 +69,7 @@
 			continue
 		}
 		w.watchedAt = now
-		if load, _ := w.colocation(now); load.Watch() {
+		if load, _ := w.colocation(now); load.NeedsFrequentPolls() {
 			w.peekedAt = now
 			ids = append(ids, id)
 		}
--- a/dispatch/room.go
+++ b/dispatch/room.go
@@ -47,7 +47,7 @@
 			c.s.headroom[name] = t
 		}
 		t.Observe(c.now, p.short, want[name])
-		p.keep = t.Keep(p.short)
+		p.keep = t.Headroom(p.short)
 	}
 }
 
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -23,7 +23,7 @@
 	inTime infra.Resources
 	load   *colocate.Worker
 	// rooms is what fillers leave to those who serve there.
-	rooms []colocate.Room
+	rooms []colocate.SlackBudget
 	// wanted is the share of the fillers' work that not all workers suit and
 	// that this one does.
 	wanted float64
@@ -95,10 +95,10 @@
 }
 
 // harmOf returns what one more filler of the step would do.
-func (v *view) harmOf(c *cycle, st *step) colocate.Harm {
+func (v *view) harmOf(c *cycle, st *step) colocate.Impact {
 	if v.rooms == nil {
-		v.rooms = c.s.model.Rooms(c.now, v.colocation(c))
+		v.rooms = c.s.model.SlackBudgets(c.now, v.colocation(c))
 	}
 	part := float64(st.spec.Needs.MilliCPU) / float64(max(v.w.info.Capacity.MilliCPU, 1))
-	return c.s.model.HarmOf(v.rooms, st.spec.Image, part)
+	return c.s.model.ImpactOf(v.rooms, st.spec.Image, part)
 }
--- a/dispatch/wanted.go
+++ b/dispatch/wanted.go
@@ -49,7 +49,7 @@
 	image := st.spec.Image
 	quiet, known := w.quiet[image]
 	if !known {
-		quiet = s.model.Loudest(image) < quietEffect
+		quiet = s.model.MaxEffect(image) < quietEffect
 		w.quiet[image] = quiet
 	}
 	if !quiet {
--- a/estimate/book.go
+++ b/estimate/book.go
@@ -25,28 +25,28 @@
 )
 
 // Book holds the estimates of every class. It is not safe for concurrent use.
-type Book struct {
+type Estimator struct {
 	classes map[string]*class
 	clock   uint64
 }
 
-// NewBook returns a Book that trusts what is declared.
-func NewBook() *Book {
-	return &Book{classes: map[string]*class{}}
+// NewEstimator returns a Book that trusts what is declared.
+func NewEstimator() *Estimator {
+	return &Estimator{classes: map[string]*class{}}
 }
 
 // Size is what to reserve for a job: processors by a learned high quantile,
 // weighed against the declared value by the number of runs seen; memory by
 // the larger of declared and learned, and at least the job's own floor.
 // Latency-critical work reserves at least the processors that it declares.
-func (b *Book) Size(s task.Spec) infra.Resources {
+func (b *Estimator) Size(s task.Spec) infra.Resources {
 	size := b.classSize(s)
 	size.MemoryMB = max(size.MemoryMB, s.Floor.MemoryMB)
 	return size
 }
 
 // classSize is the size by what is known of the job's class.
-func (b *Book) classSize(s task.Spec) infra.Resources {
+func (b *Estimator) classSize(s task.Spec) infra.Resources {
 	size := s.Resources
 	c, known := b.classes[s.Class]
 	if !known {
@@ -64,7 +64,7 @@
 }
 
 // RunMS is the run time to plan with, in milliseconds; 0 for a standing job.
-func (b *Book) RunMS(s task.Spec) int64 {
+func (b *Estimator) RunMS(s task.Spec) int64 {
 	c, known := b.classes[s.Class]
 	if !known {
 		return s.RunMS
@@ -73,7 +73,7 @@
 }
 
 // LearnSize takes in the peak of what one run used.
-func (b *Book) LearnSize(s task.Spec, peak infra.Resources) {
+func (b *Estimator) LearnSize(s task.Spec, peak infra.Resources) {
 	c := b.class(s.Class)
 	if s.Resources.MilliCPU > 0 && peak.MilliCPU > 0 {
 		c.cpu.record(peak.MilliCPU * permille / s.Resources.MilliCPU)
@@ -84,7 +84,7 @@
 }
 
 // LearnRun takes in the run time of a run that ended well, in milliseconds.
-func (b *Book) LearnRun(s task.Spec, actualMS int64) {
+func (b *Estimator) LearnRun(s task.Spec, actualMS int64) {
 	c := b.class(s.Class)
 	c.memoryFloor = c.memoryFloor * floorDecay / permille
 	if s.RunMS > 0 && actualMS > 0 {
@@ -94,7 +94,7 @@
 
 // Killed raises the class's memory at once, after a run was killed for
 // exceeding reserved.
-func (b *Book) Killed(s task.Spec, reserved infra.Resources) {
+func (b *Estimator) RecordOOMKill(s task.Spec, reserved infra.Resources) {
 	if s.Resources.MemoryMB <= 0 {
 		return
 	}
@@ -103,7 +103,7 @@
 	c.memoryFloor = min(max(c.memoryFloor, raised), maxRatio)
 }
 
-func (b *Book) class(name string) *class {
+func (b *Estimator) class(name string) *class {
 	b.clock++
 	c, known := b.classes[name]
 	if !known {
@@ -115,7 +115,7 @@
 	return c
 }
 
-func (b *Book) makeRoom() {
+func (b *Estimator) makeRoom() {
 	if len(b.classes) < maxClasses {
 		return
 	}
--- a/estimate/book_test.go
+++ b/estimate/book_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b, s := NewBook(), spec(tt.qos)
+			b, s := NewEstimator(), spec(tt.qos)
 			for range 100 {
 				b.LearnSize(s, infra.Resources{
 					MilliCPU: int64(tt.ratio * 4000),
@@ -48,7 +48,7 @@
 }
 
 func TestFewSamplesLeanOnDeclared(t *testing.T) {
-	b, s := NewBook(), spec(task.Batch)
+	b, s := NewEstimator(), spec(task.Batch)
 	if b.Size(s) != s.Resources || b.RunMS(s) != s.RunMS {
 		t.Error("a class never seen is not taken as declared")
 	}
@@ -59,13 +59,13 @@
 }
 
 func TestKillRaisesAtOnceAndFades(t *testing.T) {
-	b, s := NewBook(), spec(task.Batch)
-	b.Killed(s, s.Resources)
+	b, s := NewEstimator(), spec(task.Batch)
+	b.RecordOOMKill(s, s.Resources)
 	if got := b.Size(s).MemoryMB; got < 12_000 {
 		t.Fatalf("%d MB after a kill at 8000", got)
 	}
 	reserved := b.Size(s)
-	b.Killed(s, reserved)
+	b.RecordOOMKill(s, reserved)
 	if got := b.Size(s).MemoryMB; got < 18_000 {
 		t.Fatalf("%d MB after a second kill at %d", got, reserved.MemoryMB)
 	}
@@ -79,7 +79,7 @@
 }
 
 func TestOldSamplesAreDropped(t *testing.T) {
-	b, s := NewBook(), spec(task.Batch)
+	b, s := NewEstimator(), spec(task.Batch)
 	for _, used := range []int64{16_000, 1000} {
 		for range 2 * windowSamples {
 			b.LearnSize(s, infra.Resources{MilliCPU: used})
@@ -91,7 +91,7 @@
 }
 
 func TestClassesAreBounded(t *testing.T) {
-	b := NewBook()
+	b := NewEstimator()
 	for i := range 2 * maxClasses {
 		s := spec(task.Batch)
 		s.Class = fmt.Sprint(i)
--- a/eviction/decision.go
+++ b/eviction/decision.go
@@ -8,14 +8,14 @@
 	// Throttle the task to Percent of its processors.
 	Throttle Kind = iota + 1
 	// Lift the throttle of the task.
-	Lift
+	Unthrottle
 	// Evict the task.
 	Evict
 )
 
 // Decision is one step of relief.
 type Decision struct {
-	Kind    Kind
-	Job     string
-	Percent int
+	Kind     Kind
+	Job      string
+	CPULimit int
 }
--- a/eviction/evict.go
+++ b/eviction/evict.go
@@ -10,13 +10,13 @@
 
 // chooseVictim returns the suspect with the least work lost per harm removed.
 // Harm beyond what is over the objective counts for nothing.
-func chooseVictim(suspects []Suspect, over float64) (Suspect, bool) {
-	var chosen Suspect
+func chooseVictim(suspects []Candidate, over float64) (Candidate, bool) {
+	var chosen Candidate
 	found := false
 	least := 0.0
 	for _, s := range suspects {
 		removed := min(s.removed(0), over)
-		if s.Protected || s.removed(0) < leastBlame || s.Blame < s.Deviation {
+		if s.Protected || s.removed(0) < leastBlame || s.Effect < s.Deviation {
 			continue
 		}
 		price := float64(s.LostMS+restartMS) / removed
--- a/eviction/lift.go
+++ b/eviction/lift.go
@@ -16,7 +16,7 @@
 
 // lift takes the throttle off the least blamed task, once the host has been
 // calm for long enough and is expected to stay so.
-func (w *Watch) lift(now time.Time, suspects []Suspect) []Decision {
+func (w *HostMonitor) lift(now time.Time, suspects []Candidate) []Decision {
 	calm := now.Sub(w.calmSince)
 	if len(w.throttled) == 0 || calm < w.liftAfter() {
 		return nil
@@ -34,21 +34,21 @@
 		w.relief = time.Time{}
 	}
 	w.lastLift = now
-	return []Decision{{Kind: Lift, Job: least.Job, Percent: fullSpeed}}
+	return []Decision{{Kind: Unthrottle, Job: least.Job, CPULimit: fullSpeed}}
 }
 
 // fullSpeed is the percentage of a task that is not throttled.
 const fullSpeed = 100
 
 // leastBlamed returns the throttled task that adds least.
-func (w *Watch) leastBlamed(suspects []Suspect) (Suspect, bool) {
-	var least Suspect
+func (w *HostMonitor) leastBlamed(suspects []Candidate) (Candidate, bool) {
+	var least Candidate
 	found := false
 	for _, s := range suspects {
 		if !w.throttled[s.Job] {
 			continue
 		}
-		if !found || s.Blame < least.Blame || (s.Blame == least.Blame && s.Job < least.Job) {
+		if !found || s.Effect < least.Effect || (s.Effect == least.Effect && s.Job < least.Job) {
 			least, found = s, true
 		}
 	}
--- a/eviction/throttle.go
+++ b/eviction/throttle.go
@@ -10,12 +10,12 @@
 
 // chooseThrottles returns at most limit throttles of the likeliest culprits, until what is
 // estimated to be removed covers what is over the objective.
-func chooseThrottles(suspects []Suspect, over float64, percent, limit int) []Decision {
-	ranked := slices.DeleteFunc(slices.Clone(suspects), func(s Suspect) bool {
-		return s.Percent <= percent || s.Blame+s.Deviation < leastBlame
+func chooseThrottles(suspects []Candidate, over float64, percent, limit int) []Decision {
+	ranked := slices.DeleteFunc(slices.Clone(suspects), func(s Candidate) bool {
+		return s.CPULimit <= percent || s.Effect+s.Deviation < leastBlame
 	})
-	slices.SortFunc(ranked, func(a, b Suspect) int {
-		likelier := cmp.Compare(b.Blame+b.Deviation/2, a.Blame+a.Deviation/2)
+	slices.SortFunc(ranked, func(a, b Candidate) int {
+		likelier := cmp.Compare(b.Effect+b.Deviation/2, a.Effect+a.Deviation/2)
 		return cmp.Or(likelier, cmp.Compare(a.Job, b.Job))
 	})
 	var decisions []Decision
@@ -23,7 +23,7 @@
 		if len(decisions) == limit || over <= 0 {
 			break
 		}
-		decisions = append(decisions, Decision{Kind: Throttle, Job: s.Job, Percent: percent})
+		decisions = append(decisions, Decision{Kind: Throttle, Job: s.Job, CPULimit: percent})
 		over -= max(s.removed(percent), 0)
 	}
 	return decisions
--- a/eviction/watch.go
+++ b/eviction/watch.go
@@ -19,7 +19,7 @@
 
 // Watch follows one host whose latency-critical classes have objectives. It
 // is not safe for concurrent use.
-type Watch struct {
+type HostMonitor struct {
 	options Options
 	// level is the smoothed logarithm of the worst latency over its
 	// objective.
@@ -37,17 +37,17 @@
 	patience int
 }
 
-// NewWatch returns a Watch on a host of which nothing is known.
-func NewWatch(o Options) *Watch {
-	return &Watch{options: o, throttled: map[string]bool{}}
+// NewHostMonitor returns a Watch on a host of which nothing is known.
+func NewHostMonitor(o Options) *HostMonitor {
+	return &HostMonitor{options: o, throttled: map[string]bool{}}
 }
 
 // SetOptions replaces the bounds; what was observed stays.
-func (w *Watch) SetOptions(o Options) { w.options = o }
+func (w *HostMonitor) SetOptions(o Options) { w.options = o }
 
 // Observe takes in the largest latency over its objective of the classes on
 // the host.
-func (w *Watch) Observe(now time.Time, ratio float64) {
+func (w *HostMonitor) Observe(now time.Time, ratio float64) {
 	log := math.Log(max(ratio, 0.01))
 	if w.lastSeen.IsZero() {
 		w.level = log
@@ -73,20 +73,20 @@
 }
 
 // Idle reports whether there is nothing to decide.
-func (w *Watch) Idle() bool {
+func (w *HostMonitor) Idle() bool {
 	return w.violatedSince.IsZero() && len(w.throttled) == 0
 }
 
 // Violated reports whether the objective has been missed for longer than the
 // lag.
-func (w *Watch) Violated(now time.Time) bool {
+func (w *HostMonitor) Violated(now time.Time) bool {
 	return !w.violatedSince.IsZero() && now.Sub(w.violatedSince) > w.options.Lag
 }
 
 // Step takes at most limit decisions at now about the suspects on the host.
 // With mayEvict false no eviction is decided. It decides nothing until the last step's effect can
 // have been seen, and nothing without recent reports.
-func (w *Watch) Step(now time.Time, suspects []Suspect, limit int, mayEvict bool) []Decision {
+func (w *HostMonitor) Decide(now time.Time, suspects []Candidate, limit int, mayEvict bool) []Decision {
 	w.prune(suspects)
 	if now.Sub(w.lastSeen) > staleAfter*w.options.Lag {
 		return nil
@@ -108,7 +108,7 @@
 }
 
 // prune forgets throttles of tasks that are gone.
-func (w *Watch) prune(suspects []Suspect) {
+func (w *HostMonitor) prune(suspects []Candidate) {
 	if len(w.throttled) == 0 {
 		return
 	}
@@ -127,7 +127,7 @@
 }
 
 // relieve throttles first and evicts what throttling did not relieve.
-func (w *Watch) relieve(now time.Time, suspects []Suspect, limit int, mayEvict bool) []Decision {
+func (w *HostMonitor) relieve(now time.Time, suspects []Candidate, limit int, mayEvict bool) []Decision {
 	w.loseTrust(now)
 	if !w.relief.IsZero() && now.Sub(w.relief) >= w.options.EvictAfter && mayEvict {
 		if victim, found := chooseVictim(suspects, w.level); found {
@@ -148,7 +148,7 @@
 
 // loseTrust doubles the wait before the next lift when a violation follows a
 // lift.
-func (w *Watch) loseTrust(now time.Time) {
+func (w *HostMonitor) loseTrust(now time.Time) {
 	if w.lastLift.IsZero() || now.Sub(w.lastLift) > w.liftAfter()+w.options.EvictAfter {
 		return
 	}
@@ -157,6 +157,6 @@
 }
 
 // liftAfter is how long a host must be calm before a throttle is lifted.
-func (w *Watch) liftAfter() time.Duration {
+func (w *HostMonitor) liftAfter() time.Duration {
 	return w.options.EvictAfter << w.patience
 }
--- a/eviction/watch_test.go
+++ b/eviction/watch_test.go
@@ -15,17 +15,17 @@
 
 // hostFake is a host whose latency follows its tasks with a lag.
 type hostFake struct {
-	watch    *Watch
-	suspects []Suspect
+	watch    *HostMonitor
+	suspects []Candidate
 	base     float64
 	log      []float64
 	kinds    map[Kind]int
 }
 
 func newHostFake(base float64, blames ...float64) *hostFake {
-	f := &hostFake{watch: NewWatch(testOpts), base: base, kinds: map[Kind]int{}}
+	f := &hostFake{watch: NewHostMonitor(testOpts), base: base, kinds: map[Kind]int{}}
 	for i, b := range blames {
-		f.suspects = append(f.suspects, Suspect{Job: fmt.Sprint(i), Percent: 100, Blame: b, Deviation: 0.01})
+		f.suspects = append(f.suspects, Candidate{Job: fmt.Sprint(i), CPULimit: 100, Effect: b, Deviation: 0.01})
 	}
 	return f
 }
@@ -34,13 +34,13 @@
 func (f *hostFake) second(at int, noise float64) []Decision {
 	level := f.base + noise
 	for _, s := range f.suspects {
-		level += s.Blame * float64(s.Percent) / 100
+		level += s.Effect * float64(s.CPULimit) / 100
 	}
 	f.log = append(f.log, level)
 	lagged := f.log[max(0, at-int(testOpts.Lag/time.Second))]
 	now := epoch.Add(time.Duration(at) * time.Second)
 	f.watch.Observe(now, math.Exp(lagged))
-	decisions := f.watch.Step(now, f.suspects, 10, true)
+	decisions := f.watch.Decide(now, f.suspects, 10, true)
 	for _, d := range decisions {
 		f.kinds[d.Kind]++
 		f.apply(d)
@@ -57,7 +57,7 @@
 			f.suspects = append(f.suspects[:i], f.suspects[i+1:]...)
 			return
 		}
-		f.suspects[i].Percent = d.Percent
+		f.suspects[i].CPULimit = d.CPULimit
 		return
 	}
 }
@@ -81,7 +81,7 @@
 			for at := range 120 {
 				f.second(at, 0)
 			}
-			want := map[Kind]int{Throttle: tt.throttles, Lift: tt.lifts, Evict: tt.evict}
+			want := map[Kind]int{Throttle: tt.throttles, Unthrottle: tt.lifts, Evict: tt.evict}
 			for kind, n := range want {
 				if f.kinds[kind] != n {
 					t.Errorf("kind %d decided %d times, want %d", kind, f.kinds[kind], n)
@@ -108,26 +108,26 @@
 }
 
 func TestNothingIsDecidedOnStaleReports(t *testing.T) {
-	w := NewWatch(testOpts)
-	culprit := []Suspect{{Job: "j", Percent: 100, Blame: 0.5}}
+	w := NewHostMonitor(testOpts)
+	culprit := []Candidate{{Job: "j", CPULimit: 100, Effect: 0.5}}
 	for at := range 10 {
 		w.Observe(epoch.Add(time.Duration(at)*time.Second), 2)
 	}
-	if got := w.Step(epoch.Add(40*time.Second), culprit, 10, true); len(got) > 0 {
+	if got := w.Decide(epoch.Add(40*time.Second), culprit, 10, true); len(got) > 0 {
 		t.Errorf("decided %v on a report of 31 s ago", got)
 	}
-	if got := w.Step(epoch.Add(20*time.Second), culprit, 10, true); len(got) != 1 {
+	if got := w.Decide(epoch.Add(20*time.Second), culprit, 10, true); len(got) != 1 {
 		t.Errorf("decided %v on a report of 11 s ago", got)
 	}
 }
 
 func TestVictimIsLeastLossPerHarm(t *testing.T) {
-	suspects := []Suspect{
-		{Job: "young and harmless", Percent: 100, Blame: 0.01},
-		{Job: "youngest, little harm", Percent: 100, Blame: 0.05},
-		{Job: "old culprit", Percent: 100, Blame: 0.5, LostMS: 3_600_000},
-		{Job: "young culprit", Percent: 100, Blame: 0.4, LostMS: 10_000},
-		{Job: "protected", Percent: 100, Blame: 0.9, Protected: true},
+	suspects := []Candidate{
+		{Job: "young and harmless", CPULimit: 100, Effect: 0.01},
+		{Job: "youngest, little harm", CPULimit: 100, Effect: 0.05},
+		{Job: "old culprit", CPULimit: 100, Effect: 0.5, LostMS: 3_600_000},
+		{Job: "young culprit", CPULimit: 100, Effect: 0.4, LostMS: 10_000},
+		{Job: "protected", CPULimit: 100, Effect: 0.9, Protected: true},
 	}
 	if victim, found := chooseVictim(suspects, 0.5); !found || victim.Job != "young culprit" {
 		t.Errorf("victim is %q", victim.Job)
@@ -152,8 +152,8 @@
 			f.second(at, wave+0.1*rng.NormFloat64())
 		}
 		// Waits double from 15 s to 480 s: at most one lift a wait.
-		if most := hours*3600/480 + 3*maxPatience; f.kinds[Lift] > most {
-			t.Errorf("seed %d: %d lifts in %d hours, want at most %d", seed, f.kinds[Lift], hours, most)
+		if most := hours*3600/480 + 3*maxPatience; f.kinds[Unthrottle] > most {
+			t.Errorf("seed %d: %d lifts in %d hours, want at most %d", seed, f.kinds[Unthrottle], hours, most)
 		}
 	}
 }
@@ -166,8 +166,8 @@
 		}
 		f.second(at, 0)
 	}
-	if f.kinds[Lift] != 1 || f.suspects[0].Percent != 100 {
-		t.Errorf("%d lifts, %d%%", f.kinds[Lift], f.suspects[0].Percent)
+	if f.kinds[Unthrottle] != 1 || f.suspects[0].CPULimit != 100 {
+		t.Errorf("%d lifts, %d%%", f.kinds[Unthrottle], f.suspects[0].CPULimit)
 	}
 }
 
--- a/forecast/assess.go
+++ b/forecast/assess.go
@@ -79,9 +79,9 @@
 	case j.Remaining > left:
 		return fmt.Sprintf("job %s needs %s and is due in %s",
 			j.ID, j.Remaining.Round(time.Second), left.Round(time.Second))
-	case j.Blocked != "" && 2*j.Remaining > left:
+	case j.BlockedReason != "" && 2*j.Remaining > left:
 		return fmt.Sprintf("job %s must start within %s: %s",
-			j.ID, (left - j.Remaining).Round(time.Second), j.Blocked)
+			j.ID, (left - j.Remaining).Round(time.Second), j.BlockedReason)
 	default:
 		return ""
 	}
--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -101,7 +101,7 @@
 	now := at(t, "2026-06-01T05:00:00Z")
 	due := now.Add(30 * time.Minute)
 	job := func(running bool, remaining time.Duration, cores int64, blocked string) Job {
-		return Job{ID: "j", Running: running, Remaining: remaining, Due: due, MilliCPU: cores * 1000, Blocked: blocked}
+		return Job{ID: "j", Running: running, Remaining: remaining, Due: due, MilliCPU: cores * 1000, BlockedReason: blocked}
 	}
 	tests := []struct {
 		name    string
--- a/forecast/job.go
+++ b/forecast/job.go
@@ -14,7 +14,7 @@
 	// MilliCPU is what it reserves.
 	MilliCPU int64
 	// Blocked is why a pending job can't start now; empty if it can.
-	Blocked string
+	BlockedReason string
 }
 
 // latestStart is when the job must go on, or start, to be done when due.
--- a/headroom/headroom.go
+++ b/headroom/headroom.go
@@ -40,6 +40,6 @@
 
 // Keep returns how much of the free room must stay free of long-running
 // tasks, given what short work uses now.
-func (t *Tracker) Keep(inUse int64) int64 {
+func (t *Tracker) Headroom(inUse int64) int64 {
 	return max(int64(spare*t.need)-inUse, 0)
 }
--- a/interference/lessons.go
+++ b/interference/lessons.go
@@ -7,7 +7,7 @@
 
 // Lesson is what is known of one latency-critical class, in a form that can be
 // kept and recalled by another Model.
-type Lesson struct {
+type ClassEstimate struct {
 	Class       string  `msgpack:"c"`
 	ObjectiveMS float64 `msgpack:"o"`
 	// Common are the weights that every class has, in the model's order.
@@ -24,27 +24,27 @@
 
 // PairWeight is the weight of one batch class.
 type PairWeight struct {
-	Other  string `msgpack:"o"`
-	Weight Weight `msgpack:"w"`
+	BatchClass string `msgpack:"o"`
+	Weight     Weight `msgpack:"w"`
 }
 
 // Lessons returns what is known, in the order of classes. How the weights
 // depend on each other is left out: it is most of the state, and soon learned
 // again.
-func (m *Model) Lessons() []Lesson {
-	all := make([]Lesson, 0, len(m.services))
+func (m *Model) Export() []ClassEstimate {
+	all := make([]ClassEstimate, 0, len(m.services))
 	for class, s := range m.services {
-		l := Lesson{Class: class, ObjectiveMS: s.objectiveMS}
+		l := ClassEstimate{Class: class, ObjectiveMS: s.objectiveMS}
 		for i := range featureClass {
 			l.Common = append(l.Common, s.weight(i))
 		}
 		for other, p := range s.pairs {
-			l.Pairs = append(l.Pairs, PairWeight{Other: other, Weight: s.weight(p.at)})
+			l.Pairs = append(l.Pairs, PairWeight{BatchClass: other, Weight: s.weight(p.at)})
 		}
-		slices.SortFunc(l.Pairs, func(a, b PairWeight) int { return strings.Compare(a.Other, b.Other) })
+		slices.SortFunc(l.Pairs, func(a, b PairWeight) int { return strings.Compare(a.BatchClass, b.BatchClass) })
 		all = append(all, l)
 	}
-	slices.SortFunc(all, func(a, b Lesson) int { return strings.Compare(a.Class, b.Class) })
+	slices.SortFunc(all, func(a, b ClassEstimate) int { return strings.Compare(a.Class, b.Class) })
 	return all
 }
 
@@ -61,7 +61,7 @@
 
 // Recall takes in what another Model has learned. Classes that this one knows
 // already are left as they are.
-func (m *Model) Recall(lessons []Lesson) {
+func (m *Model) Import(lessons []ClassEstimate) {
 	for _, l := range lessons {
 		if m.services[l.Class] != nil || len(m.services) >= maxServices || l.ObjectiveMS <= 0 || len(l.Common) != featureClass {
 			continue
@@ -71,7 +71,7 @@
 			s.recall(i, w)
 		}
 		for _, p := range l.Pairs[:min(len(l.Pairs), maxPairs)] {
-			s.recall(s.pair(p.Other).at, p.Weight)
+			s.recall(s.pair(p.BatchClass).at, p.Weight)
 		}
 		m.services[l.Class] = s
 		if m.objectives[l.Class] == 0 {
--- a/interference/lessons_test.go
+++ b/interference/lessons_test.go
@@ -16,18 +16,18 @@
 		if i%2 == 0 {
 			latency, other = 60, "loud"
 		}
-		m.Learn("web", interference.Load{Batch: []interference.Share{{Class: other, Part: 0.2}}}, latency)
+		m.Learn("web", interference.Load{Batch: []interference.Share{{Class: other, CPUShare: 0.2}}}, latency)
 	}
 	next := interference.NewModel(map[string]float64{}, 0)
-	next.Recall(m.Lessons())
+	next.Import(m.Export())
 	for _, other := range []string{"loud", "quiet"} {
-		want, _ := m.Blame("web", other, 0.2)
-		got, deviation := next.Blame("web", other, 0.2)
+		want, _ := m.Effect("web", other, 0.2)
+		got, deviation := next.Effect("web", other, 0.2)
 		if math.Abs(got-want) > 0.01 || deviation > 0.5 {
 			t.Errorf("%s: blame %.3f, deviation %.3f; want %.3f", other, got, deviation, want)
 		}
 	}
-	next.Recall([]interference.Lesson{{Class: "bad"}, {Class: "short", ObjectiveMS: 5, Common: make([]interference.Weight, 1)}})
+	next.Import([]interference.ClassEstimate{{Class: "bad"}, {Class: "short", ObjectiveMS: 5, Common: make([]interference.Weight, 1)}})
 	if next.Uncertain("bad", "loud") {
 		t.Error("a lesson without an objective was taken in")
 	}
--- a/interference/load.go
+++ b/interference/load.go
@@ -4,14 +4,14 @@
 type Share struct {
 	Class string
 	// Part is from 0 to 1.
-	Part float64
+	CPUShare float64
 }
 
 // Load is what runs on a host beside a latency-critical class, at one time.
 type Load struct {
 	// Self is how busy the class's own runs are, as the share used of what
 	// they reserve. It keeps their own load from being blamed on others.
-	Self float64
+	OwnUtilization float64
 	// Batch is the neighbours, one entry to a class.
 	Batch []Share
 }
--- a/interference/model.go
+++ b/interference/model.go
@@ -27,7 +27,7 @@
 // in milliseconds; others are ignored. Margin is by how much below their
 // objectives they should stay, as a logarithm.
 func NewModel(objectivesMS map[string]float64, margin float64) *Model {
-	return NewModelWith(objectivesMS, margin, LogLatency())
+	return NewModelWith(objectivesMS, margin, LogLatencyPriors())
 }
 
 // NewModelWith is NewModel with priors of the caller's, who learns a value of
@@ -95,7 +95,7 @@
 
 // Blame is what part of a host's processors given to batch class other adds
 // to the logarithm of class's latency: the estimate and its deviation.
-func (m *Model) Blame(class, other string, part float64) (mean, deviation float64) {
+func (m *Model) Effect(class, other string, part float64) (mean, deviation float64) {
 	s := m.service(class)
 	if s == nil {
 		return 0, 0
@@ -103,8 +103,8 @@
 	v := vector{{featureAny, part}}
 	p, known := s.pairs[other]
 	if !known {
-		variance := s.model.variance(v) + part*part*s.priors.Class.Variance
-		return v.dot(s.model.mean) + part*s.priors.Class.Mean, math.Sqrt(variance)
+		variance := s.model.variance(v) + part*part*s.priors.BatchClass.Variance
+		return v.dot(s.model.mean) + part*s.priors.BatchClass.Mean, math.Sqrt(variance)
 	}
 	v = append(v, entry{p.at, part})
 	return v.dot(s.model.mean), math.Sqrt(s.model.variance(v))
@@ -112,11 +112,11 @@
 
 // Loudest is the most that a batch class which fills a host is estimated to
 // add to the logarithm of any class's latency; 0 if nothing is known of it.
-func (m *Model) Loudest(other string) float64 {
+func (m *Model) MaxEffect(other string) float64 {
 	loudest := 0.0
 	for class, s := range m.services {
 		if _, known := s.pairs[other]; known {
-			mean, _ := m.Blame(class, other, 1)
+			mean, _ := m.Effect(class, other, 1)
 			loudest = max(loudest, mean)
 		}
 	}
@@ -129,7 +129,7 @@
 	if s == nil {
 		return false
 	}
-	_, deviation := m.Blame(class, other, 1)
+	_, deviation := m.Effect(class, other, 1)
 	return deviation > certain
 }
 
--- a/interference/model_test.go
+++ b/interference/model_test.go
@@ -14,19 +14,19 @@
 }
 
 func (w world) latency(load Load) float64 {
-	log := -0.6 + 0.3*load.Self
+	log := -0.6 + 0.3*load.OwnUtilization
 	for _, s := range load.Batch {
-		log += w.hurts[s.Class] * s.Part
+		log += w.hurts[s.Class] * s.CPUShare
 	}
 	return 100 * math.Exp(log+w.noise*w.rng.NormFloat64())
 }
 
 func (w world) randomLoad() Load {
-	load := Load{Self: w.rng.Float64()}
+	load := Load{OwnUtilization: w.rng.Float64()}
 	for class := range 4 {
 		if w.rng.IntN(2) == 0 {
 			name := string(rune('a' + class))
-			load.Batch = append(load.Batch, Share{Class: name, Part: 0.4 * w.rng.Float64()})
+			load.Batch = append(load.Batch, Share{Class: name, CPUShare: 0.4 * w.rng.Float64()})
 		}
 	}
 	return load
@@ -51,7 +51,7 @@
 			m.Learn("dispatch", load, w.latency(load))
 		}
 		for class, want := range w.hurts {
-			mean, deviation := m.Blame("dispatch", class, 1)
+			mean, deviation := m.Effect("dispatch", class, 1)
 			if got := math.Abs(mean - want); got > 0.4 || got > 4*deviation {
 				t.Errorf("seed %d: %s adds %.2f±%.2f, in truth %.2f", seed, class, mean, deviation, want)
 			}
@@ -65,7 +65,7 @@
 func TestUnknownPairCountsAsUncertain(t *testing.T) {
 	m := NewModel(map[string]float64{"dispatch": 100}, DefaultMargin)
 	quiet := Load{}
-	beside := Load{Batch: []Share{{Class: "new", Part: 0.5}}}
+	beside := Load{Batch: []Share{{Class: "new", CPUShare: 0.5}}}
 	if !m.Uncertain("dispatch", "new") {
 		t.Error("a pair never seen counts as learned")
 	}
@@ -73,9 +73,9 @@
 		t.Error("an unknown neighbour is expected to do no harm")
 	}
 	for range 500 {
-		m.Learn("dispatch", Load{Batch: []Share{{Class: "old", Part: 0.5}}}, 50)
+		m.Learn("dispatch", Load{Batch: []Share{{Class: "old", CPUShare: 0.5}}}, 50)
 	}
-	old := Load{Batch: []Share{{Class: "old", Part: 0.5}}}
+	old := Load{Batch: []Share{{Class: "old", CPUShare: 0.5}}}
 	if m.Excess("dispatch", beside) <= m.Excess("dispatch", old)+0.1 {
 		t.Error("an unknown neighbour is expected to harm no more than a harmless one")
 	}
@@ -93,7 +93,7 @@
 			load := w.randomLoad()
 			m.Learn("dispatch", load, w.latency(load))
 		}
-		if mean, _ := m.Blame("dispatch", "a", 1); math.Abs(mean-hurts) > 0.5 {
+		if mean, _ := m.Effect("dispatch", "a", 1); math.Abs(mean-hurts) > 0.5 {
 			t.Errorf("a adds %.2f, in truth %.2f now", mean, hurts)
 		}
 	}
@@ -102,7 +102,7 @@
 func TestPairsAreBounded(t *testing.T) {
 	m := NewModel(map[string]float64{"dispatch": 100}, DefaultMargin)
 	for i := range 10 * maxPairs {
-		m.Learn("dispatch", Load{Batch: []Share{{Class: string(rune(0x100 + i)), Part: 0.2}}}, 80)
+		m.Learn("dispatch", Load{Batch: []Share{{Class: string(rune(0x100 + i)), CPUShare: 0.2}}}, 80)
 	}
 	if got := len(m.services["dispatch"].pairs); got != maxPairs {
 		t.Errorf("%d pairs kept, want %d", got, maxPairs)
--- a/interference/priors.go
+++ b/interference/priors.go
@@ -8,22 +8,22 @@
 // of its own, or a batch class that fills the host.
 type Priors struct {
 	// Base is the constant, Self the class's own load.
-	Base, Self Prior
+	Intercept, OwnUtilization Prior
 	// Any is what all batch classes have in common, Class what one adds to it.
-	Any, Class Prior
+	AnyBatch, BatchClass Prior
 	// Drift is by how much the variance of a weight in use grows with each
 	// observation, so that old lessons fade.
 	Drift float64
 }
 
-// LogLatency returns the priors for learning the logarithm of a latency over
+// LogLatencyPriors returns the priors for learning the logarithm of a latency over
 // its objective.
-func LogLatency() Priors {
+func LogLatencyPriors() Priors {
 	return Priors{
-		Base:  Prior{Mean: -0.7, Variance: 1.0},
-		Self:  Prior{Mean: 0.2, Variance: 0.5},
-		Any:   Prior{Mean: 0.3, Variance: 0.25},
-		Class: Prior{Mean: 0, Variance: 2.0},
-		Drift: 2e-5,
+		Intercept:      Prior{Mean: -0.7, Variance: 1.0},
+		OwnUtilization: Prior{Mean: 0.2, Variance: 0.5},
+		AnyBatch:       Prior{Mean: 0.3, Variance: 0.25},
+		BatchClass:     Prior{Mean: 0, Variance: 2.0},
+		Drift:          2e-5,
 	}
 }
--- a/interference/service.go
+++ b/interference/service.go
@@ -34,11 +34,11 @@
 	size := featureClass + maxPairs
 	means := make([]float64, size)
 	variances := make([]float64, size)
-	means[featureBase], variances[featureBase] = p.Base.Mean, p.Base.Variance
-	means[featureSelf], variances[featureSelf] = p.Self.Mean, p.Self.Variance
-	means[featureAny], variances[featureAny] = p.Any.Mean, p.Any.Variance
+	means[featureBase], variances[featureBase] = p.Intercept.Mean, p.Intercept.Variance
+	means[featureSelf], variances[featureSelf] = p.OwnUtilization.Mean, p.OwnUtilization.Variance
+	means[featureAny], variances[featureAny] = p.AnyBatch.Mean, p.AnyBatch.Variance
 	for i := featureClass; i < size; i++ {
-		means[i], variances[i] = p.Class.Mean, p.Class.Variance
+		means[i], variances[i] = p.BatchClass.Mean, p.BatchClass.Variance
 	}
 	return &service{
 		objectiveMS: objectiveMS,
@@ -84,7 +84,7 @@
 	}
 	at := s.pairs[oldest].at
 	delete(s.pairs, oldest)
-	s.model.forget(at, s.priors.Class.Mean, s.priors.Class.Variance)
+	s.model.forget(at, s.priors.BatchClass.Mean, s.priors.BatchClass.Variance)
 	return at
 }
 
@@ -92,18 +92,18 @@
 // as any class, with extra variance returned besides.
 func (s *service) vector(load Load) (v vector, unknown float64) {
 	v = append(s.scratch[:0], entry{featureBase, 1})
-	if load.Self != 0 {
-		v = append(v, entry{featureSelf, load.Self})
+	if load.OwnUtilization != 0 {
+		v = append(v, entry{featureSelf, load.OwnUtilization})
 	}
 	batch := 0.0
 	for _, share := range load.Batch {
-		batch += share.Part
+		batch += share.CPUShare
 		p, known := s.pairs[share.Class]
 		if !known {
-			unknown += share.Part * share.Part * s.priors.Class.Variance
+			unknown += share.CPUShare * share.CPUShare * s.priors.BatchClass.Variance
 			continue
 		}
-		v = append(v, entry{p.at, share.Part})
+		v = append(v, entry{p.at, share.CPUShare})
 	}
 	if batch != 0 {
 		v = append(v, entry{featureAny, batch})
--- a/placement/action.go
+++ b/placement/action.go
@@ -18,10 +18,10 @@
 // Action is one step of a plan. The planner has already reserved what a start
 // needs; the owner calls Release if it can't commit it.
 type Action struct {
-	Kind    ActionKind
-	Job     string
-	Host    string
-	Percent int
+	Kind     ActionKind
+	Job      string
+	Host     string
+	CPULimit int
 	// Resources is what a start reserves, which may differ from what the
 	// job declares.
 	Resources infra.Resources
--- a/placement/colocation.go
+++ b/placement/colocation.go
@@ -14,7 +14,7 @@
 // tells its watch of the worst.
 func (s *Scheduler) observeLatency(n *node, u Usage) {
 	if n.watch == nil {
-		n.watch = eviction.NewWatch(s.watchOptions())
+		n.watch = eviction.NewHostMonitor(s.watchOptions())
 	}
 	batch := s.batchAt(n, u.At.Add(-s.options.Colocation.UsageLag.D()))
 	worst := 0.0
@@ -23,7 +23,7 @@
 		if objective <= 0 || latency <= 0 {
 			continue
 		}
-		s.model.Learn(class, interference.Load{Self: n.self(class), Batch: batch}, latency)
+		s.model.Learn(class, interference.Load{OwnUtilization: n.self(class), Batch: batch}, latency)
 		if over := latency / objective; over > worst {
 			worst, n.worst = over, class
 		}
@@ -81,7 +81,7 @@
 	}
 	suspects := s.suspects(p.now, n)
 	mayEvict := s.budget.Available(p.now) > 0
-	for _, d := range n.watch.Step(p.now, suspects, p.room(), mayEvict) {
+	for _, d := range n.watch.Decide(p.now, suspects, p.room(), mayEvict) {
 		s.apply(p, n, d)
 	}
 }
@@ -94,12 +94,12 @@
 		s.evict(p, r, "slows "+n.worst)
 		return
 	}
-	r.throttle(p.now, int32(d.Percent))
+	r.throttle(p.now, int32(d.CPULimit))
 	reason := n.worst + " is calm"
 	if d.Kind == eviction.Throttle {
 		reason = "slows " + n.worst
 	}
-	p.add(Action{Kind: Throttle, Job: d.Job, Host: n.host.Name, Percent: d.Percent, Reason: reason})
+	p.add(Action{Kind: Throttle, Job: d.Job, Host: n.host.Name, CPULimit: d.CPULimit, Reason: reason})
 }
 
 // liftAll lifts every throttle on a node that has no latency-critical work
@@ -111,28 +111,28 @@
 		}
 		r.throttle(p.now, fullSpeed)
 		p.add(Action{
-			Kind: Throttle, Job: r.spec.ID, Host: n.host.Name, Percent: fullSpeed,
+			Kind: Throttle, Job: r.spec.ID, Host: n.host.Name, CPULimit: fullSpeed,
 			Reason: "no latency-critical work is left here",
 		})
 	}
-	n.watch = eviction.NewWatch(s.watchOptions())
+	n.watch = eviction.NewHostMonitor(s.watchOptions())
 }
 
 func (n *node) hasCritical() bool { return n.criticals > 0 }
 
 // suspects are the batch runs of a node with what they are estimated to add
 // to the worst class's latency.
-func (s *Scheduler) suspects(now time.Time, n *node) []eviction.Suspect {
-	var list []eviction.Suspect
+func (s *Scheduler) suspects(now time.Time, n *node) []eviction.Candidate {
+	var list []eviction.Candidate
 	for _, r := range n.runs {
 		if r.spec.QoS == task.LatencyCritical || r.isEvicting(now) {
 			continue
 		}
-		mean, deviation := s.model.Blame(n.worst, r.spec.Class, n.part(r.fullMilliCPU()))
-		list = append(list, eviction.Suspect{
+		mean, deviation := s.model.Effect(n.worst, r.spec.Class, n.part(r.fullMilliCPU()))
+		list = append(list, eviction.Candidate{
 			Job:       r.spec.ID,
-			Percent:   int(r.percent),
-			Blame:     mean,
+			CPULimit:  int(r.percent),
+			Effect:    mean,
 			Deviation: deviation,
 			LostMS:    r.doneMS,
 			Protected: r.spec.Urgent || s.isProtected(r),
--- a/placement/colocation_test.go
+++ b/placement/colocation_test.go
@@ -18,7 +18,7 @@
 
 	s.SetHost(testHost(0))
 	n := s.order[0]
-	n.watch = eviction.NewWatch(s.watchOptions())
+	n.watch = eviction.NewHostMonitor(s.watchOptions())
 	at := func(second int) time.Time { return epoch.Add(time.Duration(second) * time.Second) }
 	start := func(second int, id string) {
 		spec := batchSpec(id, 16, 1)
@@ -45,7 +45,7 @@
 			t.Errorf("at %d s: %v, want %v", tt.second, load, tt.want)
 		}
 		for _, share := range load {
-			if math.Abs(share.Part-tt.want[share.Class]) > 1e-9 {
+			if math.Abs(share.CPUShare-tt.want[share.Class]) > 1e-9 {
 				t.Errorf("at %d s: %v, want %v", tt.second, load, tt.want)
 			}
 		}
@@ -98,7 +98,7 @@
 	if got.MilliCPU > 3000 || got.MemoryMB != 8000 {
 		t.Errorf("reserves %+v", got)
 	}
-	s.Killed("last")
+	s.RecordOOMKill("last")
 	s.Release(epoch, "last", false)
 	s.Enqueue(epoch, batchSpec("again", 8, 8))
 	if got := s.Plan(epoch, 1)[0].Resources; got.MemoryMB < 12_000 {
--- a/placement/drain.go
+++ b/placement/drain.go
@@ -96,7 +96,7 @@
 	part := n.part(r.fullMilliCPU())
 	noise := part / 100
 	for _, class := range e.Services {
-		mean, _ := s.model.Blame(class, r.spec.Class, part)
+		mean, _ := s.model.Effect(class, r.spec.Class, part)
 		noise = max(noise, mean)
 	}
 	return noise
--- a/placement/forecast.go
+++ b/placement/forecast.go
@@ -71,7 +71,7 @@
 		MilliCPU:  s.sizes.Size(j.spec).MilliCPU,
 	}
 	if v := j.group.verdict; v != placed && v != notTried {
-		job.Blocked = v.String()
+		job.BlockedReason = v.String()
 	}
 	return job
 }
--- a/placement/harm.go
+++ b/placement/harm.go
@@ -37,7 +37,7 @@
 	}
 	load := s.batchNow(n)
 	if q.spec.QoS == task.LatencyCritical {
-		return excess(q.spec.Class, interference.Load{Self: typicalSelf, Batch: load})
+		return excess(q.spec.Class, interference.Load{OwnUtilization: typicalSelf, Batch: load})
 	}
 	harm := 0.0
 	part := n.part(q.size.MilliCPU)
@@ -45,7 +45,7 @@
 		if r.spec.QoS != task.LatencyCritical || n.hasClassBefore(i, r.spec.Class) {
 			continue
 		}
-		l := interference.Load{Self: n.self(r.spec.Class), Batch: load}
+		l := interference.Load{OwnUtilization: n.self(r.spec.Class), Batch: load}
 		without := excess(r.spec.Class, l)
 		count := len(load)
 		load = load.add(q.spec.Class, part)
--- a/placement/jobs.go
+++ b/placement/jobs.go
@@ -144,9 +144,9 @@
 // Killed records that the worker's guard killed the run of a job for the
 // memory that it used. Call it before Release; later runs of the class get
 // more at once.
-func (s *Scheduler) Killed(job string) {
+func (s *Scheduler) RecordOOMKill(job string) {
 	if r, running := s.runs[job]; running {
-		s.sizes.Killed(r.spec, r.size)
+		s.sizes.RecordOOMKill(r.spec, r.size)
 	}
 }
 
--- a/placement/load.go
+++ b/placement/load.go
@@ -14,11 +14,11 @@
 func (l shares) add(class string, part float64) shares {
 	for i := range l {
 		if l[i].Class == class {
-			l[i].Part += part
+			l[i].CPUShare += part
 			return l
 		}
 	}
-	return append(l, interference.Share{Class: class, Part: part})
+	return append(l, interference.Share{Class: class, CPUShare: part})
 }
 
 // batchNow is the batch load of a node as it should be now.
--- a/placement/node.go
+++ b/placement/node.go
@@ -24,7 +24,7 @@
 	// departed are the batch runs that ended within the lag.
 	departed []departure
 	// watch follows its latency-critical classes; nil if none reported.
-	watch *eviction.Watch
+	watch *eviction.HostMonitor
 	// watched is set while the node is in Scheduler.watched.
 	watched bool
 	// worst is the class with the latest worst latency over its objective.
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -31,7 +31,7 @@
 	Release(now time.Time, job string, done bool)
 	// Killed records that the worker's guard killed a job's run for the
 	// memory that it used. Call it before Release.
-	Killed(job string)
+	RecordOOMKill(job string)
 	// Avoid keeps a job off a host that it failed on.
 	Avoid(job, host string)
 	// Observe takes in a host's usage.
@@ -49,7 +49,7 @@
 	// times.
 	Forecast(now time.Time) []forecast.Report
 	// Why says why a job is pending or where it runs, for people.
-	Why(job string) string
+	Explain(job string) string
 	// NeverFits reports whether no known host can ever hold the job, with
 	// the nearest host and what lacks.
 	NeverFits(s task.Spec) (reason string, never bool)
--- a/placement/policy_change_test.go
+++ b/placement/policy_change_test.go
@@ -36,10 +36,10 @@
 		s.AdoptSized(spec, testHost(0).Name, spec.Resources)
 		s.Observe(Usage{Host: testHost(0).Name, At: now, Jobs: []JobUsage{{Job: spec.ID, Used: infra.Resources{MilliCPU: 2000, MemoryMB: 1000}}}})
 		s.Release(now, spec.ID, true)
-		s.model.Learn("haggle", interference.Load{Batch: []interference.Share{{Class: "plan", Part: 0.5}}}, 10)
+		s.model.Learn("haggle", interference.Load{Batch: []interference.Share{{Class: "plan", CPUShare: 0.5}}}, 10)
 	}
 	learned := s.sizes.Size(batchSpec("x", 4, 1))
-	loud := s.model.Loudest("plan")
+	loud := s.model.MaxEffect("plan")
 	for i := range 20 {
 		s.Enqueue(now, batchSpec(fmt.Sprint("j-", i), 4, 1))
 	}
@@ -69,7 +69,7 @@
 	if got := s.sizes.Size(batchSpec("x", 4, 1)); got != learned {
 		t.Errorf("learned size %+v became %+v", learned, got)
 	}
-	if got := s.model.Loudest("plan"); got != loud {
+	if got := s.model.MaxEffect("plan"); got != loud {
 		t.Errorf("learned harm %f became %f", loud, got)
 	}
 	raised := s.model.MeanExcess("haggle", interference.Load{})
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -82,7 +82,7 @@
 		p.s.Release(now, t.spec.ID, true)
 	}
 	for _, t := range killed {
-		p.s.Killed(t.spec.ID)
+		p.s.RecordOOMKill(t.spec.ID)
 		p.s.Release(now, t.spec.ID, false)
 	}
 	for _, t := range append(killed, arrived...) {
@@ -152,7 +152,7 @@
 		}
 		f.put(t, p.s.nodes[a.Host].position)
 	case Throttle:
-		t.percent = float64(a.Percent) / 100
+		t.percent = float64(a.CPULimit) / 100
 	case Evict:
 		f.score.evictions++
 		f.stop(t)
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -32,7 +32,7 @@
 	teams    teams
 	spread   spread
 	past     histories
-	sizes    *estimate.Book
+	sizes    *estimate.Estimator
 	budget   *eviction.Budget
 	calendar forecast.Calendar
 	// windows are the events' windows as of the last plan, in the order of
@@ -74,7 +74,7 @@
 		teams:    newTeams(o.Teams),
 		spread:   newSpread(),
 		past:     newHistories(),
-		sizes:    estimate.NewBook(),
+		sizes:    estimate.NewEstimator(),
 		budget:   eviction.NewBudget(o.Colocation.MaxEvictionsPerMinute),
 		calendar: calendar,
 		windows:  make([]forecast.Window, len(calendar)),
--- a/placement/score_quiet.go
+++ b/placement/score_quiet.go
@@ -10,7 +10,7 @@
 	if len(s.options.ObjectivesMS) == 0 || n.hasCritical() {
 		return 0
 	}
-	if s.model.Loudest(q.spec.Class) >= quietBelow {
+	if s.model.MaxEffect(q.spec.Class) >= quietBelow {
 		return 0
 	}
 	return 1
--- a/placement/script_test.go
+++ b/placement/script_test.go
@@ -60,7 +60,7 @@
 			sc.s.Observe(sc.usage(d))
 		}
 	case "why":
-		return sc.s.Why(sc.text(d, "id"))
+		return sc.s.Explain(sc.text(d, "id"))
 	case "never":
 		reason, never := sc.s.NeverFits(sc.specs(d)[0])
 		return fmt.Sprintf("%v %s", never, reason)
--- a/placement/why.go
+++ b/placement/why.go
@@ -7,7 +7,7 @@
 
 // Why says why a job is pending or where it runs, for people. It looks at
 // each host, so it is for questions, not for decisions.
-func (s *Scheduler) Why(job string) string {
+func (s *Scheduler) Explain(job string) string {
 	if r, running := s.runs[job]; running {
 		return s.whyRunning(r)
 	}
--- a/preempt/choose.go
+++ b/preempt/choose.go
@@ -15,13 +15,13 @@
 		return nil, 0, true
 	}
 	order := slices.Clone(victims)
-	slices.SortStableFunc(order, func(a, b Victim) int { return cmp.Compare(a.Loss, b.Loss) })
+	slices.SortStableFunc(order, func(a, b Victim) int { return cmp.Compare(a.LostWork, b.LostWork) })
 	for _, v := range order {
 		if !helps(v.Reserved, needs, free) {
 			continue
 		}
 		chosen = append(chosen, v)
-		loss += v.Loss
+		loss += v.LostWork
 		free = free.Add(v.Reserved)
 		if needs.Fits(free) {
 			return spare(chosen, needs, free, loss)
@@ -43,7 +43,7 @@
 	for i := len(chosen) - 1; i >= 0; i-- {
 		if without := free.Sub(chosen[i].Reserved); needs.Fits(without) {
 			free = without
-			loss -= chosen[i].Loss
+			loss -= chosen[i].LostWork
 			chosen = slices.Delete(chosen, i, i+1)
 		}
 	}
--- a/preempt/choose_test.go
+++ b/preempt/choose_test.go
@@ -11,10 +11,10 @@
 func TestChoose(t *testing.T) {
 	room := func(cpu, mem int64) infra.Resources { return infra.Resources{MilliCPU: cpu, MemoryMB: mem} }
 	victims := []preempt.Victim{
-		{ID: 0, Reserved: room(0, 100), Loss: 50},
-		{ID: 1, Reserved: room(0, 300), Loss: 60},
-		{ID: 2, Reserved: room(5000, 10), Loss: 10},
-		{ID: 3, Reserved: room(0, 100), Loss: 900},
+		{ID: 0, Reserved: room(0, 100), LostWork: 50},
+		{ID: 1, Reserved: room(0, 300), LostWork: 60},
+		{ID: 2, Reserved: room(5000, 10), LostWork: 10},
+		{ID: 3, Reserved: room(0, 100), LostWork: 900},
 	}
 	for _, c := range []struct {
 		name        string
--- a/preempt/victim.go
+++ b/preempt/victim.go
@@ -10,5 +10,5 @@
 	Reserved infra.Resources
 	// Loss is the work that its end throws away, in core-milliseconds: what
 	// it has done since it last saved.
-	Loss int64
+	LostWork int64
 }
--- a/queue/order.go
+++ b/queue/order.go
@@ -6,38 +6,38 @@
 )
 
 // Hope says what a step's job can still reach.
-type Hope uint8
+type Timeliness uint8
 
 // From best to worst.
 const (
 	// OnTime can still meet its objective.
-	OnTime Hope = iota
+	OnTime Timeliness = iota
 	// Late can still end while that is of some use.
 	Late
 	// Lost is past both; it is owed all the same.
-	Lost
+	Expired
 )
 
 // hopeNames are the hopes as logs show them.
 var hopeNames = [...]string{"on time", "late", "lost"}
 
 // String returns the hope as logs show it.
-func (h Hope) String() string {
+func (h Timeliness) String() string {
 	if int(h) < len(hopeNames) {
 		return hopeNames[h]
 	}
 	return "unknown"
 }
 
-// HopeOf returns what the entry can still reach.
-func HopeOf(e *Entry, now time.Time) Hope {
+// TimelinessOf returns what the entry can still reach.
+func TimelinessOf(e *Entry, now time.Time) Timeliness {
 	switch {
 	case !now.After(e.LatestStart):
 		return OnTime
-	case !now.After(e.LastUse):
+	case !now.After(e.LatestUsefulStart):
 		return Late
 	default:
-		return Lost
+		return Expired
 	}
 }
 
@@ -52,7 +52,7 @@
 	if c := compareLasting(a, b); c != 0 {
 		return c
 	}
-	ha, hb := HopeOf(a, now), HopeOf(b, now)
+	ha, hb := TimelinessOf(a, now), TimelinessOf(b, now)
 	if c := cmp.Compare(ha, hb); c != 0 {
 		return c
 	}
@@ -61,8 +61,8 @@
 	case OnTime:
 		c = a.LatestStart.Compare(b.LatestStart)
 	case Late:
-		c = cmp.Compare(a.Work, b.Work)
-	case Lost:
+		c = cmp.Compare(a.RemainingWork, b.RemainingWork)
+	case Expired:
 		c = a.Arrived.Compare(b.Arrived)
 	}
 	if c != 0 {
@@ -98,13 +98,13 @@
 // and ends up among other classes, where hardly a filler suits: of 48 workers
 // that 37 jobs fill to 75%, 9 to 14 mixed classes, now none.
 func compareLasting(a, b *Entry) int {
-	if a.Lasting != b.Lasting {
-		if a.Lasting {
+	if a.LongRunning != b.LongRunning {
+		if a.LongRunning {
 			return -1
 		}
 		return 1
 	}
-	if !a.Lasting || a.MaxPerWorker == b.MaxPerWorker {
+	if !a.LongRunning || a.MaxPerWorker == b.MaxPerWorker {
 		return 0
 	}
 	if a.MaxPerWorker == 0 {
--- a/queue/order_test.go
+++ b/queue/order_test.go
@@ -17,17 +17,17 @@
 	soon, later := start.Add(time.Second), start.Add(5*time.Second)
 	past := start.Add(-time.Second)
 	entries := []*queue.Entry{
-		{ID: "lost second", Priority: 2, LatestStart: past, LastUse: past, Arrived: soon},
-		{ID: "lost first", Priority: 2, LatestStart: past, LastUse: past, Arrived: past},
-		{ID: "late large", Priority: 2, LatestStart: past, LastUse: later, Work: 90},
-		{ID: "late small", Priority: 2, LatestStart: past, LastUse: later, Work: 10},
-		{ID: "on time later", Priority: 2, LatestStart: later, LastUse: later},
-		{ID: "on time soon", Priority: 2, LatestStart: soon, LastUse: later},
-		{ID: "restart", Priority: 2, Restart: true, LatestStart: past, LastUse: past},
-		{ID: "lasting", Priority: 2, Lasting: true, LatestStart: past, LastUse: past},
-		{ID: "lasting, two a worker", Priority: 2, Lasting: true, MaxPerWorker: 2, LatestStart: past, LastUse: past},
-		{ID: "lasting, one a worker", Priority: 2, Lasting: true, MaxPerWorker: 1, LatestStart: later, LastUse: later},
-		{ID: "first queue, lost", Priority: 0, LatestStart: past, LastUse: past},
+		{ID: "lost second", Priority: 2, LatestStart: past, LatestUsefulStart: past, Arrived: soon},
+		{ID: "lost first", Priority: 2, LatestStart: past, LatestUsefulStart: past, Arrived: past},
+		{ID: "late large", Priority: 2, LatestStart: past, LatestUsefulStart: later, RemainingWork: 90},
+		{ID: "late small", Priority: 2, LatestStart: past, LatestUsefulStart: later, RemainingWork: 10},
+		{ID: "on time later", Priority: 2, LatestStart: later, LatestUsefulStart: later},
+		{ID: "on time soon", Priority: 2, LatestStart: soon, LatestUsefulStart: later},
+		{ID: "restart", Priority: 2, Restart: true, LatestStart: past, LatestUsefulStart: past},
+		{ID: "lasting", Priority: 2, LongRunning: true, LatestStart: past, LatestUsefulStart: past},
+		{ID: "lasting, two a worker", Priority: 2, LongRunning: true, MaxPerWorker: 2, LatestStart: past, LatestUsefulStart: past},
+		{ID: "lasting, one a worker", Priority: 2, LongRunning: true, MaxPerWorker: 1, LatestStart: later, LatestUsefulStart: later},
+		{ID: "first queue, lost", Priority: 0, LatestStart: past, LatestUsefulStart: past},
 	}
 	slices.SortFunc(entries, func(a, b *queue.Entry) int { return queue.Compare(a, b, start) })
 	want := []string{
@@ -49,8 +49,8 @@
 		run := time.Duration(1+(i*7)%4) * time.Second
 		objective := arrived.Add(2*run + time.Second)
 		all = append(all, queue.Entry{
-			ID: fmt.Sprint(i), Arrived: arrived, Work: run.Milliseconds(),
-			LatestStart: objective.Add(-run), LastUse: arrived.Add(3 * objective.Sub(arrived)).Add(-run),
+			ID: fmt.Sprint(i), Arrived: arrived, RemainingWork: run.Milliseconds(),
+			LatestStart: objective.Add(-run), LatestUsefulStart: arrived.Add(3 * objective.Sub(arrived)).Add(-run),
 		})
 	}
 	return all
@@ -90,10 +90,10 @@
 		if !now.After(e.LatestStart) {
 			onTime++
 		}
-		if !now.After(e.LastUse) {
+		if !now.After(e.LatestUsefulStart) {
 			useful++
 		}
-		free[i] = now.Add(time.Duration(e.Work) * time.Millisecond)
+		free[i] = now.Add(time.Duration(e.RemainingWork) * time.Millisecond)
 	}
 	return onTime, useful
 }
--- a/rank/rank.go
+++ b/rank/rank.go
@@ -25,29 +25,29 @@
 // have room.
 func Cost(t *Task, w *Worker) float64 {
 	cost := fitCost(t, w) + doubtCost(w)
-	if !w.DataNear {
+	if !w.DataLocal {
 		cost += farDataWeight
 	}
 	switch {
-	case t.Serving && t.AnyClass:
+	case t.Serving && t.IgnoreClasses:
 	case t.Serving:
-		cost += disturbWeight * w.Harm
+		cost += disturbWeight * w.Impact
 		if w.Serving == 0 {
 			cost += openWeight
 		}
-		if w.Strangers > 0 {
+		if w.OtherClasses > 0 {
 			cost += mixWeight
 		}
-	case t.Filler:
-		cost += disturbWeight * w.Harm
-		if t.Quiet {
-			cost += wantedWeight * w.Wanted // left to fillers that aren't
+	case t.BestEffort:
+		cost += disturbWeight * w.Impact
+		if t.LowImpact {
+			cost += wantedWeight * w.Demand // left to fillers that aren't
 		}
 	default:
-		cost += squeezeWeight * float64(w.Fillers) / float64(1+w.Fillers)
+		cost += squeezeWeight * float64(w.BestEffort) / float64(1+w.BestEffort)
 	}
 	if t.Spread {
-		cost += siblingWeight * float64(w.Siblings)
+		cost += siblingWeight * float64(w.SameStep)
 	}
 	return cost
 }
@@ -58,10 +58,10 @@
 	if w.Capacity.MilliCPU == 0 {
 		return 0
 	}
-	if t.Filler {
-		return 1 - float64(w.UnusedCPU-t.Needs.MilliCPU)/float64(w.Capacity.MilliCPU)
+	if t.BestEffort {
+		return 1 - float64(w.UnusedMilliCPU-t.Request.MilliCPU)/float64(w.Capacity.MilliCPU)
 	}
-	return float64(w.Free.MilliCPU-t.Needs.MilliCPU) / float64(w.Capacity.MilliCPU)
+	return float64(w.Free.MilliCPU-t.Request.MilliCPU) / float64(w.Capacity.MilliCPU)
 }
 
 // doubtCost keeps tasks from workers that fail them.
--- a/rank/worker.go
+++ b/rank/worker.go
@@ -8,25 +8,25 @@
 	Free infra.Resources
 	// Capacity is what it holds in all.
 	Capacity infra.Resources
-	// UnusedCPU is thousandths of a core that neither a reservation nor a
+	// UnusedMilliCPU is thousandths of a core that neither a reservation nor a
 	// filler's request covers; it may be negative.
-	UnusedCPU int64
+	UnusedMilliCPU int64
 	// Serving and Fillers count runs that serve users and that fill.
-	Serving, Fillers int
+	Serving, BestEffort int
 	// Strangers counts runs that serve users and are of another class than
 	// the task.
-	Strangers int
+	OtherClasses int
 	// Harm is how much the placement is expected to take from the slack of a
 	// serving task, its target over its tail.
-	Harm float64
+	Impact float64
 	// Wanted is the share of the fillers' work that only some workers suit and
 	// that this one does, 0 to 1.
-	Wanted float64
+	Demand float64
 	// Siblings counts runs of the same step.
-	Siblings int
-	// DataNear is set if the task's data is in the worker's rack, or it has
+	SameStep int
+	// DataLocal is set if the task's data is in the worker's rack, or it has
 	// none.
-	DataNear bool
+	DataLocal bool
 	// Suspect workers seem to fail whatever they get.
 	Suspect bool
 	// FailedBefore is set if the task failed there.
