--- a/control/commit.go
+++ b/control/commit.go
@@ -23,7 +23,7 @@
 		o.dirtySince = now
 	}
 	beat := now.Sub(o.lastCommit) >= heartbeat
-	all := !o.dirtySince.IsZero() && now.Sub(o.dirtySince) >= flushDelay+o.traffic.LookGap(now)/2
+	all := !o.dirtySince.IsZero() && now.Sub(o.dirtySince) >= flushDelay+o.traffic.PollInterval(now)/2
 	urgent := now.Sub(o.lastCommit) >= flushDelay && o.state.Urgent()
 	if !beat && !all && !urgent && len(o.waiters) == 0 {
 		return
@@ -49,8 +49,8 @@
 // applied any more has been deposed.
 func (o *Owner) commit(b *dispatch.Batch) {
 	begun := boottime()
-	best, _ := o.rivals.Best(begun)
-	o.committer.Measure(max(best, o.opts.Cores))
+	best, _ := o.rivals.Strongest(begun)
+	o.committer.SetCores(max(best, o.opts.Cores))
 	err := o.committer.Commit(o.ctx, b.Writes)
 	o.opts.Metrics.commit(err, boottime()-begun)
 	if err != nil {
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -8,7 +8,7 @@
 	o, _, _ := n.current()
 	done := make(chan struct{})
 	o.post(func() {
-		o.demand.Least = perZone
+		o.demand.Min = perZone
 		o.adaptRelays(time.Now(), 0)
 		close(done)
 	})
--- a/control/follow.go
+++ b/control/follow.go
@@ -54,7 +54,7 @@
 			return d
 		}
 		a := r.answer()
-		d.why, d.gone = a.Doubt(&leader)
+		d.why, d.gone = a.SuspectReason(&leader)
 		if a.Owns(&leader) {
 			d.version, d.since = r.Version, time.Now().Add(-a.CommitAge)
 		}
@@ -122,7 +122,7 @@
 		d.since = time.Time{}
 		n.askPeers(ctx)
 		return false
-	case record.Host != "" && !record.Resigned && !record.Same(&old):
+	case record.Host != "" && !record.Resigned && !record.SameOwnership(&old):
 		n.followOwner(record)
 		return true
 	case d.since.IsZero() || version != d.version:
@@ -135,7 +135,7 @@
 			d.since = d.since.Add(-unchangedFor) // nobody to wait for
 		}
 	}
-	wait := election.Wait(&record, n.opts.Cores, n.patience(d.gone)+slowness)
+	wait := election.AcquireWait(&record, n.opts.Cores, n.patience(d.gone)+slowness)
 	return time.Since(d.since) >= wait && n.take(ctx, record, version)
 }
 
@@ -149,7 +149,7 @@
 func (n *Node) alive(ctx context.Context, leader election.Record) bool {
 	r, res := n.ping(ctx, leader)
 	a := r.answer()
-	why, _ := a.Doubt(&leader)
+	why, _ := a.SuspectReason(&leader)
 	return res == outcome.Answered && why == ""
 }
 
@@ -191,7 +191,7 @@
 	}
 	self := election.Record{Host: n.opts.Host, Address: n.opts.Address, Incarnation: n.opts.Incarnation, Cores: n.opts.Cores}
 	try, cancel := context.WithTimeout(ctx, rowTimeout)
-	c, err := election.Take(try, n.opts.Table, self, seen, version)
+	c, err := election.Acquire(try, n.opts.Table, self, seen, version)
 	cancel()
 	if err != nil {
 		event.OwnershipMissed.Log(n.opts.Log, slog.Any("epoch", seen.Epoch+1), slog.Any("err", err))
@@ -212,7 +212,7 @@
 	defer o.relays.close()
 	o.rivals = &n.rivals
 	// The load that the owner before was pressed by is still there.
-	o.demand.Begin(int(n.relays.Load()))
+	o.demand.Restore(int(n.relays.Load()))
 	o.missed = before.Resigned && before.HandedOver && before.Cores > opts.Cores
 	go n.announce(ctx, before, c.Record(), func() {
 		o.post(func() { o.state.PredecessorStopped(time.Now()) })
--- a/control/handover.go
+++ b/control/handover.go
@@ -32,15 +32,15 @@
 		return o.handedOver
 	}
 	now := boottime()
-	s := election.Standing{Cores: o.opts.Cores, Owned: now - o.begun, CommitAge: o.commitAge(), Missed: o.missed}
-	s.Best, s.BestFor = o.rivals.Best(now)
-	if !s.HandsOver() {
+	s := election.HandoverState{Cores: o.opts.Cores, OwnedFor: now - o.begun, CommitAge: o.commitAge(), PredecessorHandedOver: o.missed}
+	s.BestCores, s.BestSeenFor = o.rivals.Strongest(now)
+	if !s.ShouldHandOver() {
 		return false
 	}
-	event.HandOverBegun.Log(o.opts.Log, slog.Uint64("epoch", o.epoch), slog.Float64("cores", s.Cores), slog.Float64("best", s.Best))
+	event.HandOverBegun.Log(o.opts.Log, slog.Uint64("epoch", o.epoch), slog.Float64("cores", s.Cores), slog.Float64("best", s.BestCores))
 	o.handedOver = true
 	go func() {
-		o.committer.HandOver()
+		o.committer.MarkHandedOver()
 		ctx, cancel := context.WithTimeout(o.ctx, handOverTimeout)
 		defer cancel()
 		o.resign(ctx)
--- a/control/keeprow_test.go
+++ b/control/keeprow_test.go
@@ -27,7 +27,7 @@
 		if first.Host == "" {
 			first = r
 		}
-		if r.Same(&first) && r.Seq > first.Seq+2 {
+		if r.SameOwnership(&first) && r.Seq > first.Seq+2 {
 			return
 		}
 		pause.For(ctx, time.Millisecond)
--- a/control/messages.go
+++ b/control/messages.go
@@ -48,8 +48,8 @@
 }
 
 // answer returns what it says of the ownership.
-func (r *pingReply) answer() election.Answer {
-	return election.Answer{
+func (r *pingReply) answer() election.Status {
+	return election.Status{
 		Incarnation: r.Incarnation, Owner: r.Owner, Epoch: r.Epoch, CommitAge: time.Duration(r.CommitAgeMS) * time.Millisecond,
 	}
 }
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -129,8 +129,8 @@
 	}
 	m.late.Set(l.latest.Seconds())
 	for what, v := range map[string]float64{
-		"wait": t.Wait.Seconds(), "round_trip": t.Smoothed.Seconds(), "look_gap": t.LookGap.Seconds(),
-		"starts": float64(t.Starts), "start_limit": float64(t.StartLimit),
+		"wait": t.Timeout.Seconds(), "round_trip": t.SmoothedRTT.Seconds(), "look_gap": t.PollInterval.Seconds(),
+		"starts": float64(t.StartsInFlight), "start_limit": float64(t.StartLimit),
 	} {
 		m.traffic.WithLabelValues(what).Set(v)
 	}
--- a/control/node.go
+++ b/control/node.go
@@ -43,7 +43,7 @@
 	// hint is the newest owner that peers told of.
 	hint election.Record
 	// rivals are the hosts that ask after this one as the owner.
-	rivals election.Rivals
+	rivals election.Candidates
 	// payloads are those of jobs whose starts this host carries for an owner.
 	payloads payloads
 	// relays is how many relays each zone had under the owner that answered last.
--- a/control/options.go
+++ b/control/options.go
@@ -39,7 +39,7 @@
 	TailBound time.Duration
 	// Leads, if set, is told when this host begins to own the domain and when
 	// that is over.
-	Leads func(owner bool)
+	OwnershipChanged func(owner bool)
 	// Without names what the scheduling policy leaves out, for experiments.
 	Without mechanism.Set
 }
@@ -47,8 +47,8 @@
 // lead marks the beginning or the end of an ownership.
 func (o *Options) lead(owner bool) {
 	o.Metrics.lead(owner)
-	if o.Leads != nil {
-		o.Leads(owner)
+	if o.OwnershipChanged != nil {
+		o.OwnershipChanged(owner)
 	}
 }
 
--- a/control/orders.go
+++ b/control/orders.go
@@ -43,9 +43,9 @@
 func (o *Owner) orderStart(s dispatch.StartOrder) {
 	session := o.sessions[s.Worker.ID]
 	given := boottime()
-	o.traffic.StartGiven()
+	o.traffic.StartIssued()
 	queued := o.give(s.Worker.ID, func(ctx context.Context) {
-		a, way := runner.Answer{Status: runner.Fenced}, flow.Way{}
+		a, way := runner.Answer{Status: runner.Fenced}, flow.RoundTrip{}
 		if session.token.Load() == s.Start.Token && o.proven() && boottime()-given < o.traffic.startWait() {
 			a, way = o.traffic.send(ctx, 0, func(ctx context.Context) runner.Answer {
 				return o.relays.Start(ctx, s.Worker, s.Start)
@@ -54,17 +54,17 @@
 		o.post(func() { o.startAnswered(s, a, way) })
 	})
 	if !queued {
-		o.startAnswered(s, runner.Answer{Status: runner.Unhealthy}, flow.Way{})
+		o.startAnswered(s, runner.Answer{Status: runner.Unhealthy}, flow.RoundTrip{})
 	}
 }
 
 // startAnswered takes the answer to a start in.
-func (o *Owner) startAnswered(s dispatch.StartOrder, a runner.Answer, way flow.Way) {
+func (o *Owner) startAnswered(s dispatch.StartOrder, a runner.Answer, way flow.RoundTrip) {
 	now := time.Now()
-	if way.Took > 0 {
+	if way.Duration > 0 {
 		o.traffic.measured(now, way)
 	}
-	o.traffic.StartOver(now, way)
+	o.traffic.StartFinished(now, way)
 	o.opts.Metrics.order("start", a.Status)
 	event.StartAnswered.Log(o.opts.Log, slog.Any("task", s.Start.Task), slog.Any("run", s.Start.Run), slog.Any("worker", s.Worker.ID), slog.Any("token", s.Start.Token), slog.Any("known", s.Known), slog.Any("status", a.Status), slog.Any("err", a.Err))
 	if !o.state.StartAnswered(now, s, a) {
@@ -165,15 +165,15 @@
 }
 
 // looked takes in a worker's answer to a look.
-func (o *Owner) looked(s *session, l look, a runner.Answer, rep runner.Report, way flow.Way) {
+func (o *Owner) looked(s *session, l look, a runner.Answer, rep runner.Report, way flow.RoundTrip) {
 	now := time.Now()
 	o.opts.Metrics.order("look", a.Status)
 	// A worker that was silent before is looked at in vain as long as it is
 	// gone, and one that may hold its answer says nothing of the way.
-	if (way.Late && o.state.Heard(l.worker.ID)) || (!way.Late && l.renewal.WaitMS == 0) {
+	if (way.TimedOut && o.state.Heard(l.worker.ID)) || (!way.TimedOut && l.renewal.WaitMS == 0) {
 		o.traffic.measured(now, way)
 	}
-	s.nextLook = now.Add(o.traffic.LookGap(now))
+	s.nextLook = now.Add(o.traffic.PollInterval(now))
 	if a.Status != runner.Done {
 		s.nextLook = now.Add(max(lookRetry, o.traffic.orderWait()))
 		event.WorkerNotSeen.Log(o.opts.Log, slog.Any("worker", l.worker.ID), slog.Any("status", a.Status), slog.Any("err", a.Err))
--- a/control/owner.go
+++ b/control/owner.go
@@ -26,7 +26,7 @@
 	traffic   *traffic
 	// relays is the way to the workers, demand how many relays there should be.
 	relays *relays
-	demand relay.Demand
+	demand relay.Scaler
 	// perZone is how many relays each zone has, for hosts that ask.
 	perZone atomic.Int64
 	// waiters are told when a job's newest change is durable.
@@ -65,7 +65,7 @@
 	afterCommit func()
 	// rivals are the hosts that ask after this owner, begun is since when, in
 	// boottime, it owns the domain.
-	rivals *election.Rivals
+	rivals *election.Candidates
 	begun  time.Duration
 	// missed is set if the owner before handed the domain over for a stronger
 	// host than this, handedOver once this one does.
@@ -84,7 +84,7 @@
 	o := &Owner{
 		opts: opts, ctx: ctx, quit: quit, committer: c, config: cfg, epoch: c.Record().Epoch,
 		events: make(chan func(), eventBuffer), sessions: map[string]*session{}, traffic: newTraffic(),
-		waiters: map[string][]chan reply{}, stopped: make(chan struct{}), begun: boottime(), rivals: new(election.Rivals),
+		waiters: map[string][]chan reply{}, stopped: make(chan struct{}), begun: boottime(), rivals: new(election.Candidates),
 	}
 	o.relays = newRelays(&o.opts)
 	o.state = dispatch.New(dispatch.Config{
@@ -175,7 +175,7 @@
 	o.flush(now)
 	at := o.loop.add(flushing, now)
 	if o.proven() && !o.resigning && o.planDue(now) {
-		p := o.state.PlanAtMost(now, o.traffic.StartRoom())
+		p := o.state.PlanAtMost(now, o.traffic.AvailableStarts())
 		at = o.loop.add(planning, at)
 		o.loop.planned(p.HeldBack)
 		o.planned, o.heldBack = now, p.HeldBack
@@ -193,7 +193,7 @@
 // planDue reports whether to plan now: at once, but where starts wait for those
 // under way only once some of these are answered, or after a tick.
 func (o *Owner) planDue(now time.Time) bool {
-	return !o.heldBack || o.traffic.StartsReady() || now.Sub(o.planned) >= tick
+	return !o.heldBack || o.traffic.CanPlanStarts() || now.Sub(o.planned) >= tick
 }
 
 // abandon tells everybody who waits that the outcome is open.
--- a/control/relays.go
+++ b/control/relays.go
@@ -69,7 +69,7 @@
 
 // use puts a table in force.
 func (r *relays) use(t *relay.Table) {
-	before, now := r.table.Swap(t).Hosts(), t.Hosts()
+	before, now := r.table.Swap(t).Addresses(), t.Addresses()
 	addresses := map[string]string{}
 	for _, a := range now {
 		addresses[a] = a
@@ -105,7 +105,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	return r.table.Load().For(w.ID, w.Zone, func(address string) bool { return !now.Before(r.state(address).avoidUntil) })
+	return r.table.Load().RelayFor(w.ID, w.Zone, func(address string) bool { return !now.Before(r.state(address).avoidUntil) })
 }
 
 // heard notes whether a relay answered.
--- a/control/rig_test.go
+++ b/control/rig_test.go
@@ -77,9 +77,9 @@
 	h.node = control.NewNode(control.Options{
 		Host: name, Address: h.address, Incarnation: fmt.Sprintf("%s-%d", name, c.lives), Seeds: seeds, Cores: c.cores,
 		Table: table, Workers: c.carried[name], Zone: testZone, Members: c.fleet, Log: c.log,
-		Metrics:   control.NewMetrics(prometheus.NewRegistry()),
-		Leads:     c.leads,
-		Retention: time.Minute, MaxLease: 10 * time.Second, TailBound: 4 * time.Second,
+		Metrics:          control.NewMetrics(prometheus.NewRegistry()),
+		OwnershipChanged: c.leads,
+		Retention:        time.Minute, MaxLease: 10 * time.Second, TailBound: 4 * time.Second,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	h.kill = func() {
--- a/control/serve.go
+++ b/control/serve.go
@@ -15,7 +15,7 @@
 			return nil, err
 		}
 		n.met(q.Address)
-		n.rivals.Heard(q.Address, q.Zone, q.Cores, boottime())
+		n.rivals.Observe(q.Address, q.Zone, q.Cores, boottime())
 		return n.pong(q.Hosts), nil
 	})
 	serve(n.server, methodSubmit, n, func(ctx context.Context, o *Owner, q *submitRequest) reply {
--- a/control/session.go
+++ b/control/session.go
@@ -73,7 +73,7 @@
 }
 
 // renew makes one look.
-func (o *Owner) renew(ctx context.Context, l look) (a runner.Answer, rep runner.Report, way flow.Way) {
+func (o *Owner) renew(ctx context.Context, l look) (a runner.Answer, rep runner.Report, way flow.RoundTrip) {
 	held := time.Duration(l.renewal.WaitMS) * time.Millisecond
 	a, way = o.traffic.send(ctx, held, func(ctx context.Context) (a runner.Answer) {
 		a, rep = o.relays.Renew(ctx, l.worker, l.renewal)
--- a/control/summary.go
+++ b/control/summary.go
@@ -42,5 +42,5 @@
 		Workers: workers, Orders: int(o.relays.orders.Swap(0)), RoundTrip: o.traffic.RoundTrip(now), HeldBack: o.loop.pressed(),
 	})
 	o.perZone.Store(int64(perZone))
-	o.relays.use(relay.NewTable(o.rivals.Relays(boottime()), perZone))
+	o.relays.use(relay.NewTable(o.rivals.RelayHosts(boottime()), perZone))
 }
--- a/control/takeover_test.go
+++ b/control/takeover_test.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := election.Take(t.Context(), table, election.Record{Host: "a", Incarnation: "a"}, seen, version)
+	c, err := election.Acquire(t.Context(), table, election.Record{Host: "a", Incarnation: "a"}, seen, version)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/traffic.go
+++ b/control/traffic.go
@@ -23,7 +23,7 @@
 // newTraffic returns the traffic of an owner that has sent nothing.
 func newTraffic() *traffic {
 	t := &traffic{Traffic: flow.NewTraffic()}
-	t.wait.Store(int64(t.Wait()))
+	t.wait.Store(int64(t.Timeout()))
 	return t
 }
 
@@ -38,19 +38,19 @@
 
 // send gives an order, waits for its answer and measures how long that takes.
 // Held is how long the worker is asked to hold its answer.
-func (t *traffic) send(ctx context.Context, held time.Duration, order func(context.Context) runner.Answer) (runner.Answer, flow.Way) {
+func (t *traffic) send(ctx context.Context, held time.Duration, order func(context.Context) runner.Answer) (runner.Answer, flow.RoundTrip) {
 	wait := t.orderWait() + held
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	begun := boottime()
 	a := order(ctx)
 	took := max(boottime()-begun, 1)
-	return a, flow.Way{Took: took, Late: a.Status == runner.Unknown && took >= wait-lateSlack}
+	return a, flow.RoundTrip{Duration: took, TimedOut: a.Status == runner.Unknown && took >= wait-lateSlack}
 }
 
 // measured takes in the way of an order that the worker answered at once, or
 // that got no answer in time.
-func (t *traffic) measured(now time.Time, w flow.Way) {
-	t.Measured(now, w)
-	t.wait.Store(int64(t.Wait()))
+func (t *traffic) measured(now time.Time, w flow.RoundTrip) {
+	t.Observe(now, w)
+	t.wait.Store(int64(t.Timeout()))
 }
--- a/dispatch/slowlink_test.go
+++ b/dispatch/slowlink_test.go
@@ -67,24 +67,24 @@
 
 // restraint is how an owner holds back.
 type restraint interface {
-	Wait() time.Duration
-	StartRoom() int
-	StartGiven()
-	StartOver(now time.Time, w flow.Way)
-	Measured(now time.Time, w flow.Way)
-	LookGap(now time.Time) time.Duration
+	Timeout() time.Duration
+	AvailableStarts() int
+	StartIssued()
+	StartFinished(now time.Time, w flow.RoundTrip)
+	Observe(now time.Time, w flow.RoundTrip)
+	PollInterval(now time.Time) time.Duration
 }
 
 // fixedLimits holds back by a time limit only.
 type fixedLimits struct{}
 
 // Wait and the others implement restraint.
-func (fixedLimits) Wait() time.Duration             { return 300 * time.Millisecond }
-func (fixedLimits) StartRoom() int                  { return math.MaxInt }
-func (fixedLimits) StartGiven()                     {}
-func (fixedLimits) StartOver(time.Time, flow.Way)   {}
-func (fixedLimits) Measured(time.Time, flow.Way)    {}
-func (fixedLimits) LookGap(time.Time) time.Duration { return 0 }
+func (fixedLimits) Timeout() time.Duration                  { return 300 * time.Millisecond }
+func (fixedLimits) AvailableStarts() int                    { return math.MaxInt }
+func (fixedLimits) StartIssued()                            {}
+func (fixedLimits) StartFinished(time.Time, flow.RoundTrip) {}
+func (fixedLimits) Observe(time.Time, flow.RoundTrip)       {}
+func (fixedLimits) PollInterval(time.Time) time.Duration    { return 0 }
 
 // linkSite is a domain whose owner reaches its workers over one link.
 type linkSite struct {
@@ -143,7 +143,7 @@
 		s.workAll()
 		s.noteEnds()
 		s.flush()
-		for _, o := range s.state.PlanAtMost(s.now, s.traffic.StartRoom()).Starts {
+		for _, o := range s.state.PlanAtMost(s.now, s.traffic.AvailableStarts()).Starts {
 			s.give(o)
 		}
 		for _, w := range s.lives {
@@ -166,23 +166,23 @@
 
 // exchange sends an order and has its answer taken in, or that there was none
 // within the wait. The worker carries it out whenever it comes.
-func (s *linkSite) exchange(bytes int, held time.Duration, do func(answer func(bytes int)), over func(way flow.Way)) {
+func (s *linkSite) exchange(bytes int, held time.Duration, do func(answer func(bytes int)), over func(way flow.RoundTrip)) {
 	given, open := s.now, true
 	s.carry(&s.out, bytes, func() {
 		do(func(bytes int) {
 			s.carry(&s.in, bytes, func() {
 				if open {
 					open = false
-					over(flow.Way{Took: max(s.now.Sub(given), 1)})
+					over(flow.RoundTrip{Duration: max(s.now.Sub(given), 1)})
 				}
 			})
 		})
 	})
-	s.after(s.traffic.Wait()+held, func() {
+	s.after(s.traffic.Timeout()+held, func() {
 		if open {
 			open = false
 			s.unanswered++
-			over(flow.Way{Took: s.now.Sub(given), Late: true})
+			over(flow.RoundTrip{Duration: s.now.Sub(given), TimedOut: true})
 		}
 	})
 }
@@ -190,7 +190,7 @@
 // give sends a start.
 func (s *linkSite) give(o dispatch.StartOrder) {
 	w, status := s.life(o.Worker.ID), runner.Unknown
-	s.traffic.StartGiven()
+	s.traffic.StartIssued()
 	s.exchange(startBytes, 0, func(answer func(int)) {
 		status = w.start(s.clock(), o.Start, &faultRun{number: o.Start.Run, step: &s.jobOf(o).Steps[o.Start.Task.Step], began: s.now, need: time.Second})
 		switch {
@@ -200,13 +200,13 @@
 			s.again++
 		}
 		answer(answerBytes)
-	}, func(way flow.Way) {
+	}, func(way flow.RoundTrip) {
 		a := runner.Answer{Status: status, ClockMS: s.clock()}
-		if way.Late {
+		if way.TimedOut {
 			a = runner.Answer{Status: runner.Unknown}
 		}
-		s.traffic.Measured(s.now, way)
-		s.traffic.StartOver(s.now, way)
+		s.traffic.Observe(s.now, way)
+		s.traffic.StartFinished(s.now, way)
 		if s.state.StartAnswered(s.now, o, a) {
 			s.lookAt(w, false)
 		}
@@ -252,18 +252,18 @@
 	s.exchange(lookBytes, held, func(reply func(int)) {
 		s.holdUntilEnd(w, renewal.Acknowledged, s.now.Add(held), func() { answer(reply) })
 	},
-		func(way flow.Way) {
+		func(way flow.RoundTrip) {
 			if waits {
 				s.looking[id] = false
 			}
-			if (way.Late && s.state.Heard(id)) || (!way.Late && held == 0) {
-				s.traffic.Measured(s.now, way)
+			if (way.TimedOut && s.state.Heard(id)) || (!way.TimedOut && held == 0) {
+				s.traffic.Observe(s.now, way)
 			}
 			a := runner.Answer{Status: status, ClockMS: rep.ClockMS}
-			s.nextLook[id] = s.now.Add(s.traffic.LookGap(s.now))
-			if way.Late {
+			s.nextLook[id] = s.now.Add(s.traffic.PollInterval(s.now))
+			if way.TimedOut {
 				a, rep = runner.Answer{Status: runner.Unknown}, runner.Report{}
-				s.nextLook[id] = s.now.Add(s.traffic.Wait())
+				s.nextLook[id] = s.now.Add(s.traffic.Timeout())
 			}
 			s.state.Report(s.now, id, renewal, a, rep)
 		})
--- a/election/answer.go
+++ b/election/answer.go
@@ -7,7 +7,7 @@
 const StaleAfter = 750 * time.Millisecond
 
 // Answer is what a host says of its ownership.
-type Answer struct {
+type Status struct {
 	// Incarnation names the life of its process.
 	Incarnation string
 	// Owner is set if it owns the domain, under Epoch.
@@ -18,7 +18,7 @@
 }
 
 // Owns reports whether the host owns the domain as the owner's row says.
-func (a *Answer) Owns(leader *Record) bool {
+func (a *Status) Owns(leader *Record) bool {
 	return a.Owner && a.Incarnation == leader.Incarnation && a.Epoch == leader.Epoch
 }
 
@@ -28,7 +28,7 @@
 // the commit by which it took the domain is still on its way. Taken for gone,
 // owners were replaced 0.5 s after they took over while the table service was
 // slow.
-func (a *Answer) Doubt(leader *Record) (why string, gone bool) {
+func (a *Status) SuspectReason(leader *Record) (why string, gone bool) {
 	switch {
 	case a.Incarnation != leader.Incarnation:
 		return "another life of the host", true
--- a/election/committer.go
+++ b/election/committer.go
@@ -32,13 +32,13 @@
 	record  Record
 	version uint64
 	// Pause waits before a try after a refusal; tests replace it.
-	Pause func(ctx context.Context, d time.Duration)
+	Sleep func(ctx context.Context, d time.Duration)
 }
 
 // NewCommitter returns the committer of an ownership whose row has the given
 // version.
 func NewCommitter(table infra.Table, record Record, version uint64) *Committer {
-	return &Committer{table: table, record: record, version: version, Pause: pause}
+	return &Committer{table: table, record: record, version: version, Sleep: pause}
 }
 
 // pause waits for d or the end of the context.
@@ -67,14 +67,14 @@
 
 // Measure has the next commits say that the strongest host has so many
 // processors.
-func (c *Committer) Measure(cores float64) {
+func (c *Committer) SetCores(cores float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.record.Cores = cores
 }
 
 // HandOver has the next commits say that the owner stops for a stronger host.
-func (c *Committer) HandOver() {
+func (c *Committer) MarkHandedOver() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.record.HandedOver = true
@@ -136,11 +136,11 @@
 				return err
 			}
 		case infra.CommitNotApplied:
-			c.Pause(ctx, retryPause)
+			c.Sleep(ctx, retryPause)
 		case infra.CommitUnknown:
 			timeout = min(2*timeout, lastTimeout)
 			if failedAtOnce { // without a pause a store was called up to 1,490 times within a second
-				c.Pause(ctx, retryPause)
+				c.Sleep(ctx, retryPause)
 			}
 		}
 		if err := ctx.Err(); err != nil {
@@ -161,7 +161,7 @@
 		if err != nil {
 			return false, err
 		}
-		if !found.Same(&c.record) {
+		if !found.SameOwnership(&c.record) {
 			return false, errors.Wrapf(ErrDeposed, "epoch %d is owned by %s", found.Epoch, found.Host)
 		}
 		c.version = row.Version
--- a/election/committer_test.go
+++ b/election/committer_test.go
@@ -51,11 +51,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := election.Take(context.Background(), table, election.Record{Host: host, Incarnation: host}, seen, version)
+	c, err := election.Acquire(context.Background(), table, election.Record{Host: host, Incarnation: host}, seen, version)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Pause = func(context.Context, time.Duration) {}
+	c.Sleep = func(context.Context, time.Duration) {}
 	return c
 }
 
@@ -149,7 +149,7 @@
 	}
 	taken := 0
 	for _, host := range []string{"a", "b"} {
-		_, err := election.Take(ctx, table, election.Record{Host: host, Incarnation: host}, seen, version)
+		_, err := election.Acquire(ctx, table, election.Record{Host: host, Incarnation: host}, seen, version)
 		switch {
 		case err == nil:
 			taken++
@@ -181,7 +181,7 @@
 	table := &scripted{Table: memtable.New()}
 	c := newOwner(t, table, "a")
 	pauses := 0
-	c.Pause = func(context.Context, time.Duration) { pauses++ }
+	c.Sleep = func(context.Context, time.Duration) { pauses++ }
 	table.script = append(table.script, table.lost, table.lost)
 	if err := c.Commit(context.Background(), write("k", "v")); err != nil {
 		t.Fatal(err)
--- a/election/handicap.go
+++ b/election/handicap.go
@@ -18,7 +18,7 @@
 // had, or than a whole one where there was none. The owner's host does most of
 // the work: on hosts of 0.19 to 0.8 processors it is so one of the strongest,
 // and where all are alike nobody waits longer at a take-over.
-func Handicap(before *Record, cores float64) time.Duration {
+func TakeoverDelay(before *Record, cores float64) time.Duration {
 	most, longest := before.Cores, takeOverHandicap
 	if before.Host == "" {
 		most, longest = wholeCore, firstHandicap
@@ -35,9 +35,9 @@
 // waited for, but weaker hosts still leave its place to stronger ones: without
 // that, half of the resignations on hosts of 0.19 to 0.8 processors left the domain
 // to one of 0.19, where planning took all of the processor.
-func Wait(before *Record, cores float64, patience time.Duration) time.Duration {
+func AcquireWait(before *Record, cores float64, patience time.Duration) time.Duration {
 	if before.Resigned {
 		patience = 0
 	}
-	return patience + Handicap(before, cores)
+	return patience + TakeoverDelay(before, cores)
 }
--- a/election/handicap_test.go
+++ b/election/handicap_test.go
@@ -24,7 +24,7 @@
 		{"an owner that doesn't say", &election.Record{Host: "a"}, 0.2, 0},
 		{"a host that doesn't know", strong, 0, 0},
 	} {
-		if got := election.Handicap(c.before, c.cores).Round(time.Millisecond); got != c.want {
+		if got := election.TakeoverDelay(c.before, c.cores).Round(time.Millisecond); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -47,7 +47,7 @@
 		{"as strong as one that resigned", resigned, 0.8, 0},
 		{"a quarter of one that resigned", resigned, 0.2, 225 * time.Millisecond},
 	} {
-		if got := election.Wait(c.before, c.cores, patience).Round(time.Millisecond); got != c.want {
+		if got := election.AcquireWait(c.before, c.cores, patience).Round(time.Millisecond); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/election/handover.go
+++ b/election/handover.go
@@ -24,30 +24,30 @@
 )
 
 // Standing is how an owner's host compares with the other hosts.
-type Standing struct {
+type HandoverState struct {
 	// Cores are the processors of the owner's host, 0 if it doesn't know.
 	Cores float64
 	// Best are those of the strongest other host that can take the domain, 0 if
-	// there is none, and BestFor how long it has been there.
-	Best    float64
-	BestFor time.Duration
+	// there is none, and BestSeenFor how long it has been there.
+	BestCores   float64
+	BestSeenFor time.Duration
 	// Owned is for how long the host has owned the domain.
-	Owned time.Duration
+	OwnedFor time.Duration
 	// CommitAge is the age of its last commit.
 	CommitAge time.Duration
 	// Missed is set if the owner before handed the domain over for a stronger
 	// host than this.
-	Missed bool
+	PredecessorHandedOver bool
 }
 
-// HandsOver reports whether the owner should hand the domain over. A weak host
+// ShouldHandOver reports whether the owner should hand the domain over. A weak host
 // that took it while the strong ones were away kept it otherwise until it
 // died. Nothing moves while the table service is away.
-func (s *Standing) HandsOver() bool {
+func (s *HandoverState) ShouldHandOver() bool {
 	stay := stayFor
-	if s.Missed {
+	if s.PredecessorHandedOver {
 		stay = retryAfter
 	}
-	return s.Cores > 0 && s.Best >= clearlyStronger*s.Cores && s.BestFor >= readyFor &&
-		s.Owned >= stay && s.CommitAge <= StaleAfter
+	return s.Cores > 0 && s.BestCores >= clearlyStronger*s.Cores && s.BestSeenFor >= readyFor &&
+		s.OwnedFor >= stay && s.CommitAge <= StaleAfter
 }
--- a/election/handover_test.go
+++ b/election/handover_test.go
@@ -10,27 +10,27 @@
 // TestHandsOver moves the domain from a weak host to a clearly stronger one
 // that is there for good, and at no other time.
 func TestHandsOver(t *testing.T) {
-	weak := election.Standing{Cores: 0.2, Best: 0.8, BestFor: 5 * time.Second, Owned: 5 * time.Second}
+	weak := election.HandoverState{Cores: 0.2, BestCores: 0.8, BestSeenFor: 5 * time.Second, OwnedFor: 5 * time.Second}
 	for _, c := range []struct {
 		name   string
-		change func(*election.Standing)
+		change func(*election.HandoverState)
 		want   bool
 	}{
-		{"a strong host is there", func(*election.Standing) {}, true},
-		{"no other host can take it", func(s *election.Standing) { s.Best = 0 }, false},
-		{"hosts are alike", func(s *election.Standing) { s.Best = s.Cores }, false},
-		{"the other is a little stronger", func(s *election.Standing) { s.Best = 0.3 }, false},
-		{"the owner is the strongest", func(s *election.Standing) { s.Cores = 1 }, false},
-		{"the owner's processors are unknown", func(s *election.Standing) { s.Cores = 0 }, false},
-		{"the strong host has just come", func(s *election.Standing) { s.BestFor = 500 * time.Millisecond }, false},
-		{"the owner has just taken over", func(s *election.Standing) { s.Owned = time.Second }, false},
-		{"the store is away", func(s *election.Standing) { s.CommitAge = time.Second }, false},
-		{"nobody strong took it lately", func(s *election.Standing) { s.Missed = true }, false},
-		{"nobody strong took it long ago", func(s *election.Standing) { s.Missed, s.Owned = true, time.Minute }, true},
+		{"a strong host is there", func(*election.HandoverState) {}, true},
+		{"no other host can take it", func(s *election.HandoverState) { s.BestCores = 0 }, false},
+		{"hosts are alike", func(s *election.HandoverState) { s.BestCores = s.Cores }, false},
+		{"the other is a little stronger", func(s *election.HandoverState) { s.BestCores = 0.3 }, false},
+		{"the owner is the strongest", func(s *election.HandoverState) { s.Cores = 1 }, false},
+		{"the owner's processors are unknown", func(s *election.HandoverState) { s.Cores = 0 }, false},
+		{"the strong host has just come", func(s *election.HandoverState) { s.BestSeenFor = 500 * time.Millisecond }, false},
+		{"the owner has just taken over", func(s *election.HandoverState) { s.OwnedFor = time.Second }, false},
+		{"the store is away", func(s *election.HandoverState) { s.CommitAge = time.Second }, false},
+		{"nobody strong took it lately", func(s *election.HandoverState) { s.PredecessorHandedOver = true }, false},
+		{"nobody strong took it long ago", func(s *election.HandoverState) { s.PredecessorHandedOver, s.OwnedFor = true, time.Minute }, true},
 	} {
 		s := weak
 		c.change(&s)
-		if got := s.HandsOver(); got != c.want {
+		if got := s.ShouldHandOver(); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/election/record.go
+++ b/election/record.go
@@ -30,7 +30,7 @@
 }
 
 // Same reports whether both name the same ownership.
-func (r *Record) Same(o *Record) bool {
+func (r *Record) SameOwnership(o *Record) bool {
 	return r.Epoch == o.Epoch && r.Incarnation == o.Incarnation
 }
 
--- a/election/rivals.go
+++ b/election/rivals.go
@@ -14,7 +14,7 @@
 
 // Rivals keeps which processors the hosts have that ask after an owner. It is
 // safe for concurrent use.
-type Rivals struct {
+type Candidates struct {
 	mu   sync.Mutex
 	seen map[string]rival
 }
@@ -29,7 +29,7 @@
 
 // Heard notes that a host of a zone with so many processors asked, at the time
 // now of a clock that only rises. A host that can't take the domain says 0.
-func (r *Rivals) Heard(host, zone string, cores float64, now time.Duration) {
+func (r *Candidates) Observe(host, zone string, cores float64, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, old := range r.seen {
@@ -52,7 +52,7 @@
 }
 
 // Relays returns the hosts that are there and may carry orders.
-func (r *Rivals) Relays(now time.Duration) []relay.Host {
+func (r *Candidates) RelayHosts(now time.Duration) []relay.Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all []relay.Host
@@ -66,7 +66,7 @@
 
 // Best returns the processors of the strongest host that is there, and how
 // long it has been; 0 if none is.
-func (r *Rivals) Best(now time.Duration) (cores float64, there time.Duration) {
+func (r *Candidates) Strongest(now time.Duration) (cores float64, there time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, h := range r.seen {
--- a/election/take.go
+++ b/election/take.go
@@ -23,7 +23,7 @@
 
 // Take makes self the next owner, if the row still has the version seen. It
 // returns ErrDeposed if somebody else was faster.
-func Take(ctx context.Context, table infra.Table, self, seen Record, version uint64) (*Committer, error) {
+func Acquire(ctx context.Context, table infra.Table, self, seen Record, version uint64) (*Committer, error) {
 	self.Epoch, self.Seq, self.Resigned = seen.Epoch+1, 0, false
 	c := NewCommitter(table, self, version)
 	if err := c.Commit(ctx, nil); err != nil {
--- a/flow/flow_test.go
+++ b/flow/flow_test.go
@@ -21,7 +21,7 @@
 		400 * time.Millisecond: {400 * time.Millisecond, time.Second},
 		4 * time.Second:        {ceiling, ceiling},
 	} {
-		timeout := flow.Timeout{Floor: floor, Ceiling: ceiling}
+		timeout := flow.Timeout{Min: floor, Max: ceiling}
 		for range 50 {
 			timeout.Answered(took)
 		}
@@ -35,11 +35,11 @@
 // that do, which changes nothing, and then all answers come after the time to
 // wait: it has to grow beyond them, though none of them is ever measured.
 func TestTimeoutTellsDelayFromLoss(t *testing.T) {
-	timeout := flow.Timeout{Floor: floor, Ceiling: ceiling}
+	timeout := flow.Timeout{Min: floor, Max: ceiling}
 	for i := range 1000 {
 		timeout.Answered(10 * time.Millisecond)
 		if i%10 == 0 {
-			timeout.Missed()
+			timeout.TimedOut()
 		}
 	}
 	if got := timeout.Value(); got != floor {
@@ -48,7 +48,7 @@
 	const delay = 900 * time.Millisecond
 	for range 200 {
 		if timeout.Value() < delay {
-			timeout.Missed()
+			timeout.TimedOut()
 		} else {
 			timeout.Answered(delay)
 		}
@@ -77,8 +77,8 @@
 	var queue []time.Time // when each order under way was given
 	served, late := 0, 0
 	for range 4000 { // 20 s
-		for l.Room() > 0 {
-			l.Begin()
+		for l.Available() > 0 {
+			l.Acquire()
 			queue = append(queue, now)
 		}
 		now = now.Add(perOrder)
@@ -104,16 +104,16 @@
 	now := time.Unix(1000, 0)
 	for range 50 {
 		now = now.Add(time.Second)
-		l.Begin()
+		l.Acquire()
 		l.Answered(now, time.Second)
 	}
 	if got := l.Current(); got != 4 {
 		t.Fatalf("%d may be under way while each takes a second, want the least", got)
 	}
 	for range 30 {
-		n := l.Room()
+		n := l.Available()
 		for range n {
-			l.Begin()
+			l.Acquire()
 		}
 		now = now.Add(10 * time.Millisecond)
 		for range n {
@@ -133,18 +133,18 @@
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
 		switch {
-		case open == 0 || (l.Room() > 0 && random.IntN(2) == 0):
-			l.Begin()
+		case open == 0 || (l.Available() > 0 && random.IntN(2) == 0):
+			l.Acquire()
 			open++
 		case random.IntN(4) == 0:
-			l.Gone()
+			l.Release()
 			open--
 		default:
 			l.Answered(now, time.Duration(random.IntN(300))*time.Millisecond)
 			open--
 		}
-		if l.UnderWay() != open {
-			t.Fatalf("%d under way, want %d", l.UnderWay(), open)
+		if l.InFlight() != open {
+			t.Fatalf("%d under way, want %d", l.InFlight(), open)
 		}
 		if c := l.Current(); c < 4 || c > 64 {
 			t.Fatalf("%d may be under way, want 4 to 64", c)
@@ -157,13 +157,13 @@
 func TestGap(t *testing.T) {
 	last := time.Duration(-1)
 	for _, smoothed := range []time.Duration{0, 20 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 10 * time.Second} {
-		gap := flow.Gap(smoothed)
+		gap := flow.PollInterval(smoothed)
 		if gap < last || gap > 2*time.Second {
 			t.Errorf("left alone for %v at a round trip of %v, %v before", gap, smoothed, last)
 		}
 		last = gap
 	}
-	if got := flow.Gap(20 * time.Millisecond); got != 0 {
+	if got := flow.PollInterval(20 * time.Millisecond); got != 0 {
 		t.Errorf("left alone for %v while all is calm", got)
 	}
 }
--- a/flow/gap.go
+++ b/flow/gap.go
@@ -15,6 +15,6 @@
 
 // Gap returns how long a worker is left alone after a report before the next is
 // asked for, given the smoothed round trip of orders.
-func Gap(smoothed time.Duration) time.Duration {
+func PollInterval(smoothed time.Duration) time.Duration {
 	return min(max(gapFactor*(smoothed-calm), 0), longestGap)
 }
--- a/flow/limit.go
+++ b/flow/limit.go
@@ -10,7 +10,7 @@
 	// Target is the round trip beyond which more under way only waits longer.
 	Target time.Duration
 	// Least and Most bound the limit.
-	Least, Most int
+	Min, Max int
 
 	limit    float64
 	underWay int
@@ -36,20 +36,20 @@
 
 // NewLimit returns a limit.
 func NewLimit(target time.Duration, least, most int) *Limit {
-	return &Limit{Target: target, Least: least, Most: most, limit: float64(min(max(beginWith, least), most))}
+	return &Limit{Target: target, Min: least, Max: most, limit: float64(min(max(beginWith, least), most))}
 }
 
 // Room returns how many more may be begun.
-func (l *Limit) Room() int { return max(int(l.limit)-l.underWay, 0) }
+func (l *Limit) Available() int { return max(int(l.limit)-l.underWay, 0) }
 
-// UnderWay returns how many are under way, Current how many may be.
-func (l *Limit) UnderWay() int { return l.underWay }
+// InFlight returns how many are under way, Current how many may be.
+func (l *Limit) InFlight() int { return l.underWay }
 
 // Current returns how many may be under way.
 func (l *Limit) Current() int { return int(l.limit) }
 
 // Begin takes in that an order is given.
-func (l *Limit) Begin() { l.underWay++ }
+func (l *Limit) Acquire() { l.underWay++ }
 
 // Answered takes in that an order was answered.
 func (l *Limit) Answered(now time.Time, took time.Duration) {
@@ -65,16 +65,16 @@
 		// late as well and say nothing new.
 		if now.Sub(l.shrunkAt) >= l.smoothed {
 			remains := min(max(float64(l.Target)/float64(l.smoothed), leastShrink), mostShrink)
-			l.limit, l.shrunkAt = max(l.limit*remains, float64(l.Least)), now
+			l.limit, l.shrunkAt = max(l.limit*remains, float64(l.Min)), now
 		}
 	case !used:
 	case l.smoothed < time.Duration(fastShare*float64(l.Target)):
-		l.limit = min(l.limit+fastGrowth, float64(l.Most))
+		l.limit = min(l.limit+fastGrowth, float64(l.Max))
 	default:
-		l.limit = min(l.limit+1/l.limit, float64(l.Most))
+		l.limit = min(l.limit+1/l.limit, float64(l.Max))
 	}
 }
 
 // Gone takes in that an order is over of which nothing was measured: it wasn't
 // sent, or got no answer.
-func (l *Limit) Gone() { l.underWay-- }
+func (l *Limit) Release() { l.underWay-- }
--- a/flow/timeout.go
+++ b/flow/timeout.go
@@ -8,7 +8,7 @@
 // is the owner's own processor or link.
 type Timeout struct {
 	// Floor and Ceiling bound the time to wait.
-	Floor, Ceiling time.Duration
+	Min, Max time.Duration
 
 	smoothed, deviation time.Duration
 	// missed is the share of the last orders that got no answer in time.
@@ -48,7 +48,7 @@
 }
 
 // Missed takes in that an order got no answer in time.
-func (t *Timeout) Missed() {
+func (t *Timeout) TimedOut() {
 	t.missed += missedWeight * (1 - t.missed)
 	if t.missed >= missedMany {
 		t.factor = max(t.factor, 1) * 2
@@ -58,9 +58,9 @@
 
 // Value returns how long to wait for an answer.
 func (t *Timeout) Value() time.Duration {
-	wait := time.Duration(max(t.factor, 1) * float64(max(t.smoothed+deviations*t.deviation, t.Floor)))
-	return min(wait, t.Ceiling)
+	wait := time.Duration(max(t.factor, 1) * float64(max(t.smoothed+deviations*t.deviation, t.Min)))
+	return min(wait, t.Max)
 }
 
 // Smoothed returns the smoothed round trip, 0 before the first.
-func (t *Timeout) Smoothed() time.Duration { return t.smoothed }
+func (t *Timeout) SmoothedRTT() time.Duration { return t.smoothed }
--- a/relay/demand.go
+++ b/relay/demand.go
@@ -34,9 +34,9 @@
 )
 
 // Demand follows how many relays a zone should have. The zero value has none.
-type Demand struct {
+type Scaler struct {
 	// Least is the least number.
-	Least int
+	Min int
 
 	perZone       int
 	pressed, calm int
@@ -46,15 +46,15 @@
 }
 
 // Begin begins with the relays that an owner before had.
-func (d *Demand) Begin(perZone int) { d.perZone = perZone }
+func (d *Scaler) Restore(perZone int) { d.perZone = perZone }
 
 // Observe takes in the load of a second and returns the relays for each zone.
-func (d *Demand) Observe(l Load) int {
+func (d *Scaler) Observe(l Load) int {
 	if d.perZone > 0 && d.orders == 0 {
 		d.orders = l.Orders // what pressed the owner before isn't known
 	}
 	pressed := l.RoundTrip > slow || l.HeldBack
-	least := d.Least
+	least := d.Min
 	if l.Workers > ownWorkers {
 		least = max(least, 1)
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -31,19 +31,19 @@
 // there, the strong hosts first, and none those of another zone.
 func TestTableSpreadsWorkers(t *testing.T) {
 	table := relay.NewTable(hosts(9, "a", "b"), 3)
-	if got, want := table.Hosts(), []string{"a-0", "a-3", "a-6", "b-0", "b-3", "b-6"}; !slices.Equal(got, want) {
+	if got, want := table.Addresses(), []string{"a-0", "a-3", "a-6", "b-0", "b-3", "b-6"}; !slices.Equal(got, want) {
 		t.Fatalf("relays %v, want the strong hosts %v", got, want)
 	}
 	share := map[string]int{}
 	for i := range 900 {
-		share[table.For(fmt.Sprint("w", i), "a", usable)]++
+		share[table.RelayFor(fmt.Sprint("w", i), "a", usable)]++
 	}
 	for _, address := range []string{"a-0", "a-3", "a-6"} {
 		if n := share[address]; n < 200 || n > 400 {
 			t.Errorf("%s carries %d of 900 workers, want about a third", address, n)
 		}
 	}
-	if got := table.For("w", "c", usable); got != "" {
+	if got := table.RelayFor("w", "c", usable); got != "" {
 		t.Errorf("a worker of a zone without hosts goes through %s", got)
 	}
 }
@@ -54,12 +54,12 @@
 	before, after := relay.NewTable(all, 9), relay.NewTable(all[:8], 9)
 	for i := range 500 {
 		w := fmt.Sprint("w", i)
-		was := before.For(w, "a", usable)
-		if is := after.For(w, "a", usable); is != was && was != "a-8" {
+		was := before.RelayFor(w, "a", usable)
+		if is := after.RelayFor(w, "a", usable); is != was && was != "a-8" {
 			t.Errorf("%s moved from %s to %s", w, was, is)
 		}
-		if is := before.For(w, "a", func(a string) bool { return a != "a-8" }); is != after.For(w, "a", usable) {
-			t.Errorf("%s goes through %s if a-8 is avoided, %s if it is gone", w, is, after.For(w, "a", usable))
+		if is := before.RelayFor(w, "a", func(a string) bool { return a != "a-8" }); is != after.RelayFor(w, "a", usable) {
+			t.Errorf("%s goes through %s if a-8 is avoided, %s if it is gone", w, is, after.RelayFor(w, "a", usable))
 		}
 	}
 }
@@ -68,22 +68,22 @@
 // the owner is pressed, and gives them up once its load is gone, not before.
 func TestDemandFollowsLoad(t *testing.T) {
 	const ms = time.Millisecond
-	var small relay.Demand
+	var small relay.Scaler
 	for i := range 100 {
 		if n := small.Observe(relay.Load{Workers: 48, Orders: 300, RoundTrip: 5 * ms, HeldBack: i%10 == 0}); n != 0 {
 			t.Fatalf("%d relays for a small domain with a burst now and then", n)
 		}
 	}
-	var next relay.Demand
-	next.Begin(4)
+	var next relay.Scaler
+	next.Restore(4)
 	if n := next.Observe(relay.Load{Workers: 48, Orders: 300}); n != 4 {
 		t.Errorf("%d relays a zone after a change of owner, want the 4 there were", n)
 	}
-	var large relay.Demand
+	var large relay.Scaler
 	if n := large.Observe(relay.Load{Workers: 890, RoundTrip: 5 * ms}); n != 1 {
 		t.Errorf("%d relays a zone for 890 workers at once, want 1", n)
 	}
-	var d relay.Demand
+	var d relay.Scaler
 	n := 0
 	for range 8 {
 		n = d.Observe(relay.Load{Workers: 144, Orders: 400, RoundTrip: 100 * ms})
--- a/relay/table.go
+++ b/relay/table.go
@@ -29,7 +29,7 @@
 }
 
 // Hosts returns the addresses of all relays, in order.
-func (t *Table) Hosts() []string {
+func (t *Table) Addresses() []string {
 	var all []string
 	for _, hosts := range t.zones {
 		for _, h := range hosts {
@@ -43,7 +43,7 @@
 // For returns the relay of a worker: one of those in its zone, by rendezvous
 // hash, so that a relay that comes or goes moves only the workers that it gains
 // or had. Empty if its zone has none that may be used.
-func (t *Table) For(worker, zone string, usable func(address string) bool) string {
+func (t *Table) RelayFor(worker, zone string, usable func(address string) bool) string {
 	best, most := "", uint64(0)
 	for _, h := range t.zones[zone] {
 		if !usable(h.Address) {
