--- a/batch/bench_test.go
+++ b/batch/bench_test.go
@@ -100,7 +100,7 @@
 			Settings:   b, TaskLease: settings.Default().Lease.TaskLease.D(), ClockRate: 0.01, Rand: rand.New(rand.NewPCG(uint64(h), 1)),
 		})
 		m.SetWorkers(members)
-		m.SetOwnership(&ownership.View{Owners: owners, Grants: map[string]ownership.Grant{shard: {
+		m.SetOwnership(&ownership.Snapshot{Owners: owners, Grants: map[string]ownership.Grant{shard: {
 			Shard: shard, Epoch: 1, Version: version, Share: ownership.Full, Until: time.Now().Add(time.Hour),
 		}}})
 		x.done.Go(func() { j.Run(ctx) })
--- a/batch/capacity_bench_test.go
+++ b/batch/capacity_bench_test.go
@@ -51,7 +51,7 @@
 	defer w.mu.Unlock()
 	w.exchanges++
 	w.take(x.Orders)
-	reply := infra.ExchangeReply{Whole: x.Since == 0}
+	reply := infra.ExchangeReply{FullList: x.Since == 0}
 	sample := w.exchanges%fleetSample == 0
 	if sample && len(w.runs) > 0 {
 		w.seq++
@@ -66,7 +66,7 @@
 			w.runs[i].Usage.MilliCPU = 2500 + int64(w.seq%100)
 			w.runs[i].DoneMS += 5000
 		}
-		if sample || reply.Whole {
+		if sample || reply.FullList {
 			reply.Runs = append(reply.Runs, w.runs[i])
 		}
 	}
@@ -142,7 +142,7 @@
 		Settings: b, TaskLease: settings.Default().Lease.TaskLease.D(), ClockRate: 0.01, Rand: rand.New(rand.NewPCG(1, 1)),
 	})
 	m.SetWorkers(map[string][]infra.Member{"wk/z/0": f.members})
-	m.SetOwnership(&ownership.View{Owners: map[string]string{"wk/z/0": "h"}, Grants: map[string]ownership.Grant{"wk/z/0": {
+	m.SetOwnership(&ownership.Snapshot{Owners: map[string]string{"wk/z/0": "h"}, Grants: map[string]ownership.Grant{"wk/z/0": {
 		Shard: "wk/z/0", Epoch: 1, Version: version, Share: ownership.Full, Until: time.Now().Add(time.Hour),
 	}}})
 	var done sync.WaitGroup
--- a/batch/manager.go
+++ b/batch/manager.go
@@ -28,7 +28,7 @@
 	// stopped is set once the control goroutine has ended.
 	stopped chan struct{}
 	// view is the newest ownership.
-	view *ownership.View
+	view *ownership.Snapshot
 	// loads is the number of waiting jobs by shard, as last heard.
 	loads  map[string]int
 	counts Counts
@@ -78,7 +78,7 @@
 		metrics: newMetrics(c.Registerer),
 		wake:    make(chan struct{}, 1),
 		stopped: make(chan struct{}),
-		view:    &ownership.View{},
+		view:    &ownership.Snapshot{},
 		loads:   map[string]int{},
 		shards:  map[string]*owned{},
 		members: map[string][]infra.Member{},
@@ -93,7 +93,7 @@
 }
 
 // SetOwnership takes in the newest ownership of shards.
-func (m *Manager) SetOwnership(v *ownership.View) {
+func (m *Manager) SetOwnership(v *ownership.Snapshot) {
 	m.mu.Lock()
 	m.view = v
 	m.mu.Unlock()
--- a/batch/manager_gain.go
+++ b/batch/manager_gain.go
@@ -14,7 +14,7 @@
 
 // apply takes in a new view: shards no longer held are dropped, new ones are
 // replayed.
-func (m *Manager) apply(now time.Time, v *ownership.View) {
+func (m *Manager) apply(now time.Time, v *ownership.Snapshot) {
 	for name, o := range m.shards {
 		g, ok := v.Grants[name]
 		if !ok || g.Epoch != o.epoch || g.Share == ownership.None {
--- a/batch/move_test.go
+++ b/batch/move_test.go
@@ -21,7 +21,7 @@
 	for i, n := range []*node{a, b} {
 		name := []string{shard, otherShard}[i]
 		n.SetWorkers(map[string][]infra.Member{shard: r.members[:1], otherShard: r.members[1:]})
-		n.SetOwnership(&ownership.View{Owners: owners, Grants: map[string]ownership.Grant{name: {
+		n.SetOwnership(&ownership.Snapshot{Owners: owners, Grants: map[string]ownership.Grant{name: {
 			Shard: name, Epoch: 1, Version: r.table.Put(shardKey(name), nil),
 			Share: ownership.Full, Until: time.Now().Add(time.Hour),
 		}}})
--- a/batch/owners_test.go
+++ b/batch/owners_test.go
@@ -59,7 +59,7 @@
 	bubble(t, 1, func(r *rig) {
 		n := r.started(time.Hour)
 		seen := 0
-		r.tell(n, ownership.Grant{Shard: shard, Epoch: 1, Version: 1, Share: ownership.Full, Until: time.Now(), After: ownership.Half})
+		r.tell(n, ownership.Grant{Shard: shard, Epoch: 1, Version: 1, Share: ownership.Full, Until: time.Now(), ShareAfter: ownership.Half})
 		r.workers.mu.Lock()
 		r.workers.hook = func(string, infra.Exchange) { seen++ }
 		r.workers.mu.Unlock()
--- a/batch/pause_test.go
+++ b/batch/pause_test.go
@@ -23,7 +23,7 @@
 			r.workers.mu.Unlock()
 			n.post(func(now time.Time) {
 				o := n.shards[shard]
-				n.exchange(now.Add(-pause), o, message{worker: "w0", address: o.workers["w0"].member.Address, exchange: infra.Exchange{Owner: o.epoch, LeaseMS: 1}})
+				n.exchange(now.Add(-pause), o, message{worker: "w0", address: o.workers["w0"].member.Address, exchange: infra.Exchange{OwnerEpoch: o.epoch, LeaseMS: 1}})
 			})
 			r.settle(100 * time.Millisecond)
 			if sent != want {
--- a/batch/quota_test.go
+++ b/batch/quota_test.go
@@ -93,7 +93,7 @@
 		if n == but {
 			continue
 		}
-		v := &ownership.View{Owners: map[string]string{}, Grants: map[string]ownership.Grant{}}
+		v := &ownership.Snapshot{Owners: map[string]string{}, Grants: map[string]ownership.Grant{}}
 		for shard, owner := range q.owners {
 			v.Owners[shard] = owner.config.Host
 			if owner != n {
--- a/batch/restart_test.go
+++ b/batch/restart_test.go
@@ -42,7 +42,7 @@
 func (p *slowPath) deliver(t *testing.T, fresh bool) {
 	x := p.held
 	if fresh {
-		reply, err := p.Workers.Exchange(t.Context(), p.address, infra.Exchange{Owner: x.Owner, LeaseMS: x.LeaseMS})
+		reply, err := p.Workers.Exchange(t.Context(), p.address, infra.Exchange{OwnerEpoch: x.OwnerEpoch, LeaseMS: x.LeaseMS})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -140,7 +140,7 @@
 
 // tell gives a host its view; other hosts learn the owner alone.
 func (r *rig) tell(n *node, grants ...ownership.Grant) {
-	v := &ownership.View{Owners: map[string]string{shard: r.owner}, Grants: map[string]ownership.Grant{}}
+	v := &ownership.Snapshot{Owners: map[string]string{shard: r.owner}, Grants: map[string]ownership.Grant{}}
 	for _, g := range grants {
 		v.Grants[g.Shard] = g
 	}
--- a/batch/shard_exchange.go
+++ b/batch/shard_exchange.go
@@ -51,7 +51,7 @@
 		worker:    w.name,
 		address:   w.member.Address,
 		throttles: map[string]int{},
-		exchange:  infra.Exchange{Owner: s.epoch, LeaseMS: lease.Milliseconds(), Since: w.since},
+		exchange:  infra.Exchange{OwnerEpoch: s.epoch, LeaseMS: lease.Milliseconds(), Since: w.since},
 	}
 	if w.incarnation != "" {
 		m.exchange.Incarnation = w.incarnation
@@ -135,7 +135,7 @@
 	for _, r := range reply.Runs {
 		s.report(now, w, r)
 	}
-	if reply.Whole {
+	if reply.FullList {
 		s.reconcile(now, w, reply.Runs)
 	} else {
 		s.askWhole(w, m)
--- a/batch/workers_test.go
+++ b/batch/workers_test.go
@@ -113,18 +113,18 @@
 	if x.Incarnation == "" && x.Starts() || x.Incarnation != "" && clockMS > x.ValidUntilMS {
 		return infra.ExchangeReply{Stale: true, Incarnation: w.name, ClockMS: clockMS}
 	}
-	if x.Owner < w.owner {
+	if x.OwnerEpoch < w.owner {
 		f.refused++
 		return infra.ExchangeReply{Refused: true}
 	}
 	f.advance(w, now)
-	w.owner = x.Owner
+	w.owner = x.OwnerEpoch
 	w.lease = now.Add(time.Duration(x.LeaseMS) * time.Millisecond)
 	for _, o := range x.Orders {
 		f.order(w, o, now)
 	}
 	f.advance(w, now)
-	reply := infra.ExchangeReply{Seq: w.seq, Whole: x.Since == 0, Incarnation: w.name, ClockMS: clockMS}
+	reply := infra.ExchangeReply{Seq: w.seq, FullList: x.Since == 0, Incarnation: w.name, ClockMS: clockMS}
 	for _, r := range w.runs {
 		if x.Since == 0 || r.seq > x.Since {
 			reply.Runs = append(reply.Runs, r.report)
--- a/booking/answer.go
+++ b/booking/answer.go
@@ -3,7 +3,7 @@
 import "net/http"
 
 // Answer is an endpoint's whole answer.
-type Answer struct {
+type Response struct {
 	// Status is the HTTP status.
 	Status int `msgpack:"s"`
 	// Header is the end-to-end headers.
--- a/booking/book.go
+++ b/booking/book.go
@@ -12,7 +12,7 @@
 )
 
 // Book claims keys and keeps outcomes. It is safe for concurrent use.
-type Book struct {
+type Registry struct {
 	opt Options
 
 	mu sync.Mutex
@@ -27,21 +27,21 @@
 }
 
 // New returns a Book.
-func New(opt Options) *Book {
+func New(opt Options) *Registry {
 	if opt.InlineBody == 0 {
 		opt.InlineBody = defaultInlineBody
 	}
 	if opt.Now == nil {
 		opt.Now = time.Now
 	}
-	return &Book{opt: opt, flights: map[string]*flight{}, undispatched: map[string]time.Time{}}
+	return &Registry{opt: opt, flights: map[string]*flight{}, undispatched: map[string]time.Time{}}
 }
 
 // Do runs the request unless a claim under its key exists, and returns the
 // outcome of the one run. The context's deadline bounds the wait, also for the
 // store; the run itself goes on without its caller, so that a retry finds its
 // outcome. The refusal's kind is Answered when the answer is whole.
-func (b *Book) Do(ctx context.Context, r Request, run Run) (Answer, outcome.Refusal) {
+func (b *Registry) Do(ctx context.Context, r Request, run Run) (Response, outcome.Refusal) {
 	key := rowKey(r)
 	f, first := b.join(key, r)
 	if !first {
@@ -57,7 +57,7 @@
 }
 
 // dispatch runs the request and stores its outcome.
-func (b *Book) dispatch(ctx context.Context, key string, f *flight, run Run) {
+func (b *Registry) dispatch(ctx context.Context, key string, f *flight, run Run) {
 	answer, refusal := run(ctx)
 	if refusal.Kind == outcome.NotRun {
 		b.giveUp(f.id)
@@ -69,7 +69,7 @@
 
 // join returns the key's flight on this host, and whether the caller is the
 // one to claim it.
-func (b *Book) join(key string, r Request) (*flight, bool) {
+func (b *Registry) join(key string, r Request) (*flight, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if f := b.flights[key]; f != nil {
@@ -80,7 +80,7 @@
 	return f, true
 }
 
-func (b *Book) leave(key string, f *flight) {
+func (b *Registry) leave(key string, f *flight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.flights[key] == f {
@@ -89,20 +89,20 @@
 }
 
 // wait returns the outcome of a flight of this host.
-func wait(ctx context.Context, f *flight, r Request) (Answer, outcome.Refusal) {
+func wait(ctx context.Context, f *flight, r Request) (Response, outcome.Refusal) {
 	if !bytes.Equal(f.digest, r.Digest) {
-		return Answer{}, notRun(ReasonKeyReused, 0)
+		return Response{}, notRun(ReasonKeyReused, 0)
 	}
 	select {
 	case <-f.done:
 		return f.answer, f.refusal
 	case <-ctx.Done():
-		return Answer{}, unknownOutcome(ReasonInProgress, retrySoon)
+		return Response{}, unknownOutcome(ReasonInProgress, retrySoon)
 	}
 }
 
 // Flush waits until every outcome so far is durable, or the context ends.
-func (b *Book) Flush(ctx context.Context) error {
+func (b *Registry) Flush(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
 		b.background.Wait()
--- a/booking/book_test.go
+++ b/booking/book_test.go
@@ -17,7 +17,7 @@
 // rig is two entry hosts over one table; runs counts dispatches.
 type rig struct {
 	table *table
-	a, b  *Book
+	a, b  *Registry
 	dead  atomic.Bool // whether host a's session is gone
 	runs  atomic.Int64
 	now   atomic.Int64
@@ -26,7 +26,7 @@
 func newRig(faults ...fault) *rig {
 	r := &rig{table: newTable(faults...)}
 	store := &objects{}
-	book := func(host string) *Book {
+	book := func(host string) *Registry {
 		return New(Options{
 			Host: host, Incarnation: host + "-1", Committer: r.table, Reader: r.table, Objects: store,
 			Peers:  r,
@@ -52,16 +52,16 @@
 	return peer.Result{Kind: outcome.Answered}
 }
 
-func (r *rig) answer(context.Context) (Answer, outcome.Refusal) {
+func (r *rig) answer(context.Context) (Response, outcome.Refusal) {
 	r.runs.Add(1)
-	return Answer{Status: http.StatusOK, Body: []byte("booked")}, whole()
+	return Response{Status: http.StatusOK, Body: []byte("booked")}, whole()
 }
 
 func ask(body string) Request {
 	return Request{Service: "s", Key: "k", Digest: Digest(http.MethodPost, "/", []byte(body))}
 }
 
-func (r *rig) do(t *testing.T, b *Book, want outcome.Kind, reason string) Answer {
+func (r *rig) do(t *testing.T, b *Registry, want outcome.Kind, reason string) Response {
 	t.Helper()
 	answer, refusal := b.Do(t.Context(), ask("x"), r.answer)
 	if refusal.Kind != want || refusal.Reason != reason {
@@ -88,7 +88,7 @@
 	r := newRig()
 	r.do(t, r.a, outcome.Answered, "")
 	r.flush(t)
-	for _, b := range []*Book{r.a, r.b} {
+	for _, b := range []*Registry{r.a, r.b} {
 		if got := r.do(t, b, outcome.Answered, ""); string(got.Body) != "booked" {
 			t.Errorf("replayed %q", got.Body)
 		}
@@ -102,8 +102,8 @@
 func TestLargeAnswerIsKeptAsObject(t *testing.T) {
 	r := newRig()
 	body := bytes.Repeat([]byte("x"), defaultInlineBody+1)
-	_, _ = r.a.Do(t.Context(), ask("x"), func(context.Context) (Answer, outcome.Refusal) {
-		return Answer{Status: 200, Body: body}, whole()
+	_, _ = r.a.Do(t.Context(), ask("x"), func(context.Context) (Response, outcome.Refusal) {
+		return Response{Status: 200, Body: body}, whole()
 	})
 	r.flush(t)
 	if n := len(r.table.rows[rowKey(ask("x"))].Value); n > 1000 {
@@ -130,13 +130,13 @@
 func TestNotRunReleasesTheClaim(t *testing.T) {
 	r := newRig()
 	r.table.setKeep(true)
-	_, refusal := r.a.Do(t.Context(), ask("x"), func(context.Context) (Answer, outcome.Refusal) {
-		return Answer{}, notRun("no slot", time.Second)
+	_, refusal := r.a.Do(t.Context(), ask("x"), func(context.Context) (Response, outcome.Refusal) {
+		return Response{}, notRun("no slot", time.Second)
 	})
 	if refusal.Kind != outcome.NotRun {
 		t.Fatalf("got %+v", refusal)
 	}
-	r.do(t, r.a, outcome.NotRun, ReasonStoreDown)
+	r.do(t, r.a, outcome.NotRun, ReasonStoreUnavailable)
 	r.table.setKeep(false)
 	r.do(t, r.b, outcome.Answered, "")
 	r.flush(t)
@@ -153,13 +153,13 @@
 		<-started
 		cancel()
 	}()
-	_, refusal := r.a.Do(ctx, ask("x"), func(ctx context.Context) (Answer, outcome.Refusal) {
+	_, refusal := r.a.Do(ctx, ask("x"), func(ctx context.Context) (Response, outcome.Refusal) {
 		close(started)
 		select {
 		case <-finish:
 			return r.answer(ctx)
 		case <-ctx.Done():
-			return Answer{}, unknownOutcome("cancelled", 0)
+			return Response{}, unknownOutcome("cancelled", 0)
 		}
 	})
 	if refusal.Kind != outcome.Unknown || refusal.RetryAfter == 0 {
--- a/booking/claim.go
+++ b/booking/claim.go
@@ -14,7 +14,7 @@
 
 // settled is an outcome found instead of a claim made.
 type settled struct {
-	answer  Answer
+	answer  Response
 	refusal outcome.Refusal
 }
 
@@ -32,7 +32,7 @@
 
 // claim makes the flight's claim durable. It returns true when the caller must
 // dispatch, and what is known of the key otherwise.
-func (b *Book) claim(ctx context.Context, key string, f *flight) (settled, bool) {
+func (b *Registry) claim(ctx context.Context, key string, f *flight) (settled, bool) {
 	value, err := b.claimRow(f).encode()
 	if err != nil {
 		panic(err) // the row holds plain fields only
@@ -49,7 +49,7 @@
 				return found, false
 			}
 		default:
-			return settled{refusal: notRun(ReasonStoreDown, retrySoon)}, false
+			return settled{refusal: notRun(ReasonStoreUnavailable, retrySoon)}, false
 		}
 	}
 	return settled{refusal: notRun(ReasonInProgress, retrySoon)}, false
@@ -57,7 +57,7 @@
 
 // claimOnce commits the claim, and waits a bounded time for a store that
 // refuses to take it.
-func (b *Book) claimOnce(ctx context.Context, key string, f *flight, value []byte) infra.CommitResult {
+func (b *Registry) claimOnce(ctx context.Context, key string, f *flight, value []byte) infra.CommitResult {
 	ctx, cancel := context.WithTimeout(ctx, claimPatience)
 	defer cancel()
 	try := func() (infra.CommitResult, error) {
@@ -80,7 +80,7 @@
 	return res
 }
 
-func (b *Book) claimRow(f *flight) row {
+func (b *Registry) claimRow(f *flight) row {
 	return row{
 		Digest:      f.digest,
 		Host:        b.opt.Host,
@@ -93,7 +93,7 @@
 // readBack settles a claim whose commit's answer was lost. If the row can't
 // be read, or is not there yet, the claim is given up: nothing was dispatched,
 // and a row that appears later is known to be free to remove.
-func (b *Book) readBack(ctx context.Context, key string, f *flight) infra.CommitResult {
+func (b *Registry) readBack(ctx context.Context, key string, f *flight) infra.CommitResult {
 	rows, err := b.opt.Reader.Get(ctx, key)
 	if err != nil || rows[0].Version == 0 {
 		b.giveUp(f.id)
@@ -107,7 +107,7 @@
 }
 
 // giveUp notes that the claim with the id will never be dispatched.
-func (b *Book) giveUp(id string) {
+func (b *Registry) giveUp(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.undispatched[id] = b.opt.Now()
@@ -115,7 +115,7 @@
 
 // resolve decides what the row in a claim's way means. It returns again when
 // the row is gone and the claim may be tried once more.
-func (b *Book) resolve(ctx context.Context, key string, f *flight, conflicts []infra.Row) (again bool, found settled) {
+func (b *Registry) resolve(ctx context.Context, key string, f *flight, conflicts []infra.Row) (again bool, found settled) {
 	current, ok := rowOf(conflicts, key)
 	if !ok {
 		return true, settled{}
@@ -126,7 +126,7 @@
 	}
 	if held.ID == f.id {
 		// An earlier try of this claim took effect late.
-		return b.remove(ctx, key, current.Version), settled{refusal: notRun(ReasonStoreDown, retrySoon)}
+		return b.remove(ctx, key, current.Version), settled{refusal: notRun(ReasonStoreUnavailable, retrySoon)}
 	}
 	if !bytes.Equal(held.Digest, f.digest) {
 		return false, settled{refusal: notRun(ReasonKeyReused, 0)}
@@ -139,7 +139,7 @@
 		found, neverRan = b.claimedElsewhere(ctx, key, held)
 	}
 	if neverRan {
-		return b.remove(ctx, key, current.Version), settled{refusal: notRun(ReasonStoreDown, retrySoon)}
+		return b.remove(ctx, key, current.Version), settled{refusal: notRun(ReasonStoreUnavailable, retrySoon)}
 	}
 	return false, found
 }
@@ -153,7 +153,7 @@
 	return infra.Row{}, false
 }
 
-func (b *Book) isUndispatched(held row) bool {
+func (b *Registry) isUndispatched(held row) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_, ok := b.undispatched[held.ID]
@@ -161,7 +161,7 @@
 }
 
 // remove deletes a claim that was never dispatched, on its own version.
-func (b *Book) remove(ctx context.Context, key string, version uint64) bool {
+func (b *Registry) remove(ctx context.Context, key string, version uint64) bool {
 	conds := []infra.Condition{{Key: key, Version: version}}
 	res := b.opt.Committer.Commit(ctx, conds, []infra.Write{{Key: key, Delete: true}})
 	return res.Status == infra.CommitApplied
--- a/booking/claimant_test.go
+++ b/booking/claimant_test.go
@@ -42,7 +42,7 @@
 func TestLateClaimSeenElsewhere(t *testing.T) {
 	for _, dead := range []bool{false, true} {
 		r := newRig(delay)
-		r.do(t, r.a, outcome.NotRun, ReasonStoreDown)
+		r.do(t, r.a, outcome.NotRun, ReasonStoreUnavailable)
 		r.table.arrive()
 		r.dead.Store(dead)
 		if dead {
@@ -58,7 +58,7 @@
 func TestStoreDownIsNotRun(t *testing.T) {
 	r := newRig()
 	r.table.down = true
-	r.do(t, r.a, outcome.NotRun, ReasonStoreDown)
+	r.do(t, r.a, outcome.NotRun, ReasonStoreUnavailable)
 	r.ran(t, 0)
 }
 
@@ -67,7 +67,7 @@
 	started, finish := make(chan struct{}), make(chan struct{})
 	first := make(chan outcome.Refusal, 1)
 	go func() {
-		_, refusal := r.a.Do(t.Context(), ask("x"), func(ctx context.Context) (Answer, outcome.Refusal) {
+		_, refusal := r.a.Do(t.Context(), ask("x"), func(ctx context.Context) (Response, outcome.Refusal) {
 			close(started)
 			<-finish
 			return r.answer(ctx)
@@ -75,7 +75,7 @@
 		first <- refusal
 	}()
 	<-started
-	second := make(chan Answer, 1)
+	second := make(chan Response, 1)
 	go func() {
 		answer, _ := r.b.Do(t.Context(), ask("x"), r.answer)
 		second <- answer
@@ -102,13 +102,13 @@
 			<-started
 			cancel()
 		}()
-		_, refusal := r.a.Do(ctx, ask("x"), func(ctx context.Context) (Answer, outcome.Refusal) {
+		_, refusal := r.a.Do(ctx, ask("x"), func(ctx context.Context) (Response, outcome.Refusal) {
 			if dispatched {
 				_, _ = r.answer(ctx)
 			}
 			close(started)
 			<-hang
-			return Answer{}, unknownOutcome("test over", 0)
+			return Response{}, unknownOutcome("test over", 0)
 		})
 		if refusal.Kind != outcome.Unknown {
 			t.Fatalf("caller that left: %+v", refusal)
@@ -135,10 +135,10 @@
 		<-started
 		cancel()
 	}()
-	_, _ = r.a.Do(ctx, ask("x"), func(context.Context) (Answer, outcome.Refusal) {
+	_, _ = r.a.Do(ctx, ask("x"), func(context.Context) (Response, outcome.Refusal) {
 		close(started)
 		<-hang
-		return Answer{}, unknownOutcome("test over", 0)
+		return Response{}, unknownOutcome("test over", 0)
 	})
 	old := r.a
 	r.a = New(old.opt)
--- a/booking/flight.go
+++ b/booking/flight.go
@@ -11,12 +11,12 @@
 	version uint64
 	// done is closed when answer and refusal are set.
 	done    chan struct{}
-	answer  Answer
+	answer  Response
 	refusal outcome.Refusal
 }
 
 // settle sets what all who wait for the claim are told.
-func (f *flight) settle(a Answer, r outcome.Refusal) {
+func (f *flight) settle(a Response, r outcome.Refusal) {
 	f.answer = a
 	f.refusal = r
 	close(f.done)
--- a/booking/refusals.go
+++ b/booking/refusals.go
@@ -10,8 +10,8 @@
 const (
 	// ReasonKeyReused: the key was used for another request.
 	ReasonKeyReused = "idempotency_key_reused"
-	// ReasonStoreDown: the claim could not be made durable.
-	ReasonStoreDown = "store_unavailable"
+	// ReasonStoreUnavailable: the claim could not be made durable.
+	ReasonStoreUnavailable = "store_unavailable"
 	// ReasonInProgress: the first request under the key has not ended.
 	ReasonInProgress = "in_progress"
 	// ReasonAnswerLost: the claimant died without recording an outcome.
--- a/booking/replay.go
+++ b/booking/replay.go
@@ -8,7 +8,7 @@
 )
 
 // replay returns the outcome that a row keeps.
-func (b *Book) replay(ctx context.Context, held row) settled {
+func (b *Registry) replay(ctx context.Context, held row) settled {
 	if held.State == unknown || held.Answer == nil {
 		return settled{refusal: unknownOutcome(ReasonLost, 0)}
 	}
@@ -25,7 +25,7 @@
 
 // claimedElsewhere returns what is known of a claim without an outcome that
 // another process made, or that the claimant never dispatched it.
-func (b *Book) claimedElsewhere(ctx context.Context, key string, held row) (found settled, neverRan bool) {
+func (b *Registry) claimedElsewhere(ctx context.Context, key string, held row) (found settled, neverRan bool) {
 	reason, after := ReasonLost, time.Duration(0)
 	if b.opt.Alive(held.Host, held.Incarnation) {
 		reason, after = ReasonInProgress, retrySoon
@@ -51,7 +51,7 @@
 
 // ask waits for the outcome at the claimant. Without an answer the outcome is
 // unknown: the claimant may be running the request.
-func (b *Book) ask(ctx context.Context, key string, held row) (waitReply, bool) {
+func (b *Registry) ask(ctx context.Context, key string, held row) (waitReply, bool) {
 	if held.Host == b.opt.Host || b.opt.Peers == nil {
 		return waitReply{}, false
 	}
--- a/booking/request.go
+++ b/booking/request.go
@@ -17,7 +17,7 @@
 }
 
 // Run dispatches the request. It is called at most once per claim.
-type Run func(ctx context.Context) (Answer, outcome.Refusal)
+type Run func(ctx context.Context) (Response, outcome.Refusal)
 
 // Digest returns the hash of a request's method, path and body, which tells a
 // retry from another request under the same key.
--- a/booking/row.go
+++ b/booking/row.go
@@ -33,7 +33,7 @@
 	AtMS  int64 `msgpack:"t"`
 	State state `msgpack:"s"`
 	// Answer is set once answered, without its body when Object is set.
-	Answer *Answer `msgpack:"a,omitempty"`
+	Answer *Response `msgpack:"a,omitempty"`
 	// Object is the key of the object that holds a large body.
 	Object string `msgpack:"o,omitempty"`
 }
--- a/booking/store.go
+++ b/booking/store.go
@@ -27,7 +27,7 @@
 // retries of the key are answered from memory. After the booking window the
 // claim is kept no longer: with the store away for so long memory would only
 // grow, and callers no longer ask.
-func (b *Book) store(key string, f *flight) {
+func (b *Registry) store(key string, f *flight) {
 	object := b.objectName(key, f)
 	try := func() (struct{}, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
@@ -46,14 +46,14 @@
 
 // objectName returns the name of the object for a body too large for the row,
 // or nothing.
-func (b *Book) objectName(key string, f *flight) string {
+func (b *Registry) objectName(key string, f *flight) string {
 	if len(f.answer.Body) <= b.opt.InlineBody {
 		return ""
 	}
 	return "booking/" + hex.EncodeToString([]byte(key)) + "/" + f.id
 }
 
-func (b *Book) storeOnce(ctx context.Context, key string, f *flight, object string) error {
+func (b *Registry) storeOnce(ctx context.Context, key string, f *flight, object string) error {
 	write := infra.Write{Key: key, Delete: true}
 	if f.refusal.Kind != outcome.NotRun {
 		value, err := b.outcomeRow(ctx, f, object)
@@ -75,7 +75,7 @@
 
 // outcomeRow returns the row that keeps the outcome, after its body was put
 // into the object store if it is large.
-func (b *Book) outcomeRow(ctx context.Context, f *flight, object string) ([]byte, error) {
+func (b *Registry) outcomeRow(ctx context.Context, f *flight, object string) ([]byte, error) {
 	r := b.claimRow(f)
 	r.State = stateOf(f.refusal.Kind)
 	if r.State == answered {
@@ -93,7 +93,7 @@
 }
 
 // forget drops the flight, since its row now tells all.
-func (b *Book) forget(key string, f *flight) {
+func (b *Registry) forget(key string, f *flight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.flights[key] == f {
--- a/booking/sweep.go
+++ b/booking/sweep.go
@@ -17,7 +17,7 @@
 // Sweep removes the claims of a service older than the window. The pace
 // bounds scans per second, so that the store's capacity stays for traffic;
 // mine says which services this host sweeps now, and is asked before each page.
-func (b *Book) Sweep(ctx context.Context, service string, pace *rate.Limiter, mine func(service string) bool) (removed int, err error) {
+func (b *Registry) Sweep(ctx context.Context, service string, pace *rate.Limiter, mine func(service string) bool) (removed int, err error) {
 	b.pruneUndispatched()
 	scope := prefix + service + "/"
 	after := ""
@@ -40,7 +40,7 @@
 
 // sweepPage deletes the old rows of one page; a row that changed meanwhile
 // makes the page wait for the next sweep.
-func (b *Book) sweepPage(ctx context.Context, rows []infra.Row) int {
+func (b *Registry) sweepPage(ctx context.Context, rows []infra.Row) int {
 	var conds []infra.Condition
 	var writes []infra.Write
 	for _, r := range rows {
@@ -57,7 +57,7 @@
 }
 
 // old reports whether a claim is past the window.
-func (b *Book) old(r infra.Row) bool {
+func (b *Registry) old(r infra.Row) bool {
 	held, err := decodeRow(r.Value)
 	if err != nil {
 		return false
@@ -66,7 +66,7 @@
 }
 
 // pruneUndispatched forgets given-up claims whose row would be swept by now.
-func (b *Book) pruneUndispatched() {
+func (b *Registry) pruneUndispatched() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.opt.Now()
--- a/booking/wait.go
+++ b/booking/wait.go
@@ -26,7 +26,7 @@
 	Kind     outcome.Kind `msgpack:"o"`
 	Reason   string       `msgpack:"r,omitempty"`
 	RetryMS  int64        `msgpack:"m,omitempty"`
-	Answer   Answer       `msgpack:"a"`
+	Answer   Response     `msgpack:"a"`
 }
 
 func (r waitReply) refusal() outcome.Refusal {
@@ -35,13 +35,13 @@
 }
 
 // Register adds the methods that other entry hosts call.
-func (b *Book) Register(mux peer.Mux) {
+func (b *Registry) Register(mux peer.Mux) {
 	mux.Handle(MethodWait, b.handleWait)
 }
 
 // handleWait answers once the claim's outcome is known or the asker's time is
 // over.
-func (b *Book) handleWait(ctx context.Context, _ string, decode func(any) error) (any, error) {
+func (b *Registry) handleWait(ctx context.Context, _ string, decode func(any) error) (any, error) {
 	var req waitRequest
 	if err := decode(&req); err != nil {
 		return nil, err
--- a/capacity/worker_test.go
+++ b/capacity/worker_test.go
@@ -21,7 +21,7 @@
 				Capacity: infra.Resources{MilliCPU: 64000, MemoryMB: 250000},
 			}
 			w := standin.NewWorker(config, now)
-			x := infra.Exchange{Owner: 1, LeaseMS: 30000}
+			x := infra.Exchange{OwnerEpoch: 1, LeaseMS: 30000}
 			for i := range runs {
 				x.Orders = append(x.Orders, infra.Order{
 					Kind: infra.OrderStart, Run: infra.RunID{Job: fmt.Sprintf("0192f0c1-7a5e-7cc3-98c4-%012d", i), Epoch: 1},
--- a/colocate/guard.go
+++ b/colocate/guard.go
@@ -99,7 +99,7 @@
 		switch {
 		case a.Kind == Migrate && m.without.Has(mechanism.Moving):
 			actions[i] = Action{Kind: SetCPULimit}
-		case a.Kind == SetCPULimit && a.CPULimit > 0 && a.CPULimit < fullPace && m.without.Has(mechanism.Pacing):
+		case a.Kind == SetCPULimit && a.CPULimit > 0 && a.CPULimit < fullPace && m.without.Has(mechanism.CPULimits):
 			actions[i] = w.BestEffort[i].giveWay(0)
 		}
 	}
--- a/colocate/harm.go
+++ b/colocate/harm.go
@@ -48,7 +48,7 @@
 // proved wrong, and one filler after the other kept a tail over for 4 s.
 func (m *Model) SlackBudgets(now time.Time, w *Worker) []SlackBudget {
 	rooms := make([]SlackBudget, 0, len(w.Serving))
-	closed := w.overFor() > 0 && !m.without.Has(mechanism.TailStop)
+	closed := w.overFor() > 0 && !m.without.Has(mechanism.BlockOverTarget)
 	for i := range w.Serving {
 		s := &w.Serving[i]
 		if w.sameBefore(i) {
@@ -82,7 +82,7 @@
 
 // horizon returns how far ahead a load is foreseen.
 func (m *Model) horizon(d time.Duration) time.Duration {
-	if m.without.Has(mechanism.Foresight) {
+	if m.without.Has(mechanism.LoadForecast) {
 		return 0
 	}
 	return d
--- a/colocate/learn.go
+++ b/colocate/learn.go
@@ -25,7 +25,7 @@
 		swing := m.swing(now, s.Step)
 		swing.observe(now, slack+taken, noiseOf(slack)+variance)
 		m.low(s.Class).observe(swing)
-		if len(load.Batch) > 0 && !m.without.Has(mechanism.Pairs) {
+		if len(load.Batch) > 0 && !m.without.Has(mechanism.PairEffects) {
 			passing, extra := m.passing(s.Class, w)
 			m.effects.Observe(s.Class, load, swing.level-slack-passing, swing.levelVar+extra+noiseOf(slack))
 			delete(m.pairs, s.Class)
--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -48,7 +48,7 @@
 	case runner.NoPermit:
 		r.task.step.dropTicket(w)
 	case runner.NoCapacity:
-		if !s.cfg.Without.Has(mechanism.RoomPause) {
+		if !s.cfg.Without.Has(mechanism.NoCapacityPause) {
 			w.pausedUntil = now.Add(s.cfg.RoomPause)
 		}
 	case runner.Unhealthy, runner.Invalid:
--- a/dispatch/burst_test.go
+++ b/dispatch/burst_test.go
@@ -53,8 +53,8 @@
 // placing without what is learned of images, in the same burst.
 func TestBurst(t *testing.T) {
 	ours := replayBurst(t, 0, false)
-	firstCome := replayBurst(t, mechanism.Of(mechanism.Hope), false)
-	blind := replayBurst(t, mechanism.Of(mechanism.Pairs, mechanism.Classes), false)
+	firstCome := replayBurst(t, mechanism.Of(mechanism.Timeliness), false)
+	blind := replayBurst(t, mechanism.Of(mechanism.PairEffects, mechanism.ClassAffinity), false)
 	t.Logf("on time, and time of serving tasks over their target: %+v; first come %+v; without pairs %+v", ours, firstCome, blind)
 	if ours.onTime <= firstCome.onTime || ours.onTime <= blind.onTime {
 		t.Errorf("%d jobs on time, want more than %d (first come) and %d (without pairs)", ours.onTime, firstCome.onTime, blind.onTime)
--- a/dispatch/cause.go
+++ b/dispatch/cause.go
@@ -12,7 +12,7 @@
 	NoProcessors
 	// NoMemory: none that has the processors has the memory.
 	NoMemory
-	// KeptRoom: the room is kept for a step before it.
+	// ReservedCapacity: the room is kept for a step before it.
 	KeptRoom
 	// TooManyThere: where there is room, it has as many tasks as it may.
 	TooManyThere
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -21,7 +21,7 @@
 	// TailBound is how long fillers may keep a serving task's tail over its
 	// target.
 	TailBound time.Duration
-	// RoomPause is how long a worker that refused a start for want of room gets
+	// NoCapacityPause is how long a worker that refused a start for want of room gets
 	// no other.
 	RoomPause time.Duration
 	// Without names what the policy leaves out, for experiments.
--- a/dispatch/flushroster.go
+++ b/dispatch/flushroster.go
@@ -68,7 +68,7 @@
 
 // RecallLessons takes in what an earlier owner has learned.
 func (s *State) RecallLessons(value []byte) error {
-	if s.cfg.Without.Has(mechanism.Lessons) {
+	if s.cfg.Without.Has(mechanism.StoredEstimates) {
 		return nil
 	}
 	var lessons []interference.ClassEstimate
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -66,7 +66,7 @@
 		}
 	}
 	compare := queue.Compare
-	if s.cfg.Without.Has(mechanism.Hope) {
+	if s.cfg.Without.Has(mechanism.Timeliness) {
 		compare = queue.CompareArrival
 	}
 	slices.SortFunc(list, func(a, b *waiting) int { return compare(&a.entry, &b.entry, now) })
@@ -80,7 +80,7 @@
 	return queue.Entry{
 		Priority:    j.queue.Priority,
 		Restart:     st.spec.LongRunning && st.began(),
-		LongRunning: st.spec.LongRunning && !st.began() && !s.cfg.Without.Has(mechanism.BoundedFirst), MaxPerWorker: st.spec.MaxPerWorker,
+		LongRunning: st.spec.LongRunning && !st.began() && !s.cfg.Without.Has(mechanism.SpreadFirst), MaxPerWorker: st.spec.MaxPerWorker,
 		LatestStart:       j.objective(o).Add(-rest),
 		LatestUsefulStart: j.lateLimit(o).Add(-rest),
 		Arrived:           o.due,
@@ -238,7 +238,7 @@
 // behind it in the queue: without this, small tasks take each gap before a
 // large one fits. Room that long-running tasks hold never comes.
 func (c *cycle) keepRoom(st *step) {
-	if c.s.cfg.Without.Has(mechanism.KeptRoom) || st.spec.BestEffort || c.keeps >= max(1, len(c.workers)/keptShare) {
+	if c.s.cfg.Without.Has(mechanism.ReservedCapacity) || st.spec.BestEffort || c.keeps >= max(1, len(c.workers)/keptShare) {
 		return
 	}
 	var best *worker
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -49,9 +49,9 @@
 	peers      *peer.Client
 	peerServer *peer.Server
 	journal    *journal.Journal
-	keeper     *tenure.Keeper
+	keeper     *tenure.Driver
 	gateway    *gateway.Gateway
-	book       *booking.Book
+	book       *booking.Registry
 	batch      *batch.Manager
 	slo        *slo.Keeper
 	store      *configstore.Store
--- a/gate/inspect.go
+++ b/gate/inspect.go
@@ -6,7 +6,7 @@
 func (g *Gate) HeldInFull() int {
 	n := 0
 	now := g.deps.Now()
-	for _, grant := range g.keeper.View().Grants {
+	for _, grant := range g.keeper.Snapshot().Grants {
 		if grant.At(now) == ownership.Full {
 			n++
 		}
--- a/gate/metrics.go
+++ b/gate/metrics.go
@@ -44,7 +44,7 @@
 func (c *shardsCollector) Collect(to chan<- prometheus.Metric) {
 	now := c.gate.deps.Now()
 	held := map[ownership.Share]int{ownership.Half: 0, ownership.Full: 0}
-	for _, grant := range c.gate.keeper.View().Grants {
+	for _, grant := range c.gate.keeper.Snapshot().Grants {
 		if share := grant.At(now); share != ownership.None {
 			held[share]++
 		}
--- a/gate/operations.go
+++ b/gate/operations.go
@@ -42,7 +42,7 @@
 func (s *operationsService) leases() []*operations.LeaseStatus {
 	now := s.gate.deps.Now()
 	out := []*operations.LeaseStatus{}
-	for _, grant := range s.gate.keeper.View().Grants {
+	for _, grant := range s.gate.keeper.Snapshot().Grants {
 		out = append(out, &operations.LeaseStatus{
 			Shard: grant.Shard, Epoch: int64(grant.Epoch), Share: grant.At(now).String(),
 		})
@@ -55,7 +55,7 @@
 func (s *operationsService) endpoints() int {
 	n := 0
 	r := s.gate.roster.Load()
-	for shard := range s.gate.keeper.View().Grants {
+	for shard := range s.gate.keeper.Snapshot().Grants {
 		if strings.HasPrefix(shard, endpointShards) {
 			n += len(r.Members(shard))
 		}
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -51,9 +51,9 @@
 // its place in the queue: it was admitted, and keeps its turn.
 func (g *Gateway) waitOn(ctx context.Context, req Request, t *routing.Ticket) (place, outcome.Refusal) {
 	g.mu.Lock()
-	t.Forwards++
+	t.FailedForwards++
 	q := g.queue(req.Service)
-	q.Return(t)
+	q.Requeue(t)
 	g.serveQueue(time.Now(), req.Service)
 	g.mu.Unlock()
 	return g.await(ctx, q, t)
@@ -69,7 +69,7 @@
 		return place{}, notRun(ReasonDeadline, soon)
 	}
 	g.mu.Lock()
-	view := g.opt.Shares.View()
+	view := g.opt.Shares.Snapshot()
 	q := g.queue(req.Service)
 	if q.Len() == 0 || req.forwarded {
 		if s := g.pool.Acquire(now, req.Service, view, g.rng); s != nil {
@@ -90,13 +90,13 @@
 		return place{}, refusedUnserved()
 	}
 	perSecond, each := g.pool.Rate(now, req.Service, view)
-	perSecond, each = q.Turnover(now, perSecond, each)
+	perSecond, each = q.DrainRate(now, perSecond, each)
 	a := q.Admit(now, perSecond, each, req.Deadline.Sub(now))
-	if !a.Wait {
+	if !a.Admitted {
 		g.mu.Unlock()
 		return place{}, notRun(a.Reason, a.RetryAfter)
 	}
-	t := &routing.Ticket{Since: now, GiveUp: routing.GiveUp(req.Deadline, each), Wake: make(chan struct{})}
+	t := &routing.Ticket{QueuedAt: now, WaitDeadline: routing.WaitDeadline(req.Deadline, each), Ready: make(chan struct{})}
 	q.Push(t)
 	g.serveQueue(now, req.Service)
 	g.mu.Unlock()
@@ -113,9 +113,9 @@
 // await waits for the ticket's turn. A request that can no longer be answered
 // in time is refused at once.
 func (g *Gateway) await(ctx context.Context, q *routing.Queue, t *routing.Ticket) (place, outcome.Refusal) {
-	timer := time.NewTimer(time.Until(t.GiveUp))
+	timer := time.NewTimer(time.Until(t.WaitDeadline))
 	defer timer.Stop()
-	wake := t.Wake
+	wake := t.Ready
 	select {
 	case <-wake:
 		return given(t)
@@ -159,7 +159,7 @@
 
 func (g *Gateway) serveQueue(now time.Time, service string) {
 	q := g.queue(service)
-	view := g.opt.Shares.View()
+	view := g.opt.Shares.Snapshot()
 	for q.Len() > 0 {
 		s := g.pool.Acquire(now, service, view, g.rng)
 		if s == nil {
@@ -171,7 +171,7 @@
 			return
 		}
 		t.Slot = s
-		close(t.Wake)
+		close(t.Ready)
 	}
 	g.forwardQueue(now, service, q)
 }
@@ -188,7 +188,7 @@
 			return
 		}
 		t.Peer = p
-		close(t.Wake)
+		close(t.Ready)
 	}
 }
 
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -39,7 +39,7 @@
 		return notRun(ReasonStopping, soon), false
 	}
 	g.active++
-	g.budget.Request()
+	g.budget.AddRequest()
 	return outcome.Refusal{}, true
 }
 
@@ -71,7 +71,7 @@
 		Key:     req.Key,
 		Digest:  booking.Digest(req.Method, req.Target, req.Body),
 	}
-	answer, refusal := g.opt.Book.Do(wait, id, func(run context.Context) (booking.Answer, outcome.Refusal) {
+	answer, refusal := g.opt.Book.Do(wait, id, func(run context.Context) (booking.Response, outcome.Refusal) {
 		return g.runBooked(run, req)
 	})
 	if refusal.Kind != outcome.Answered {
@@ -82,19 +82,19 @@
 
 // runBooked runs a claimed request to its end, which may be later than its
 // caller's deadline.
-func (g *Gateway) runBooked(ctx context.Context, req Request) (booking.Answer, outcome.Refusal) {
+func (g *Gateway) runBooked(ctx context.Context, req Request) (booking.Response, outcome.Refusal) {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline.Add(g.opt.MaxRun))
 	defer cancel()
 	resp, refusal := g.try(ctx, req)
 	if refusal.Kind != outcome.Answered {
-		return booking.Answer{}, refusal
+		return booking.Response{}, refusal
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return booking.Answer{}, unknownOutcome(ReasonCutOff)
+		return booking.Response{}, unknownOutcome(ReasonCutOff)
 	}
-	return booking.Answer{Status: resp.Status, Header: resp.Header, Body: body}, whole()
+	return booking.Response{Status: resp.Status, Header: resp.Header, Body: body}, whole()
 }
 
 // idempotent reports whether the request may run more than once.
--- a/gateway/digest.go
+++ b/gateway/digest.go
@@ -75,7 +75,7 @@
 	}
 	now := time.Now()
 	g.mu.Lock()
-	free := g.pool.Free(now, g.opt.Shares.View())
+	free := g.pool.FreeByService(now, g.opt.Shares.Snapshot())
 	hosts := g.hosts
 	if g.stopping {
 		clear(free)
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -74,7 +74,7 @@
 	x.sentAt = now
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
-	return x.g.pool.MayWrite(now, x.slot, x.g.opt.Shares.View())
+	return x.g.pool.MayWrite(now, x.slot, x.g.opt.Shares.Snapshot())
 }
 
 // wait returns the result, or gives up at the deadline or with the caller.
@@ -166,6 +166,6 @@
 func (x *exchange) written() {
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
-	x.g.pool.Written(x.slot)
+	x.g.pool.WriteDone(x.slot)
 	x.g.serveQueue(time.Now(), x.req.Service)
 }
--- a/gateway/exchangeend.go
+++ b/gateway/exchangeend.go
@@ -81,7 +81,7 @@
 // connection does not stop what runs there.
 func (x *exchange) endAfterLongestRun() {
 	x.g.mu.Lock()
-	x.g.pool.Written(x.slot)
+	x.g.pool.WriteDone(x.slot)
 	x.g.mu.Unlock()
 	x.g.background.Add(1)
 	left := x.g.opt.MaxRun - time.Since(x.sentAt)
--- a/gateway/fault_test.go
+++ b/gateway/fault_test.go
@@ -70,7 +70,7 @@
 // direct is a Book that runs everything.
 type direct struct{}
 
-func (direct) Do(ctx context.Context, _ booking.Request, run booking.Run) (booking.Answer, outcome.Refusal) {
+func (direct) Do(ctx context.Context, _ booking.Request, run booking.Run) (booking.Response, outcome.Refusal) {
 	return run(ctx)
 }
 
@@ -144,19 +144,19 @@
 // flip is a View that loses the grant once it was asked n times.
 type flip struct {
 	left atomic.Int64
-	full *ownership.View
+	full *ownership.Snapshot
 }
 
-func (f *flip) View() *ownership.View {
+func (f *flip) Snapshot() *ownership.Snapshot {
 	if f.left.Add(-1) < 0 {
-		return &ownership.View{}
+		return &ownership.Snapshot{}
 	}
 	return f.full
 }
 
 func TestGrantLostBeforeWrite(t *testing.T) {
 	var hits atomic.Int64
-	f := &flip{full: &ownership.View{Grants: map[string]ownership.Grant{"e1": {Share: ownership.Full, After: ownership.Full}}}}
+	f := &flip{full: &ownership.Snapshot{Grants: map[string]ownership.Grant{"e1": {Share: ownership.Full, ShareAfter: ownership.Full}}}}
 	h := newHost(t, nil, "a", func(o *Options) { o.Shares = f; o.Calls.RetryBudget = 0 })
 	h.SetEndpoints([]routing.Endpoint{endpoint(t, "e1", 1, func(http.ResponseWriter, *http.Request) { hits.Add(1) })})
 	f.left.Store(1)
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -80,14 +80,14 @@
 	case outcome.Answered:
 		now, q := time.Now(), g.queue(service)
 		if reply.Kind != outcome.NotRun {
-			q.Served(now, now.Sub(begin)-g.stood.Within(begin, now))
+			q.ObservePeer(now, now.Sub(begin)-g.stood.Within(begin, now))
 		}
-		g.peers.Correct(host, service, reply.Free)
+		g.peers.SetFree(host, service, reply.Free)
 		// Else those that wait for it would stand until the next digest.
 		g.forwardQueue(now, service, q)
 		return reply.refusal()
 	case outcome.NotRun:
-		g.peers.Drop(host)
+		g.peers.Remove(host)
 		return notRun(ReasonPeerUnreachable, soon)
 	default:
 		return unknownOutcome(ReasonPeerLost)
@@ -120,7 +120,7 @@
 	reply := g.runForwarded(ctx, req)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	reply.Free = g.pool.FreeOf(time.Now(), req.Service, g.opt.Shares.View())
+	reply.Free = g.pool.FreeSlots(time.Now(), req.Service, g.opt.Shares.Snapshot())
 	g.digests.told(from, req.Service, reply.Free)
 	return reply, nil
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,7 +24,7 @@
 	rng      *rand.Rand
 	pool     *routing.Pool
 	peers    *routing.Peers
-	budget   *routing.Budget
+	budget   *routing.RetryBudget
 	queues   map[string]*routing.Queue
 	clients  map[string]*endpointClient
 	services map[string]bool
@@ -53,7 +53,7 @@
 		rng:      rand.New(rand.NewPCG(opt.Seed, 0)),
 		pool:     routing.NewPool(routing.DefaultConfig(opt.Zone)),
 		peers:    routing.NewPeers(opt.Zone),
-		budget:   routing.NewBudget(opt.Calls.RetryBudget),
+		budget:   routing.NewRetryBudget(opt.Calls.RetryBudget),
 		queues:   map[string]*routing.Queue{},
 		clients:  map[string]*endpointClient{},
 		services: map[string]bool{},
@@ -86,7 +86,7 @@
 	endpoints = g.sized(endpoints)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.Set(time.Now(), endpoints)
+	g.pool.SetEndpoints(time.Now(), endpoints)
 	clear(g.services)
 	keep := map[string]bool{}
 	for _, e := range endpoints {
@@ -140,7 +140,7 @@
 	}
 	for _, h := range g.hosts {
 		if !keep[h.Name] {
-			g.peers.Drop(h.Name)
+			g.peers.Remove(h.Name)
 		}
 	}
 	g.hosts = hosts
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -72,7 +72,7 @@
 		return float64(n)
 	})
 	gauge("fireflygate_retry_budget", "Retries that may be made now.", func() float64 {
-		return g.budget.Left()
+		return g.budget.Available()
 	})
 	gauge("fireflygate_endpoints_ejected", "Endpoints ejected now.", func() float64 {
 		return float64(g.pool.Ejected(time.Now()))
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -15,7 +15,7 @@
 
 // Book makes requests with an idempotency key run at most once.
 type Book interface {
-	Do(ctx context.Context, r booking.Request, run booking.Run) (booking.Answer, outcome.Refusal)
+	Do(ctx context.Context, r booking.Request, run booking.Run) (booking.Response, outcome.Refusal)
 }
 
 // Options is what a Gateway works with.
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -30,6 +30,6 @@
 	}
 }
 
-func fromAnswer(a booking.Answer) *Response {
+func fromAnswer(a booking.Response) *Response {
 	return wholeResponse(a.Status, a.Header, a.Body)
 }
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -56,7 +56,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.stopping && g.budget.Take()
+	return !g.stopping && g.budget.TakeRetry()
 }
 
 // final reports whether admission gave the request up: its caller is told at
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -23,15 +23,15 @@
 
 // shares is a View that tests replace.
 type shares struct {
-	view atomic.Pointer[ownership.View]
+	view atomic.Pointer[ownership.Snapshot]
 }
 
-func (s *shares) View() *ownership.View { return s.view.Load() }
+func (s *shares) Snapshot() *ownership.Snapshot { return s.view.Load() }
 
 func (s *shares) set(share ownership.Share, shards ...string) {
-	v := &ownership.View{Grants: map[string]ownership.Grant{}}
+	v := &ownership.Snapshot{Grants: map[string]ownership.Grant{}}
 	for _, name := range shards {
-		v.Grants[name] = ownership.Grant{Shard: name, Share: share, After: share}
+		v.Grants[name] = ownership.Grant{Shard: name, Share: share, ShareAfter: share}
 	}
 	s.view.Store(v)
 }
--- a/gateway/shares.go
+++ b/gateway/shares.go
@@ -5,5 +5,5 @@
 // Shares gives what this host owns now.
 type Shares interface {
 	// View returns the newest snapshot, which is never nil.
-	View() *ownership.View
+	Snapshot() *ownership.Snapshot
 }
--- a/gateway/standstill_test.go
+++ b/gateway/standstill_test.go
@@ -34,16 +34,16 @@
 		}
 		under[0].observe(routing.Result{Sent: true, Failed: true}) // its timer was faster than its answer
 		h.beat()
-		perSecond, each := h.pool.Rate(time.Now(), svc, h.shares.View())
+		perSecond, each := h.pool.Rate(time.Now(), svc, h.shares.Snapshot())
 		if each > 2*work {
 			t.Errorf("a request is taken to last %v after the pause, want about %v", each, work)
 		}
 		// The callers of 1.3 s at 20 a second wait, and all could be answered.
 		q := routing.NewQueue(h.calls().Queue)
 		for range 25 {
-			q.Push(&routing.Ticket{Since: time.Now()})
+			q.Push(&routing.Ticket{QueuedAt: time.Now()})
 		}
-		if a := q.Admit(time.Now(), perSecond, each, 2*time.Second); !a.Wait {
+		if a := q.Admit(time.Now(), perSecond, each, 2*time.Second); !a.Admitted {
 			t.Errorf("refused as %s with two seconds left", a.Reason)
 		}
 		if h.pool.Ejected(time.Now()) > 0 {
@@ -70,7 +70,7 @@
 			h.release(x.slot)
 			h.mu.Unlock()
 		}
-		if _, each := h.pool.Rate(time.Now(), svc, h.shares.View()); each < 400*time.Millisecond {
+		if _, each := h.pool.Rate(time.Now(), svc, h.shares.Snapshot()); each < 400*time.Millisecond {
 			t.Errorf("a request is taken to last %v, want about 500 ms", each)
 		}
 	})
@@ -81,11 +81,11 @@
 	t.Helper()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.pool.Acquire(time.Now(), svc, h.shares.View(), h.rng)
+	s := h.pool.Acquire(time.Now(), svc, h.shares.Snapshot(), h.rng)
 	if s == nil {
 		t.Fatal("no free slot")
 	}
-	h.pool.Written(s)
+	h.pool.WriteDone(s)
 	return &exchange{g: h.Gateway, slot: s, start: time.Now()}
 }
 
--- a/gateway/unserved.go
+++ b/gateway/unserved.go
@@ -25,9 +25,9 @@
 // their deadline. It needs the lock.
 func (g *Gateway) noteUnserved(now time.Time) {
 	away := g.opt.StoreOK != nil && !g.opt.StoreOK()
-	view := g.opt.Shares.View()
+	view := g.opt.Shares.Snapshot()
 	for service := range g.services {
-		nobody := away && !g.peers.Serving(now, service) && g.pool.FreeOf(now, service, view) == routing.NoShare
+		nobody := away && !g.peers.Serving(now, service) && g.pool.FreeSlots(now, service, view) == routing.NoShare
 		if !nobody {
 			g.servedAgain(service)
 			continue
@@ -77,8 +77,8 @@
 // refuseWaiting wakes all that wait for a place, without one. It needs the lock.
 func (g *Gateway) refuseWaiting(service string) {
 	q := g.queue(service)
-	for t := q.Take(); t != nil; t = q.Take() {
-		close(t.Wake)
+	for t := q.PopAny(); t != nil; t = q.PopAny() {
+		close(t.Ready)
 	}
 }
 
--- a/gateway/unserved_test.go
+++ b/gateway/unserved_test.go
@@ -113,12 +113,12 @@
 			want  int
 		}{{ownership.None, routing.NoShare}, {ownership.Full, 1}} {
 			h.shares.set(one.share, "e")
-			if got := h.pool.FreeOf(time.Now(), svc, h.shares.View()); got != one.want {
+			if got := h.pool.FreeSlots(time.Now(), svc, h.shares.Snapshot()); got != one.want {
 				t.Errorf("%v: %d free, want %d", one.share, got, one.want)
 			}
 		}
 		h.underWay(t)
-		if got := h.pool.FreeOf(time.Now(), svc, h.shares.View()); got != 0 {
+		if got := h.pool.FreeSlots(time.Now(), svc, h.shares.Snapshot()); got != 0 {
 			t.Errorf("full: %d free, want 0", got)
 		}
 	})
--- a/gateway/waiting_test.go
+++ b/gateway/waiting_test.go
@@ -109,11 +109,11 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for range slots {
-		s := h.pool.Acquire(time.Now(), svc, h.shares.View(), h.rng)
+		s := h.pool.Acquire(time.Now(), svc, h.shares.Snapshot(), h.rng)
 		if s == nil {
 			t.Fatal("no slot to fill")
 		}
-		h.pool.Written(s)
+		h.pool.WriteDone(s)
 		h.pool.Observe(time.Now(), s, routing.Result{Latency: time.Second, Sent: true, Failed: true})
 	}
 }
--- a/infra/workers.go
+++ b/infra/workers.go
@@ -97,7 +97,7 @@
 type Exchange struct {
 	// Owner is the epoch of the shard's owner. A worker refuses an exchange
 	// from an epoch lower than the highest it has seen.
-	Owner uint64 `json:"owner"`
+	OwnerEpoch uint64 `json:"owner"`
 	// LeaseMS is how long runs may go on without another exchange, in
 	// milliseconds from its arrival.
 	LeaseMS int64 `json:"lease_ms"`
@@ -138,8 +138,8 @@
 	// Seq is the sequence number to pass as Since next.
 	Seq uint64 `json:"seq"`
 	// Whole is set when Runs is the whole list rather than the changes.
-	Whole bool        `json:"whole,omitempty"`
-	Runs  []RunReport `json:"runs,omitempty"`
+	FullList bool        `json:"whole,omitempty"`
+	Runs     []RunReport `json:"runs,omitempty"`
 	// LatencyMS is the recent tail latency of latency-critical tasks on
 	// this worker by class, in milliseconds; it lags.
 	LatencyMS map[string]float64 `json:"latency_ms,omitempty"`
--- a/mechanism/set.go
+++ b/mechanism/set.go
@@ -13,37 +13,37 @@
 // The mechanisms, each with what happens without it.
 const (
 	// Hope: steps wait by arrival, whatever they can still reach.
-	Hope Mechanism = iota
-	// KeptRoom: no worker is kept for a step that fits nowhere yet.
-	KeptRoom
+	Timeliness Mechanism = iota
+	// ReservedCapacity: no worker is kept for a step that fits nowhere yet.
+	ReservedCapacity
 	// Headroom: long-running tasks begin wherever they fit.
 	Headroom
 	// Preemption: nothing gives way to a queue that comes first.
 	Preemption
 	// Pacing: fillers beside a long tail are moved or stand still, not slowed.
-	Pacing
+	CPULimits
 	// Moving: fillers beside a long tail are slowed or stand still, not moved.
 	Moving
 	// Foresight: a serving task's load is taken to stay as it is.
-	Foresight
+	LoadForecast
 	// Pairs: all images are taken to disturb each other alike.
-	Pairs
+	PairEffects
 	// Classes: serving tasks are placed without regard to who serves there.
-	Classes
-	// BoundedFirst: long-running tasks are placed as they come, steps that must
+	ClassAffinity
+	// SpreadFirst: long-running tasks are placed as they come, steps that must
 	// spread not before others.
-	BoundedFirst
-	// TailStop: fillers may join a tail over its target if the model allows it.
-	TailStop
+	SpreadFirst
+	// BlockOverTarget: fillers may join a tail over its target if the model allows it.
+	BlockOverTarget
 	// Copies: speculative tasks get no second run.
-	Copies
+	SpeculativeRuns
 	// Suspects: workers that fail all they get are used like others.
-	Suspects
-	// RoomPause: a worker that refused a start for want of room gets the next
+	FailingWorkers
+	// NoCapacityPause: a worker that refused a start for want of room gets the next
 	// at once.
-	RoomPause
+	NoCapacityPause
 	// Lessons: a new owner learns anew what images do to each other.
-	Lessons
+	StoredEstimates
 	mechanisms
 )
 
--- a/mechanism/set_test.go
+++ b/mechanism/set_test.go
@@ -22,7 +22,7 @@
 		seen[s] = name
 	}
 	s, err := mechanism.Parse("pacing,moving")
-	if err != nil || s != mechanism.Of(mechanism.Pacing, mechanism.Moving) || s.Has(mechanism.Hope) {
+	if err != nil || s != mechanism.Of(mechanism.CPULimits, mechanism.Moving) || s.Has(mechanism.Timeliness) {
 		t.Errorf("pacing,moving: set %b, error %v", s, err)
 	}
 	if s, err := mechanism.Parse(""); s != 0 || err != nil {
--- a/ownership/action.go
+++ b/ownership/action.go
@@ -42,8 +42,8 @@
 // Notify tells a peer of owners, for its Machine.Notified. No bound depends on
 // its arrival.
 type Notify struct {
-	Host  string
-	Owned []Owned
+	Host    string
+	Updates []OwnerUpdate
 }
 
 // Drain asks for Machine.Drained once no request is in flight under a shard
--- a/ownership/announce.go
+++ b/ownership/announce.go
@@ -10,7 +10,7 @@
 const renewalsPerReminder = 10
 
 // Owned tells of a shard's owner.
-type Owned struct {
+type OwnerUpdate struct {
 	Shard string `msgpack:"s"`
 	Epoch uint64 `msgpack:"e"`
 	// Version is that of the shard's row.
@@ -20,8 +20,8 @@
 }
 
 // told returns what is to be told of a shard.
-func (s *shardState) told() Owned {
-	return Owned{
+func (s *shardState) told() OwnerUpdate {
+	return OwnerUpdate{
 		Shard: s.name, Epoch: s.row.Epoch, Version: s.version, Owner: s.row.Owner.Host, Successors: s.row.Successors,
 	}
 }
@@ -35,7 +35,7 @@
 	if len(news) > 0 {
 		for _, h := range m.roster.EntryHosts() {
 			if h.Name != m.cfg.Host {
-				m.emit(Notify{Host: h.Name, Owned: news})
+				m.emit(Notify{Host: h.Name, Updates: news})
 			}
 		}
 	}
@@ -48,7 +48,7 @@
 
 // remind tells the successors of every shard of this host.
 func (m *Machine) remind() {
-	bySuccessor := map[string][]Owned{}
+	bySuccessor := map[string][]OwnerUpdate{}
 	var hosts []string
 	for _, name := range m.names {
 		s := m.shards[name]
@@ -64,13 +64,13 @@
 	}
 	slices.Sort(hosts)
 	for _, h := range hosts {
-		m.emit(Notify{Host: h, Owned: bySuccessor[h]})
+		m.emit(Notify{Host: h, Updates: bySuccessor[h]})
 	}
 }
 
 // Notified takes in what a peer tells of owners. It is only a hint: rows that
 // this host may have to act on are read.
-func (m *Machine) Notified(now time.Time, owned []Owned) []Action {
+func (m *Machine) Notified(now time.Time, owned []OwnerUpdate) []Action {
 	for _, o := range owned {
 		s := m.shards[o.Shard]
 		if s == nil || o.Version <= s.version {
--- a/ownership/bench_test.go
+++ b/ownership/bench_test.go
@@ -22,7 +22,7 @@
 			}
 			used := None.Of(simSlots)
 			for _, h := range w.hosts {
-				if g, ok := h.machine.View().Grants[shard]; ok && h.alive {
+				if g, ok := h.machine.Snapshot().Grants[shard]; ok && h.alive {
 					used += g.At(h.clock()).Of(simSlots)
 				}
 			}
--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -17,10 +17,10 @@
 	// Until is when Share lapses, on this process's monotonic clock.
 	Until time.Time
 	// After is what may be used once Until has passed.
-	After Share
+	ShareAfter Share
 	// Ends is when After lapses too, unless the process shows by a newer
 	// grant that it was not paused; zero for never.
-	Ends time.Time
+	AfterUntil time.Time
 }
 
 // At returns the share that may be used at now.
@@ -28,8 +28,8 @@
 	if now.Before(g.Until) {
 		return g.Share
 	}
-	if !g.Ends.IsZero() && !now.Before(g.Ends) {
+	if !g.AfterUntil.IsZero() && !now.Before(g.AfterUntil) {
 		return None
 	}
-	return g.After
+	return g.ShareAfter
 }
--- a/ownership/grants.go
+++ b/ownership/grants.go
@@ -6,11 +6,11 @@
 )
 
 // View returns the newest snapshot for the traffic path.
-func (m *Machine) View() *View { return m.view }
+func (m *Machine) Snapshot() *Snapshot { return m.view }
 
 // publish makes a new snapshot if anything in it has changed.
 func (m *Machine) publish(now time.Time) {
-	next := View{Grants: map[string]Grant{}, Owners: map[string]string{}}
+	next := Snapshot{Grants: map[string]Grant{}, Owners: map[string]string{}}
 	for _, name := range m.names {
 		s := m.shards[name]
 		if g, ok := m.grant(now, s); ok {
@@ -52,10 +52,10 @@
 		return m.workerGrant(now, s, g)
 	}
 	g.Share = Half
-	g.After = Half
-	g.Ends = m.awakeUntil
+	g.ShareAfter = Half
+	g.AfterUntil = m.awakeUntil
 	if m.flaws.noHalfShare {
-		g.Share, g.After = Full, Full
+		g.Share, g.ShareAfter = Full, Full
 	}
 	if !m.previousCleared(now, s) {
 		return g, true
--- a/ownership/machine.go
+++ b/ownership/machine.go
@@ -47,11 +47,11 @@
 	stopMoves int
 	// news are owners to be told to every entry host; remindedAt is when the
 	// successors were last reminded.
-	news       []Owned
+	news       []OwnerUpdate
 	remindedAt time.Time
 	// inquiries are the processes that somebody asks after.
 	inquiries map[Holder]inquiry
-	view      *View
+	view      *Snapshot
 	actions   []Action
 }
 
@@ -67,7 +67,7 @@
 		asks:      map[uint64]pendingAsk{},
 		given:     map[Holder]time.Time{},
 		inquiries: map[Holder]inquiry{},
-		view:      &View{},
+		view:      &Snapshot{},
 	}
 }
 
--- a/ownership/message.go
+++ b/ownership/message.go
@@ -1,7 +1,7 @@
 package ownership
 
 // Held is a shard that a host believes to own, and since which epoch.
-type Held struct {
+type ShardEpoch struct {
 	Shard string `msgpack:"s"`
 	Epoch uint64 `msgpack:"e"`
 }
@@ -9,8 +9,8 @@
 // PromiseRequest asks a named successor not to take these shards over for the
 // length of a session from the request's arrival.
 type PromiseRequest struct {
-	Owner  Holder `msgpack:"o"`
-	Shards []Held `msgpack:"s"`
+	Owner  Holder       `msgpack:"o"`
+	Shards []ShardEpoch `msgpack:"s"`
 }
 
 // PromiseReply answers a PromiseRequest.
@@ -20,7 +20,7 @@
 	// Refused are the shards for which it does not hold, with the epoch of
 	// the newest owner known; an epoch no higher than the asker's means
 	// that a claim is under way.
-	Refused []Held `msgpack:"r"`
+	Refused []ShardEpoch `msgpack:"r"`
 }
 
 // StoppedRequest asks whether a process has stopped using a shard for good
--- a/ownership/promise.go
+++ b/ownership/promise.go
@@ -10,7 +10,7 @@
 	sentAt time.Time
 	host   string
 	// held are the shards of a request for a promise.
-	held []Held
+	held []ShardEpoch
 	// stopped is set on a request for a confirmation.
 	stopped *StoppedRequest
 }
@@ -40,15 +40,15 @@
 }
 
 // heldBySuccessor lists the shards in use by each successor.
-func (m *Machine) heldBySuccessor() map[string][]Held {
-	held := map[string][]Held{}
+func (m *Machine) heldBySuccessor() map[string][]ShardEpoch {
+	held := map[string][]ShardEpoch{}
 	for _, name := range m.names {
 		s := m.shards[name]
 		if !m.mine(s) || !s.begun || s.move != nil {
 			continue
 		}
 		for _, h := range s.mustPromise() {
-			held[h] = append(held[h], Held{Shard: name, Epoch: s.row.Epoch})
+			held[h] = append(held[h], ShardEpoch{Shard: name, Epoch: s.row.Epoch})
 		}
 	}
 	return held
@@ -108,7 +108,7 @@
 		s := m.shard(h.Shard)
 		newest := max(s.row.Epoch, s.stoppedBelow)
 		if newest > h.Epoch || s.claim != nil {
-			reply.Refused = append(reply.Refused, Held{Shard: h.Shard, Epoch: newest})
+			reply.Refused = append(reply.Refused, ShardEpoch{Shard: h.Shard, Epoch: newest})
 			continue
 		}
 		s.givenUntil = now.Add(m.lapseOf(req.Owner))
--- a/ownership/shardstate.go
+++ b/ownership/shardstate.go
@@ -23,7 +23,7 @@
 	// one; 0 for none.
 	lookFrom uint64
 	// hint is what a peer told of the shard's owner.
-	hint Owned
+	hint OwnerUpdate
 	// givenUntil is until when this host promised not to claim the shard.
 	givenUntil time.Time
 
--- a/ownership/simhost_test.go
+++ b/ownership/simhost_test.go
@@ -117,7 +117,7 @@
 				func() { h.do(h.machine.StoppedReplied(h.clock(), a.ID, reply)) },
 				func() { h.do(h.machine.AskFailed(h.clock(), a.ID)) })
 		case Notify:
-			h.call(a.Host, func(p *simHost) { h.w.told += len(a.Owned) * 60; p.do(p.machine.Notified(p.clock(), a.Owned)) }, func() {}, func() {})
+			h.call(a.Host, func(p *simHost) { h.w.told += len(a.Updates) * 60; p.do(p.machine.Notified(p.clock(), a.Updates)) }, func() {}, func() {})
 		case Drain:
 			h.drain(a)
 		case Report:
--- a/ownership/simtraffic_test.go
+++ b/ownership/simtraffic_test.go
@@ -15,7 +15,7 @@
 			return
 		}
 		for _, shard := range h.shardNames() {
-			g, ok := h.machine.View().Grants[shard]
+			g, ok := h.machine.Snapshot().Grants[shard]
 			if !ok {
 				continue
 			}
--- a/ownership/world_test.go
+++ b/ownership/world_test.go
@@ -242,7 +242,7 @@
 	n := 0
 	for _, h := range w.hosts {
 		if h.alive {
-			if g, ok := h.machine.View().Grants[shard]; ok && g.At(h.clock()) == Full {
+			if g, ok := h.machine.Snapshot().Grants[shard]; ok && g.At(h.clock()) == Full {
 				n++
 			}
 		}
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -21,7 +21,7 @@
 // Admission is the answer to whether a request may wait.
 type Admission struct {
 	// Wait is whether it may.
-	Wait bool
+	Admitted bool
 	// RetryAfter is what a refused caller is told.
 	RetryAfter time.Duration
 	// Reason is why it was refused.
@@ -45,9 +45,9 @@
 	leastWork = 10 * time.Millisecond
 )
 
-// GiveUp returns until when a request with the deadline may wait, where one
+// WaitDeadline returns until when a request with the deadline may wait, where one
 // takes each, 0 if that is not known.
-func GiveUp(deadline time.Time, each time.Duration) time.Time {
+func WaitDeadline(deadline time.Time, each time.Duration) time.Time {
 	return deadline.Add(-deadlineMargin * max(each, leastWork))
 }
 
@@ -70,7 +70,7 @@
 	case standing && long:
 		return Admission{RetryAfter: clamp(wait), Reason: ReasonOverloaded}
 	default:
-		return Admission{Wait: true}
+		return Admission{Admitted: true}
 	}
 }
 
@@ -91,7 +91,7 @@
 	if q.Full() {
 		return Admission{RetryAfter: time.Second, Reason: ReasonQueueFull}
 	}
-	return Admission{Wait: true}
+	return Admission{Admitted: true}
 }
 
 func clamp(d time.Duration) time.Duration {
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -2,7 +2,7 @@
 
 // Budget is a token bucket that limits retries to a share of the recent
 // requests.
-type Budget struct {
+type RetryBudget struct {
 	ratio  float64
 	tokens float64
 	limit  float64
@@ -12,20 +12,20 @@
 const budgetBurst = 20
 
 // NewBudget returns a budget that allows ratio retries per request.
-func NewBudget(ratio float64) *Budget {
-	return &Budget{ratio: ratio, limit: budgetBurst}
+func NewRetryBudget(ratio float64) *RetryBudget {
+	return &RetryBudget{ratio: ratio, limit: budgetBurst}
 }
 
 // SetRatio changes the share of requests that may be retried.
-func (b *Budget) SetRatio(ratio float64) { b.ratio = ratio }
+func (b *RetryBudget) SetRatio(ratio float64) { b.ratio = ratio }
 
 // Request counts one first attempt.
-func (b *Budget) Request() {
+func (b *RetryBudget) AddRequest() {
 	b.tokens = min(b.limit, b.tokens+b.ratio)
 }
 
 // Take spends one retry and reports whether there was one.
-func (b *Budget) Take() bool {
+func (b *RetryBudget) TakeRetry() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -34,4 +34,4 @@
 }
 
 // Left returns how many retries may be made now.
-func (b *Budget) Left() float64 { return b.tokens }
+func (b *RetryBudget) Available() float64 { return b.tokens }
--- a/routing/choice_bench_test.go
+++ b/routing/choice_bench_test.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		requests++
-		p.Written(s)
+		p.WriteDone(s)
 		result := Result{Latency: time.Duration(5+r.IntN(11)) * time.Millisecond, Sent: true}
 		if s.Endpoint().Name == "bad" {
 			result = bad
@@ -92,7 +92,7 @@
 }
 
 // choose acquires a slot by the pool's choice or of a random free endpoint.
-func choose(p *Pool, now time.Time, view *ownership.View, r *rand.Rand, random bool) *Slot {
+func choose(p *Pool, now time.Time, view *ownership.Snapshot, r *rand.Rand, random bool) *Slot {
 	if !random {
 		return p.Acquire(now, "s", view, r)
 	}
--- a/routing/choice_test.go
+++ b/routing/choice_test.go
@@ -24,7 +24,7 @@
 	const n = 2000
 	for range n {
 		s := p.Acquire(now, "s", view, r)
-		p.Written(s)
+		p.WriteDone(s)
 		result := Result{Latency: 10 * time.Millisecond, Sent: true}
 		if s.Endpoint().Name == "bad" {
 			hits++
@@ -68,7 +68,7 @@
 	if got := choose(t0, "far"); got != "" {
 		t.Errorf("chose %q though it was asked before", got)
 	}
-	p.Correct("near", "s", 3)
+	p.SetFree("near", "s", 3)
 	if got := choose(t0); got != "near" {
 		t.Errorf("chose %q, want the corrected one", got)
 	}
@@ -78,11 +78,11 @@
 }
 
 func TestBudget(t *testing.T) {
-	b := NewBudget(0.1)
+	b := NewRetryBudget(0.1)
 	retries := 0
 	for range 1000 {
-		b.Request()
-		for b.Take() {
+		b.AddRequest()
+		for b.TakeRetry() {
 			retries++
 		}
 	}
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -36,7 +36,7 @@
 					if p.Observe(t0, s, Result{Sent: true, Latency: latency}) {
 						ejected = name
 					}
-					p.Written(s)
+					p.WriteDone(s)
 					p.Release(s)
 				}
 			}
--- a/routing/peers.go
+++ b/routing/peers.go
@@ -48,14 +48,14 @@
 }
 
 // Correct sets one service's free slots as a peer's answer just gave them.
-func (p *Peers) Correct(peer, service string, free int) {
+func (p *Peers) SetFree(peer, service string, free int) {
 	if d := p.all[peer]; d != nil {
 		d.free[service] = free
 	}
 }
 
 // Drop forgets a peer.
-func (p *Peers) Drop(peer string) {
+func (p *Peers) Remove(peer string) {
 	delete(p.all, peer)
 	p.names = slices.Sorted(maps.Keys(p.all))
 }
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -37,7 +37,7 @@
 // Set replaces the list of endpoints. Endpoints that were in the list keep
 // their slots in use and their estimates. Endpoints that join later than the
 // first list start slowly.
-func (p *Pool) Set(now time.Time, endpoints []Endpoint) {
+func (p *Pool) SetEndpoints(now time.Time, endpoints []Endpoint) {
 	for _, b := range p.byName {
 		b.gone = true
 	}
@@ -90,7 +90,7 @@
 }
 
 // allowed returns how many slots of b the grant allows at now.
-func (p *Pool) allowed(now time.Time, b *backend, view *ownership.View) int {
+func (p *Pool) allowed(now time.Time, b *backend, view *ownership.Snapshot) int {
 	g, ok := view.Grants[b.Shard]
 	if !ok {
 		return 0
@@ -100,7 +100,7 @@
 
 // Acquire takes a slot of the better of two random endpoints that have one
 // free, or returns nil.
-func (p *Pool) Acquire(now time.Time, service string, view *ownership.View, rng *rand.Rand) *Slot {
+func (p *Pool) Acquire(now time.Time, service string, view *ownership.Snapshot, rng *rand.Rand) *Slot {
 	g := p.services[service]
 	if g == nil {
 		return nil
@@ -138,7 +138,7 @@
 
 // room returns how many slots of b the grant allows, and how many of them may
 // be taken now.
-func (p *Pool) room(now time.Time, b *backend, view *ownership.View) (allowed, free int) {
+func (p *Pool) room(now time.Time, b *backend, view *ownership.Snapshot) (allowed, free int) {
 	if b.Leaving || b.ejected(now) {
 		return 0, 0
 	}
@@ -151,7 +151,7 @@
 // MayWrite reports whether the request that holds the slot may still be
 // written: it is asked just before the first byte, since the grant may have
 // lapsed after Acquire.
-func (p *Pool) MayWrite(now time.Time, s *Slot, view *ownership.View) bool {
+func (p *Pool) MayWrite(now time.Time, s *Slot, view *ownership.Snapshot) bool {
 	b := s.backend
 	if b.Leaving || b.gone || s.released {
 		return false
@@ -160,7 +160,7 @@
 }
 
 // Written ends the slot's time in the write window. It may be called twice.
-func (p *Pool) Written(s *Slot) {
+func (p *Pool) WriteDone(s *Slot) {
 	if !s.writing {
 		return
 	}
@@ -174,7 +174,7 @@
 	if s.released {
 		return
 	}
-	p.Written(s)
+	p.WriteDone(s)
 	s.released = true
 	s.backend.inUse--
 	if s.backend.gone && s.backend.inUse == 0 && p.byName[s.backend.Name] == s.backend {
--- a/routing/pool_test.go
+++ b/routing/pool_test.go
@@ -14,10 +14,10 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func grants(share, after ownership.Share, until time.Time, shards ...string) *ownership.View {
-	v := &ownership.View{Grants: map[string]ownership.Grant{}}
+func grants(share, after ownership.Share, until time.Time, shards ...string) *ownership.Snapshot {
+	v := &ownership.Snapshot{Grants: map[string]ownership.Grant{}}
 	for _, s := range shards {
-		v.Grants[s] = ownership.Grant{Shard: s, Share: share, After: after, Until: until}
+		v.Grants[s] = ownership.Grant{Shard: s, Share: share, ShareAfter: after, Until: until}
 	}
 	return v
 }
@@ -28,7 +28,7 @@
 
 func newPool(endpoints ...Endpoint) *Pool {
 	p := NewPool(DefaultConfig("z"))
-	p.Set(t0, endpoints)
+	p.SetEndpoints(t0, endpoints)
 	return p
 }
 
@@ -63,7 +63,7 @@
 			},
 			"write": func(t *rapid.T) {
 				if len(held) > 0 {
-					p.Written(held[rapid.IntRange(0, len(held)-1).Draw(t, "i")])
+					p.WriteDone(held[rapid.IntRange(0, len(held)-1).Draw(t, "i")])
 				}
 			},
 			"release": func(t *rapid.T) {
@@ -86,7 +86,7 @@
 			"leave": func(t *rapid.T) {
 				i := rapid.IntRange(0, 2).Draw(t, "i")
 				list[i].Leaving = rapid.Bool().Draw(t, "leaving")
-				p.Set(now, list[rapid.IntRange(0, 2).Draw(t, "from"):])
+				p.SetEndpoints(now, list[rapid.IntRange(0, 2).Draw(t, "from"):])
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -119,7 +119,7 @@
 			}
 		}
 		for s := next.Acquire(t0, "s", half, rng()); s != nil; s = next.Acquire(t0, "s", half, rng()) {
-			next.Written(s)
+			next.WriteDone(s)
 			successor++
 		}
 		if written == 0 || written+successor > slots {
@@ -139,7 +139,7 @@
 
 func TestSlowStart(t *testing.T) {
 	p := newPool(ep("a", 8))
-	p.Set(t0, []Endpoint{ep("a", 8), ep("b", 8)})
+	p.SetEndpoints(t0, []Endpoint{ep("a", 8), ep("b", 8)})
 	view := grants(ownership.Full, ownership.Full, t0, "a", "b")
 	b := p.byName["b"]
 	for _, c := range []struct {
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -26,13 +26,13 @@
 
 // Served takes in that a peer served a request of the queue's service, and how
 // long that took.
-func (q *Queue) Served(now time.Time, took time.Duration) { q.peers.served(now, took) }
+func (q *Queue) ObservePeer(now time.Time, took time.Duration) { q.peers.served(now, took) }
 
 // Turnover returns how many requests leave the queue per second and how long
 // one takes, where this host's slots serve perSecond that take each: peers
 // serve some too. Without them a host whose few endpoints hang would refuse
 // what its peers could answer. A host without slots has no rate of its own.
-func (q *Queue) Turnover(now time.Time, perSecond float64, each time.Duration) (float64, time.Duration) {
+func (q *Queue) DrainRate(now time.Time, perSecond float64, each time.Duration) (float64, time.Duration) {
 	elsewhere := q.peers.rate(now)
 	if perSecond <= 0 || elsewhere <= 0 {
 		return perSecond, each
@@ -55,9 +55,9 @@
 
 // Return puts a popped ticket back in its place, the first, since what it was
 // given came to nothing.
-func (q *Queue) Return(t *Ticket) {
+func (q *Queue) Requeue(t *Ticket) {
 	t.Slot, t.Peer = nil, ""
-	t.Wake = make(chan struct{})
+	t.Ready = make(chan struct{})
 	t.element = q.tickets.PushFront(t)
 }
 
@@ -72,7 +72,7 @@
 }
 
 // Take takes out the oldest ticket whatever its time, or returns nil.
-func (q *Queue) Take() *Ticket {
+func (q *Queue) PopAny() *Ticket {
 	e := q.tickets.Front()
 	if e == nil {
 		return nil
@@ -91,13 +91,13 @@
 // PopForward takes out the oldest ticket that was sent to fewer than limit
 // peers in vain, or returns nil.
 func (q *Queue) PopForward(now time.Time, limit int) *Ticket {
-	return q.pop(now, func(t *Ticket) bool { return t.Forwards < limit })
+	return q.pop(now, func(t *Ticket) bool { return t.FailedForwards < limit })
 }
 
 func (q *Queue) pop(now time.Time, fits func(*Ticket) bool) *Ticket {
 	for e := q.tickets.Front(); e != nil; e = e.Next() {
 		t := e.Value.(*Ticket)
-		if now.Before(t.GiveUp) && fits(t) {
+		if now.Before(t.WaitDeadline) && fits(t) {
 			q.Remove(t)
 			return t
 		}
--- a/routing/queue_bench_test.go
+++ b/routing/queue_bench_test.go
@@ -85,10 +85,10 @@
 			s.arrive(now, r)
 		}
 		for t := range s.waiting {
-			if !now.Before(t.GiveUp) {
+			if !now.Before(t.WaitDeadline) {
 				s.queue.Remove(t)
 				delete(s.waiting, t)
-				_ = s.refused.RecordValue(now.Sub(t.Since).Milliseconds())
+				_ = s.refused.RecordValue(now.Sub(t.QueuedAt).Milliseconds())
 			}
 		}
 		for i := range s.busy {
@@ -106,14 +106,14 @@
 	}
 	rate := simSlots / simWork.Seconds()
 	full := s.queue.Full()
-	if s.admission > 0 && !s.queue.Admit(now, rate, simWork, patience).Wait || full {
+	if s.admission > 0 && !s.queue.Admit(now, rate, simWork, patience).Admitted || full {
 		_ = s.refused.RecordValue(0)
 		return
 	}
 	if s.admission == byDeadline {
 		s.queue.longSince = now // never standing
 	}
-	t := &Ticket{Since: now, GiveUp: now.Add(patience - simWork)}
+	t := &Ticket{QueuedAt: now, WaitDeadline: now.Add(patience - simWork)}
 	s.queue.Push(t)
 	s.waiting[t] = now.Add(patience)
 }
@@ -129,7 +129,7 @@
 	}
 	s.busy[slot] = now.Add(work)
 	if !s.busy[slot].After(s.waiting[t]) {
-		_ = s.good.RecordValue(s.busy[slot].Sub(t.Since).Milliseconds())
+		_ = s.good.RecordValue(s.busy[slot].Sub(t.QueuedAt).Milliseconds())
 	}
 	delete(s.waiting, t)
 }
@@ -139,7 +139,7 @@
 	var chosen *Ticket
 	for e := s.queue.tickets.Front(); e != nil; e = e.Next() {
 		t := e.Value.(*Ticket)
-		if now.Before(t.GiveUp) && (chosen == nil || s.better(now, t, chosen)) {
+		if now.Before(t.WaitDeadline) && (chosen == nil || s.better(now, t, chosen)) {
 			chosen = t
 		}
 	}
@@ -156,9 +156,9 @@
 		return true
 	case adaptive:
 		oldest := s.queue.tickets.Front().Value.(*Ticket)
-		return now.Sub(oldest.Since) > oldest.GiveUp.Sub(oldest.Since)/2
+		return now.Sub(oldest.QueuedAt) > oldest.WaitDeadline.Sub(oldest.QueuedAt)/2
 	case earliestDeadline:
-		return t.GiveUp.Before(chosen.GiveUp)
+		return t.WaitDeadline.Before(chosen.WaitDeadline)
 	default:
 		return false
 	}
--- a/routing/queue_return_test.go
+++ b/routing/queue_return_test.go
@@ -11,7 +11,9 @@
 	const limit = 2
 	now := time.Unix(1000, 0)
 	q := NewQueue(10)
-	ticket := func() *Ticket { return &Ticket{Since: now, GiveUp: now.Add(time.Second), Wake: make(chan struct{})} }
+	ticket := func() *Ticket {
+		return &Ticket{QueuedAt: now, WaitDeadline: now.Add(time.Second), Ready: make(chan struct{})}
+	}
 	first, second := ticket(), ticket()
 	q.Push(first)
 	q.Push(second)
@@ -21,8 +23,8 @@
 			t.Fatal("the first is not sent first")
 		}
 		got.Peer = "b"
-		got.Forwards++
-		q.Return(got)
+		got.FailedForwards++
+		q.Requeue(got)
 	}
 	if got := q.PopForward(now, limit); got != second {
 		t.Fatal("the first is sent to one peer too many")
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -28,7 +28,7 @@
 					fmt.Fprintf(&out, "%s: full\n", name)
 					continue
 				}
-				tk := &Ticket{Since: at(now), GiveUp: at(giveUp)}
+				tk := &Ticket{QueuedAt: at(now), WaitDeadline: at(giveUp)}
 				names[tk], byName[name] = name, tk
 				q.Push(tk)
 			case "pop":
@@ -68,12 +68,12 @@
 	} {
 		q := NewQueue(c.limit)
 		for range c.waiting {
-			q.Push(&Ticket{Since: t0, GiveUp: t0.Add(time.Second)})
+			q.Push(&Ticket{QueuedAt: t0, WaitDeadline: t0.Add(time.Second)})
 		}
 		q.longSince = t0
 		q.longLast = t0.Add(c.long)
 		got := q.Admit(t0.Add(c.long), c.rate, 10*ms, c.remaining)
-		if got.Reason != c.reason || got.Wait != (c.reason == "") || (!got.Wait && got.RetryAfter <= 0) {
+		if got.Reason != c.reason || got.Admitted != (c.reason == "") || (!got.Admitted && got.RetryAfter <= 0) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
--- a/routing/relay_test.go
+++ b/routing/relay_test.go
@@ -12,7 +12,7 @@
 	q := NewQueue(100)
 	now := t0
 	admit := func() Admission {
-		rate, mean := q.Turnover(now, perSecond, each)
+		rate, mean := q.DrainRate(now, perSecond, each)
 		return q.Admit(now, rate, mean, deadline)
 	}
 	if a := admit(); a.Reason != ReasonDeadlineUnreachable {
@@ -20,16 +20,16 @@
 	}
 	for range 200 {
 		now = now.Add(10 * time.Millisecond)
-		q.Served(now, 30*time.Millisecond)
+		q.ObservePeer(now, 30*time.Millisecond)
 	}
 	for range 10 {
-		if a := admit(); !a.Wait {
+		if a := admit(); !a.Admitted {
 			t.Fatalf("beside peers, with %d waiting: %+v", q.Len(), a)
 		}
-		q.Push(&Ticket{Since: now, GiveUp: now.Add(deadline)})
+		q.Push(&Ticket{QueuedAt: now, WaitDeadline: now.Add(deadline)})
 	}
 	for range 90 {
-		q.Push(&Ticket{Since: now, GiveUp: now.Add(deadline)})
+		q.Push(&Ticket{QueuedAt: now, WaitDeadline: now.Add(deadline)})
 	}
 	q.SetLimit(1000)
 	if a := admit(); a.Reason != ReasonDeadlineUnreachable {
@@ -37,7 +37,7 @@
 	}
 	// The peers have filled up: nothing of theirs counts any more.
 	now = now.Add(10 * time.Second)
-	if rate, _ := q.Turnover(now, perSecond, each); rate > perSecond+0.1 {
+	if rate, _ := q.DrainRate(now, perSecond, each); rate > perSecond+0.1 {
 		t.Errorf("%.1f a second after ten quiet seconds", rate)
 	}
 }
@@ -46,8 +46,8 @@
 // peers whatever these served lately, as that is no bound of what they can.
 func TestNoOwnRateStaysUnknown(t *testing.T) {
 	q := NewQueue(1)
-	q.Served(t0, 30*time.Millisecond)
-	if rate, _ := q.Turnover(t0, 0, 0); rate != 0 {
+	q.ObservePeer(t0, 30*time.Millisecond)
+	if rate, _ := q.DrainRate(t0, 0, 0); rate != 0 {
 		t.Errorf("%.1f a second", rate)
 	}
 }
--- a/routing/stats.go
+++ b/routing/stats.go
@@ -8,10 +8,10 @@
 
 // Free returns the free slots by service. Services without endpoints here are
 // absent.
-func (p *Pool) Free(now time.Time, view *ownership.View) map[string]int {
+func (p *Pool) FreeByService(now time.Time, view *ownership.Snapshot) map[string]int {
 	free := make(map[string]int, len(p.services))
 	for name := range p.services {
-		free[name] = p.FreeOf(now, name, view)
+		free[name] = p.FreeSlots(now, name, view)
 	}
 	return free
 }
@@ -20,9 +20,9 @@
 // the service's endpoints: it can't serve, however few requests there are.
 const NoShare = -1
 
-// FreeOf returns the free slots of one service, NoShare if the grants allow
+// FreeSlots returns the free slots of one service, NoShare if the grants allow
 // none of its endpoints.
-func (p *Pool) FreeOf(now time.Time, service string, view *ownership.View) int {
+func (p *Pool) FreeSlots(now time.Time, service string, view *ownership.Snapshot) int {
 	g := p.services[service]
 	if g == nil {
 		return NoShare
@@ -66,7 +66,7 @@
 // Rate estimates how many requests of a service this host's endpoints finish
 // per second when all its slots are in use, and how long one takes. The rate
 // is 0 when it has no slots of the service.
-func (p *Pool) Rate(now time.Time, service string, view *ownership.View) (perSecond float64, each time.Duration) {
+func (p *Pool) Rate(now time.Time, service string, view *ownership.Snapshot) (perSecond float64, each time.Duration) {
 	g := p.services[service]
 	if g == nil {
 		return 0, 0
--- a/standin/machine_exchange.go
+++ b/standin/machine_exchange.go
@@ -12,13 +12,13 @@
 // exchange processes one exchange that arrived at now.
 func (m *machine) exchange(now time.Time, x infra.Exchange) infra.ExchangeReply {
 	m.advance(now)
-	if x.Owner < m.owner {
+	if x.OwnerEpoch < m.owner {
 		return m.head(infra.ExchangeReply{Refused: true})
 	}
 	if m.stale(x) {
 		return m.head(infra.ExchangeReply{Stale: true})
 	}
-	m.owner = x.Owner
+	m.owner = x.OwnerEpoch
 	m.leaseUntil = m.now.Add(time.Duration(x.LeaseMS) * time.Millisecond)
 	for _, o := range x.Orders {
 		m.order(o)
@@ -51,7 +51,7 @@
 // reply returns the changes since a sequence number, or the whole list.
 func (m *machine) reply(since uint64) infra.ExchangeReply {
 	whole := since < m.first || since > m.seq
-	reply := m.head(infra.ExchangeReply{Whole: whole, LatencyMS: maps.Clone(m.reported)})
+	reply := m.head(infra.ExchangeReply{FullList: whole, LatencyMS: maps.Clone(m.reported)})
 	for _, r := range m.runs {
 		if whole || r.seq > since {
 			reply.Runs = append(reply.Runs, r.report())
--- a/standin/platform_test.go
+++ b/standin/platform_test.go
@@ -152,7 +152,7 @@
 	p, _, client := start(t)
 	workers := httpclient.NewWorkers(client)
 	address := p.Addresses().Others["worker-0"]
-	x := infra.Exchange{Owner: 1, LeaseMS: 60000}
+	x := infra.Exchange{OwnerEpoch: 1, LeaseMS: 60000}
 	first, err := workers.Exchange(t.Context(), address, x)
 	if err != nil {
 		t.Fatal(err)
@@ -171,7 +171,7 @@
 	if err := p.ReviveWorker("worker-0"); err != nil {
 		t.Fatal(err)
 	}
-	reply, err := workers.Exchange(t.Context(), address, infra.Exchange{Owner: 1, LeaseMS: 60000})
+	reply, err := workers.Exchange(t.Context(), address, infra.Exchange{OwnerEpoch: 1, LeaseMS: 60000})
 	if err != nil || len(reply.Runs) != 0 {
 		t.Errorf("revived worker: %+v: %v", reply, err)
 	}
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -33,7 +33,7 @@
 // named has an exchange name the worker's life and be valid for a second.
 func named(t *testing.T, w *standin.Worker, now time.Time, x infra.Exchange) infra.Exchange {
 	t.Helper()
-	reply, err := w.ExchangeAt(now, infra.Exchange{Owner: x.Owner, LeaseMS: x.LeaseMS})
+	reply, err := w.ExchangeAt(now, infra.Exchange{OwnerEpoch: x.OwnerEpoch, LeaseMS: x.LeaseMS})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 // exchange sends orders of owner 1 with a lease of 5 s and returns the list.
 func exchange(t *testing.T, w *standin.Worker, now time.Time, orders ...infra.Order) map[infra.RunID]infra.RunReport {
 	t.Helper()
-	reply, err := w.ExchangeAt(now, named(t, w, now, infra.Exchange{Owner: 1, LeaseMS: 5000, Orders: orders}))
-	if err != nil || reply.Refused || !reply.Whole {
+	reply, err := w.ExchangeAt(now, named(t, w, now, infra.Exchange{OwnerEpoch: 1, LeaseMS: 5000, Orders: orders}))
+	if err != nil || reply.Refused || !reply.FullList {
 		t.Fatalf("reply %+v: %v", reply, err)
 	}
 	runs := map[infra.RunID]infra.RunReport{}
@@ -84,9 +84,9 @@
 
 func TestWorkerFencesLowerOwners(t *testing.T) {
 	w := newWorker()
-	_, _ = w.ExchangeAt(at(0), infra.Exchange{Owner: 2, LeaseMS: 5000})
+	_, _ = w.ExchangeAt(at(0), infra.Exchange{OwnerEpoch: 2, LeaseMS: 5000})
 	reply, _ := w.ExchangeAt(at(1), infra.Exchange{
-		Owner: 1, LeaseMS: 9000, Orders: []infra.Order{order(infra.OrderStart, "a", 1, "")},
+		OwnerEpoch: 1, LeaseMS: 9000, Orders: []infra.Order{order(infra.OrderStart, "a", 1, "")},
 	})
 	if !reply.Refused || len(w.Runs()) != 0 {
 		t.Errorf("reply %+v, runs %v", reply, w.Runs())
@@ -108,7 +108,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWorker()
 			x := named(t, w, at(0), infra.Exchange{
-				Owner: 1, LeaseMS: 5000, Orders: []infra.Order{order(infra.OrderStart, "a", 1, "")},
+				OwnerEpoch: 1, LeaseMS: 5000, Orders: []infra.Order{order(infra.OrderStart, "a", 1, "")},
 			})
 			reply, _ := w.ExchangeAt(at(spoil(w, &x)), x)
 			if !reply.Stale || len(w.Runs()) != 0 {
@@ -142,11 +142,11 @@
 func TestWorkerDiffsGuardAndSlowdown(t *testing.T) {
 	w := newWorker()
 	first, _ := w.ExchangeAt(at(0), named(t, w, at(0), infra.Exchange{
-		Owner: 1, LeaseMS: 5000,
+		OwnerEpoch: 1, LeaseMS: 5000,
 		Orders: []infra.Order{order(infra.OrderStart, "v", 1, "victim"), order(infra.OrderStart, "n", 1, "noisy")},
 	}))
-	none, _ := w.ExchangeAt(at(0), infra.Exchange{Owner: 1, LeaseMS: 5000, Since: first.Seq})
-	if none.Whole || len(none.Runs) != 0 {
+	none, _ := w.ExchangeAt(at(0), infra.Exchange{OwnerEpoch: 1, LeaseMS: 5000, Since: first.Seq})
+	if none.FullList || len(none.Runs) != 0 {
 		t.Errorf("no change: %+v", none)
 	}
 	runs := exchange(t, w, at(1001), order(infra.OrderStart, "big", 1, "big"))
--- a/tenure/execute.go
+++ b/tenure/execute.go
@@ -15,7 +15,7 @@
 const scanPage = 1000
 
 // execute carries an action out without holding up the control goroutine.
-func (k *Keeper) execute(ctx context.Context, a ownership.Action) {
+func (k *Driver) execute(ctx context.Context, a ownership.Action) {
 	switch a := a.(type) {
 	case ownership.Report:
 		k.report(a)
@@ -37,7 +37,7 @@
 }
 
 // commit sends a transaction and brings its result back.
-func (k *Keeper) commit(ctx context.Context, a ownership.Commit) {
+func (k *Driver) commit(ctx context.Context, a ownership.Commit) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.tableTimeout())
 	defer cancel()
 	result := k.cfg.Table.Commit(ctx, a.Tx)
@@ -49,7 +49,7 @@
 }
 
 // read brings rows back: everything, or those asked for.
-func (k *Keeper) read(ctx context.Context, a ownership.Read) {
+func (k *Driver) read(ctx context.Context, a ownership.Read) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.tableTimeout())
 	defer cancel()
 	take := k.readKeys
@@ -67,7 +67,7 @@
 }
 
 // readAll scans the sessions, then the shards.
-func (k *Keeper) readAll(ctx context.Context, a ownership.Read) (input, error) {
+func (k *Driver) readAll(ctx context.Context, a ownership.Read) (input, error) {
 	sessions, err := k.scan(ctx, ownership.SessionPrefix)
 	if err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 }
 
 // readKeys gets the rows named, then a page of the shards' rows.
-func (k *Keeper) readKeys(ctx context.Context, a ownership.Read) (input, error) {
+func (k *Driver) readKeys(ctx context.Context, a ownership.Read) (input, error) {
 	var rows []infra.Row
 	if len(a.Keys) > 0 {
 		var err error
@@ -94,7 +94,7 @@
 }
 
 // scan reads every row under a prefix.
-func (k *Keeper) scan(ctx context.Context, prefix string) ([]infra.Row, error) {
+func (k *Driver) scan(ctx context.Context, prefix string) ([]infra.Row, error) {
 	var all []infra.Row
 	after := ""
 	for {
@@ -111,14 +111,14 @@
 }
 
 // answered notes whether the table answered; control goroutine only.
-func (k *Keeper) answered(now time.Time, ok bool) {
+func (k *Driver) answered(now time.Time, ok bool) {
 	if ok {
 		k.lastAnswer = now
 	}
 }
 
 // askPromise asks a successor for a promise and brings its reply back.
-func (k *Keeper) askPromise(ctx context.Context, a ownership.AskPromise) {
+func (k *Driver) askPromise(ctx context.Context, a ownership.AskPromise) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.Lease.Renew.D())
 	defer cancel()
 	var reply ownership.PromiseReply
@@ -133,7 +133,7 @@
 
 // askStopped asks a previous owner whether it has stopped and brings its reply
 // back.
-func (k *Keeper) askStopped(ctx context.Context, a ownership.AskStopped) {
+func (k *Driver) askStopped(ctx context.Context, a ownership.AskStopped) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.Lease.Renew.D())
 	defer cancel()
 	var reply ownership.StoppedReply
@@ -147,14 +147,14 @@
 }
 
 // notify tells a peer of owners.
-func (k *Keeper) notify(ctx context.Context, a ownership.Notify) {
+func (k *Driver) notify(ctx context.Context, a ownership.Notify) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.Lease.Renew.D())
 	defer cancel()
-	k.cfg.Transport.Call(ctx, a.Host, methodOwned, ownedMessage{Owned: a.Owned}, nil)
+	k.cfg.Transport.Call(ctx, a.Host, methodOwned, ownedMessage{Owned: a.Updates}, nil)
 }
 
 // drain waits until nothing is in flight under a shard, however long it takes.
-func (k *Keeper) drain(ctx context.Context, a ownership.Drain) {
+func (k *Driver) drain(ctx context.Context, a ownership.Drain) {
 	for {
 		err := k.cfg.Drain(ctx, a.Shard)
 		if err == nil {
--- a/tenure/handlers.go
+++ b/tenure/handlers.go
@@ -19,11 +19,11 @@
 
 // ownedMessage is the request of methodOwned; the answer is an empty one.
 type ownedMessage struct {
-	Owned []ownership.Owned `msgpack:"o"`
+	Owned []ownership.OwnerUpdate `msgpack:"o"`
 }
 
 // handlePeers registers the handlers.
-func (k *Keeper) handlePeers() {
+func (k *Driver) handlePeers() {
 	k.cfg.Mux.Handle(methodPromise, func(ctx context.Context, from string, decode func(any) error) (any, error) {
 		var req ownership.PromiseRequest
 		if err := decode(&req); err != nil {
@@ -57,7 +57,7 @@
 
 // ask puts a question to the machine in the control goroutine and waits for
 // the reply.
-func ask[T any](ctx context.Context, k *Keeper, f func(time.Time, *ownership.Machine) (T, []ownership.Action)) (T, error) {
+func ask[T any](ctx context.Context, k *Driver, f func(time.Time, *ownership.Machine) (T, []ownership.Action)) (T, error) {
 	var none T
 	replied := make(chan T, 1)
 	in := func(now time.Time, m *ownership.Machine) []ownership.Action {
--- a/tenure/keeper.go
+++ b/tenure/keeper.go
@@ -21,7 +21,7 @@
 type input func(now time.Time, m *ownership.Machine) []ownership.Action
 
 // Keeper holds this host's shards. Its methods are safe for concurrent use.
-type Keeper struct {
+type Driver struct {
 	cfg     Config
 	machine *ownership.Machine
 	inputs  chan input
@@ -29,33 +29,33 @@
 	stopped chan struct{}
 	// handedOver closes when a planned stop is complete.
 	handedOver chan struct{}
-	view       atomic.Pointer[ownership.View]
+	view       atomic.Pointer[ownership.Snapshot]
 	storeOK    atomic.Bool
 	// lastAnswer is when the table last answered, in the control goroutine.
 	lastAnswer time.Time
 	stopping   bool
 
 	mu          sync.Mutex
-	subscribers []func(*ownership.View)
+	subscribers []func(*ownership.Snapshot)
 }
 
 // New returns a keeper and registers its handlers for peers' requests.
-func New(cfg Config) *Keeper {
+func New(cfg Config) *Driver {
 	cfg = cfg.withDefaults()
-	k := &Keeper{
+	k := &Driver{
 		cfg:        cfg,
 		machine:    ownership.New(cfg.machine(), cfg.Now()),
 		inputs:     make(chan input),
 		stopped:    make(chan struct{}),
 		handedOver: make(chan struct{}),
 	}
-	k.view.Store(k.machine.View())
+	k.view.Store(k.machine.Snapshot())
 	k.handlePeers()
 	return k
 }
 
 // Run holds shards until the context ends. It must be called once.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Driver) Run(ctx context.Context) error {
 	defer close(k.stopped)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -85,7 +85,7 @@
 func tick(now time.Time, m *ownership.Machine) []ownership.Action { return m.Tick(now) }
 
 // post hands an input to the control goroutine; false when that is gone.
-func (k *Keeper) post(in input) bool {
+func (k *Driver) post(in input) bool {
 	select {
 	case k.inputs <- in:
 		return true
@@ -95,28 +95,28 @@
 }
 
 // SetRoster takes a new roster in. It waits for Run to have begun.
-func (k *Keeper) SetRoster(r roster.Roster) {
+func (k *Driver) SetRoster(r roster.Roster) {
 	k.post(func(now time.Time, m *ownership.Machine) []ownership.Action { return m.SetRoster(now, r) })
 }
 
 // View returns what this host holds, and who owns what, as last known.
-func (k *Keeper) View() *ownership.View { return k.view.Load() }
+func (k *Driver) Snapshot() *ownership.Snapshot { return k.view.Load() }
 
 // Subscribe calls f, in the control goroutine, with each new view. It must
 // return fast and call no method that waits for Run.
-func (k *Keeper) Subscribe(f func(*ownership.View)) {
+func (k *Driver) Subscribe(f func(*ownership.Snapshot)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.subscribers = append(k.subscribers, f)
 }
 
 // StoreOK reports whether the table answered lately.
-func (k *Keeper) StoreOK() bool { return k.storeOK.Load() }
+func (k *Driver) StoreOK() bool { return k.storeOK.Load() }
 
 // HandOver gives every shard to other hosts after draining it, and takes none
 // any more. It returns once this host owns nothing, or with the context's
 // error; Run must go on until then.
-func (k *Keeper) HandOver(ctx context.Context) error {
+func (k *Driver) HandOver(ctx context.Context) error {
 	begin := func(now time.Time, m *ownership.Machine) []ownership.Action {
 		k.stopping = true
 		return m.HandOver(now)
@@ -135,7 +135,7 @@
 }
 
 // noteHandedOver tells HandOver when it is complete.
-func (k *Keeper) noteHandedOver() {
+func (k *Driver) noteHandedOver() {
 	if !k.stopping || !k.machine.HandedOver() {
 		return
 	}
@@ -147,8 +147,8 @@
 }
 
 // publish passes a new view on.
-func (k *Keeper) publish() {
-	v := k.machine.View()
+func (k *Driver) publish() {
+	v := k.machine.Snapshot()
 	if v == k.view.Load() {
 		return
 	}
@@ -162,7 +162,7 @@
 }
 
 // judgeStore notes whether the table answers.
-func (k *Keeper) judgeStore(now time.Time) {
+func (k *Driver) judgeStore(now time.Time) {
 	ok := now.Sub(k.lastAnswer) < 2*k.cfg.Lease.Renew.D()
 	if k.storeOK.Swap(ok) == ok {
 		return
--- a/tenure/keeper_test.go
+++ b/tenure/keeper_test.go
@@ -21,7 +21,7 @@
 	table   *fakeTable
 	peers   *peernet.Network
 	list    infra.MemberList
-	keepers map[string]*Keeper
+	keepers map[string]*Driver
 	cancel  map[string]context.CancelFunc
 	done    sync.WaitGroup
 	drained chan string
@@ -30,7 +30,7 @@
 func newCluster(t *testing.T, hosts ...string) *cluster {
 	c := &cluster{
 		t: t, table: newFakeTable(), peers: peernet.New(),
-		keepers: map[string]*Keeper{}, cancel: map[string]context.CancelFunc{}, drained: make(chan string, 100),
+		keepers: map[string]*Driver{}, cancel: map[string]context.CancelFunc{}, drained: make(chan string, 100),
 	}
 	for i := range 16 {
 		c.list.Members = append(c.list.Members, infra.Member{
@@ -75,7 +75,7 @@
 func (c *cluster) shares() map[string]int {
 	sum := map[string]int{}
 	for _, k := range c.keepers {
-		for shard, g := range k.View().Grants {
+		for shard, g := range k.Snapshot().Grants {
 			if g.At(time.Now()) == ownership.Full {
 				sum[shard]++
 			}
@@ -108,8 +108,8 @@
 		pass(15 * time.Second)
 		c.wantAllOwnedOnce("settled")
 		for h, k := range c.keepers {
-			if !k.StoreOK() || len(k.View().Grants) == 0 {
-				t.Errorf("%s: store %v, %d grants", h, k.StoreOK(), len(k.View().Grants))
+			if !k.StoreOK() || len(k.Snapshot().Grants) == 0 {
+				t.Errorf("%s: store %v, %d grants", h, k.StoreOK(), len(k.Snapshot().Grants))
 			}
 		}
 	})
@@ -140,7 +140,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
 		pass(15 * time.Second)
-		held := len(c.keepers["b"].View().Grants)
+		held := len(c.keepers["b"].Snapshot().Grants)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if err := c.keepers["b"].HandOver(ctx); err != nil {
@@ -148,7 +148,7 @@
 		}
 		synctest.Wait()
 		c.wantAllOwnedOnce("at once after the hand-over")
-		if left := len(c.keepers["b"].View().Grants); held == 0 || left != 0 || len(c.drained) < held {
+		if left := len(c.keepers["b"].Snapshot().Grants); held == 0 || left != 0 || len(c.drained) < held {
 			t.Errorf("held %d, left %d, drained %d", held, left, len(c.drained))
 		}
 	})
@@ -163,7 +163,7 @@
 		pass(20 * time.Second)
 		halves := 0
 		for _, k := range c.keepers {
-			for _, g := range k.View().Grants {
+			for _, g := range k.Snapshot().Grants {
 				if g.At(time.Now()) == ownership.Half {
 					halves++
 				}
--- a/tenure/report.go
+++ b/tenure/report.go
@@ -20,7 +20,7 @@
 }
 
 // report logs what happened.
-func (k *Keeper) report(r ownership.Report) {
+func (k *Driver) report(r ownership.Report) {
 	attrs := []slog.Attr{}
 	if r.Shard != "" {
 		attrs = append(attrs, slog.String("shard", r.Shard), slog.Uint64("epoch", r.Epoch))
