--- a/control/commit.go
+++ b/control/commit.go
@@ -17,14 +17,14 @@
 	if o.committing || o.resigning {
 		return
 	}
-	if !o.state.Unflushed() {
+	if !o.state.HasUnflushedChanges() {
 		o.dirtySince = time.Time{}
 	} else if o.dirtySince.IsZero() {
 		o.dirtySince = now
 	}
 	beat := now.Sub(o.lastCommit) >= heartbeat
 	all := !o.dirtySince.IsZero() && now.Sub(o.dirtySince) >= flushDelay+o.traffic.PollInterval(now)/2
-	urgent := now.Sub(o.lastCommit) >= flushDelay && o.state.Urgent()
+	urgent := now.Sub(o.lastCommit) >= flushDelay && o.state.HasUrgentChanges()
 	if !beat && !all && !urgent && len(o.waiters) == 0 {
 		return
 	}
@@ -37,7 +37,7 @@
 		panic("control: state can't be encoded: " + err.Error())
 	}
 	if len(b.Writes) == 0 && !beat {
-		o.state.Flushed(b)
+		o.state.MarkFlushed(b)
 		return
 	}
 	o.committing = true
@@ -60,7 +60,7 @@
 	o.prove(begun)
 	o.post(func() {
 		o.committing = false
-		o.state.Flushed(b)
+		o.state.MarkFlushed(b)
 		o.settle()
 		if f := o.afterCommit; f != nil {
 			o.afterCommit = nil
@@ -78,7 +78,7 @@
 // settle answers those whose change is durable.
 func (o *Owner) settle() {
 	for id := range o.waiters {
-		if o.state.Settled(id) {
+		if o.state.JobFlushed(id) {
 			event.JobDurable.Log(o.opts.Log, slog.Any("job", id), slog.Any("epoch", o.epoch))
 			o.tell(id, reply{Result: ResultDone})
 		}
--- a/control/load.go
+++ b/control/load.go
@@ -65,7 +65,7 @@
 		return
 	}
 	now := time.Now()
-	o.state.Restore(now, now.UnixMilli(), job, p)
+	o.state.RestoreJob(now, now.UnixMilli(), job, p)
 }
 
 // loadRoster takes in the workers where runs may be alive.
@@ -81,7 +81,7 @@
 			return 0, errors.Wrapf(err, "decode %s", row.Key)
 		}
 		for _, w := range roster.Workers {
-			o.state.Inherit(time.Now(), w)
+			o.state.InheritWorker(time.Now(), w)
 		}
 		workers += len(roster.Workers)
 	}
@@ -91,15 +91,15 @@
 // loadLessons takes in what was learned of pairs of images. A row that can't be
 // read costs only the time to learn it again.
 func (o *Owner) loadLessons(ctx context.Context) error {
-	rows, err := o.opts.Table.Get(ctx, dispatch.LessonsKey)
+	rows, err := o.opts.Table.Get(ctx, dispatch.EstimatesKey)
 	if err != nil {
 		return errors.Wrap(err, "read lessons")
 	}
 	if len(rows) == 0 || rows[0].Version == 0 {
 		return nil
 	}
-	if err := o.state.RecallLessons(rows[0].Value); err != nil {
-		event.RowUnreadable.Log(o.opts.Log, slog.String("key", dispatch.LessonsKey), slog.Any("err", err))
+	if err := o.state.ImportEstimates(rows[0].Value); err != nil {
+		event.RowUnreadable.Log(o.opts.Log, slog.String("key", dispatch.EstimatesKey), slog.Any("err", err))
 	}
 	return nil
 }
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -112,13 +112,13 @@
 
 // state sets the gauges of a domain.
 func (m *Metrics) state(s *dispatch.Summary) {
-	m.open.Set(float64(s.Open))
+	m.open.Set(float64(s.OpenJobs))
 	m.over.Set(float64(s.OverTarget))
 	m.workers.WithLabelValues("usable").Set(float64(s.Usable))
-	m.workers.WithLabelValues("silent").Set(float64(s.Silent))
-	m.workers.WithLabelValues("awaited").Set(float64(s.Awaited))
-	for cause, n := range s.Causes {
-		m.waiting.WithLabelValues(dispatch.Cause(cause).String()).Set(float64(n)) //nolint:gosec // a few causes
+	m.workers.WithLabelValues("silent").Set(float64(s.Suspected))
+	m.workers.WithLabelValues("awaited").Set(float64(s.AwaitingReport))
+	for cause, n := range s.WaitingByCause {
+		m.waiting.WithLabelValues(dispatch.WaitCause(cause).String()).Set(float64(n)) //nolint:gosec // a few causes
 	}
 }
 
--- a/control/orders.go
+++ b/control/orders.go
@@ -16,7 +16,7 @@
 	for _, s := range p.Stops {
 		o.orderStop(s)
 	}
-	for _, s := range p.Paces {
+	for _, s := range p.CPULimits {
 		o.orderPace(s)
 	}
 	for _, s := range p.Starts {
@@ -66,8 +66,8 @@
 	}
 	o.traffic.StartFinished(now, way)
 	o.opts.Metrics.order("start", a.Status)
-	event.StartAnswered.Log(o.opts.Log, slog.Any("task", s.Start.Task), slog.Any("run", s.Start.Run), slog.Any("worker", s.Worker.ID), slog.Any("token", s.Start.Token), slog.Any("known", s.Known), slog.Any("status", a.Status), slog.Any("err", a.Err))
-	if !o.state.StartAnswered(now, s, a) {
+	event.StartAnswered.Log(o.opts.Log, slog.Any("task", s.Start.Task), slog.Any("run", s.Start.Run), slog.Any("worker", s.Worker.ID), slog.Any("token", s.Start.Token), slog.Any("known", s.Snapshot), slog.Any("status", a.Status), slog.Any("err", a.Err))
+	if !o.state.HandleStartAnswer(now, s, a) {
 		return
 	}
 	o.resolve(s.Worker.ID)
@@ -96,21 +96,21 @@
 		return o.relays.Stop(ctx, s.Worker, s.Stop)
 	}, func(a runner.Answer) {
 		event.StopAnswered.Log(o.opts.Log, slog.Any("task", s.Stop.Task), slog.Uint64("run", s.Stop.Run),
-			slog.String("worker", s.Worker.ID), slog.String("cause", s.Cause.String()), slog.Any("known", s.Known),
+			slog.String("worker", s.Worker.ID), slog.String("cause", s.Cause.String()), slog.Any("known", s.Snapshot),
 			slog.Any("status", a.Status), slog.Any("err", a.Err))
-		o.state.StopAnswered(time.Now(), s, a)
+		o.state.HandleStopAnswer(time.Now(), s, a)
 	})
 }
 
 // orderPace gives a change of pace.
-func (o *Owner) orderPace(p dispatch.PaceOrder) {
+func (o *Owner) orderPace(p dispatch.CPULimitOrder) {
 	o.call(p.Worker.ID, "pace", func(ctx context.Context) runner.Answer {
-		return o.relays.SetCPULimit(ctx, p.Worker, p.Pace)
+		return o.relays.SetCPULimit(ctx, p.Worker, p.CPULimit)
 	}, func(a runner.Answer) {
-		event.PaceAnswered.Log(o.opts.Log, slog.Any("task", p.Pace.Task), slog.Uint64("run", p.Pace.Run),
-			slog.String("worker", p.Worker.ID), slog.Int("percent", p.Pace.Percent), slog.Any("known", p.Known), slog.Any("status", a.Status),
+		event.PaceAnswered.Log(o.opts.Log, slog.Any("task", p.CPULimit.Task), slog.Uint64("run", p.CPULimit.Run),
+			slog.String("worker", p.Worker.ID), slog.Int("percent", p.CPULimit.Percent), slog.Any("known", p.Snapshot), slog.Any("status", a.Status),
 			slog.Any("err", a.Err))
-		o.state.PaceAnswered(p, a)
+		o.state.HandleCPULimitAnswer(p, a)
 	})
 }
 
@@ -134,11 +134,11 @@
 // look begins the looks at workers that are due.
 func (o *Owner) look(now time.Time) {
 	o.state.EachWorker(func(id string) { o.lookAt(now, id) })
-	for _, id := range o.state.Peek(now) {
+	for _, id := range o.state.EarlyPolls(now) {
 		o.resolve(id)
 	}
 	for id, s := range o.sessions {
-		if !o.state.Known(id) {
+		if !o.state.HasWorker(id) {
 			s.cancel()
 			delete(o.sessions, id)
 		}
@@ -170,7 +170,7 @@
 	o.opts.Metrics.order("look", a.Status)
 	// A worker that was silent before is looked at in vain as long as it is
 	// gone, and one that may hold its answer says nothing of the way.
-	if (way.TimedOut && o.state.Heard(l.worker.ID)) || (!way.TimedOut && l.renewal.WaitMS == 0) {
+	if (way.TimedOut && o.state.Responsive(l.worker.ID)) || (!way.TimedOut && l.renewal.WaitMS == 0) {
 		o.traffic.measured(now, way)
 	}
 	s.nextLook = now.Add(o.traffic.PollInterval(now))
@@ -178,7 +178,7 @@
 		s.nextLook = now.Add(max(lookRetry, o.traffic.orderWait()))
 		event.WorkerNotSeen.Log(o.opts.Log, slog.Any("worker", l.worker.ID), slog.Any("status", a.Status), slog.Any("err", a.Err))
 	}
-	for _, e := range o.state.Report(now, l.worker.ID, l.renewal, a, rep) {
+	for _, e := range o.state.HandleReport(now, l.worker.ID, l.renewal, a, rep) {
 		o.opts.Metrics.ends.WithLabelValues(e.Kind.String()).Inc()
 		event.RunEnded.Log(o.opts.Log, slog.Any("task", e.Task), slog.Any("run", e.Run), slog.Any("worker", l.worker.ID), slog.Any("how", e.Kind))
 	}
--- a/control/owner.go
+++ b/control/owner.go
@@ -89,7 +89,7 @@
 	o.relays = newRelays(&o.opts)
 	o.state = dispatch.New(dispatch.Config{
 		Epoch: o.epoch, Lease: min(lease, opts.MaxLease), InheritedLease: min(lease, opts.MaxLease) + ownerValidity,
-		Retention: opts.Retention, RoomPause: roomPause, TailBound: opts.TailBound, Without: opts.Without,
+		Retention: opts.Retention, NoCapacityPause: roomPause, TailBound: opts.TailBound, Disabled: opts.Without,
 	})
 	o.state.SetQueues(cfg.Queues)
 	o.notePermits(cfg)
@@ -177,8 +177,8 @@
 	if o.proven() && !o.resigning && o.planDue(now) {
 		p := o.state.PlanAtMost(now, o.traffic.AvailableStarts())
 		at = o.loop.add(planning, at)
-		o.loop.planned(p.HeldBack)
-		o.planned, o.heldBack = now, p.HeldBack
+		o.loop.planned(p.StartLimitReached)
+		o.planned, o.heldBack = now, p.StartLimitReached
 		o.order(p)
 		o.askPermits(now)
 		at = o.loop.add(ordering, at)
--- a/control/permits.go
+++ b/control/permits.go
@@ -17,7 +17,7 @@
 	if o.asking || o.opts.Policy == nil || !o.needsPermits {
 		return
 	}
-	q, ok := o.state.AskPermit(now)
+	q, ok := o.state.NextPermitRequest(now)
 	if !ok {
 		return
 	}
@@ -30,7 +30,7 @@
 			o.asking = false
 			event.PermitsAnswered.Log(o.opts.Log, slog.Any("step", q.Step), slog.Int("asked", len(q.Workers)),
 				slog.Int("permitted", len(p.Tickets)), slog.Any("err", err))
-			o.state.Permitted(time.Now(), q, p, err)
+			o.state.HandlePermits(time.Now(), q, p, err)
 		})
 	}()
 }
--- a/control/requests.go
+++ b/control/requests.go
@@ -41,16 +41,16 @@
 // submit takes a job in and answers once it is durable.
 func (o *Owner) submit(ctx context.Context, spec *workload.Job, q workload.Queue) reply {
 	return o.ask(ctx, func(answer chan reply) {
-		if o.state.Stored(spec.ID) {
+		if o.state.JobStored(spec.ID) {
 			answer <- reply{Result: ResultDone}
 			return
 		}
-		if after, away := o.storeAway(); away && !o.state.Has(spec.ID) {
+		if after, away := o.storeAway(); away && !o.state.HasJob(spec.ID) {
 			event.StoreAway.Log(o.opts.Log, slog.String("job", spec.ID), slog.Int64("retry_after_ms", after.Milliseconds()))
 			answer <- reply{Result: ResultRefused, RetryAfterMS: after.Milliseconds()}
 			return
 		}
-		if before := o.state.StartsBefore(q); !o.state.Has(spec.ID) {
+		if before := o.state.TasksAhead(q); !o.state.HasJob(spec.ID) {
 			if after, refuse := o.backlog.Refuse(before); refuse {
 				event.StartsWait.Log(o.opts.Log, slog.String("job", spec.ID), slog.Int("starts_before", before), slog.Int64("retry_after_ms", after.Milliseconds()))
 				answer <- reply{Result: ResultRefused, RetryAfterMS: after.Milliseconds()}
@@ -95,7 +95,7 @@
 			return
 		}
 		event.JobCancelled.Log(o.opts.Log, slog.Any("job", id))
-		if o.state.Settled(id) {
+		if o.state.JobFlushed(id) {
 			answer <- reply{Result: ResultDone}
 			return
 		}
@@ -106,7 +106,7 @@
 // await has an answer given once a job's newest change is durable.
 func (o *Owner) await(id string, answer chan reply) {
 	o.waiters[id] = append(o.waiters[id], answer)
-	o.state.Hasten(id)
+	o.state.MarkUrgent(id)
 }
 
 // jobState answers a job's state.
@@ -135,6 +135,6 @@
 // pending answers how many of a queue's jobs haven't begun.
 func (o *Owner) pending(ctx context.Context, queue string) reply {
 	return o.ask(ctx, func(answer chan reply) {
-		answer <- reply{Result: ResultDone, Count: o.state.Pending(queue)}
+		answer <- reply{Result: ResultDone, Count: o.state.PendingJobs(queue)}
 	})
 }
--- a/control/resign.go
+++ b/control/resign.go
@@ -58,7 +58,7 @@
 			return
 		}
 		o.post(func() {
-			o.state.Flushed(b)
+			o.state.MarkFlushed(b)
 			o.settle()
 			go o.giveUp(ctx)
 		})
--- a/control/summary.go
+++ b/control/summary.go
@@ -17,7 +17,7 @@
 		return
 	}
 	o.summarized = now
-	sum := o.state.Account(now)
+	sum := o.state.AttributeTime(now)
 	o.opts.Metrics.state(&sum)
 	traffic := o.traffic.State(now)
 	event.DomainState.Log(o.opts.Log, slog.Uint64("epoch", o.epoch), slog.Any("state", sum),
@@ -27,11 +27,11 @@
 	o.starts = sum.Stats.Starts
 	o.adaptRelays(now, sum.Workers)
 	o.loop = loopTime{}
-	for _, j := range o.state.EndedJobs() {
+	for _, j := range o.state.TakeJobOutcomes() {
 		event.JobOver.Log(o.opts.Log, slog.String("job", j.Job), slog.String("queue", j.Queue),
-			slog.String("state", j.State.String()), slog.String("reached", j.Hope.String()),
+			slog.String("state", j.State.String()), slog.String("reached", j.Timeliness.String()),
 			slog.Int64("age_ms", j.Age.Milliseconds()), slog.Int64("objective_ms", j.Objective.Milliseconds()),
-			slog.Int64("core_ms", j.CoreMS), slog.Int("tasks", j.Tasks), slog.Any("spent", j.Ledger))
+			slog.Int64("core_ms", j.CoreMS), slog.Int("tasks", j.Tasks), slog.Any("spent", j.TimeBreakdown))
 	}
 }
 
--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -7,9 +7,9 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// StartAnswered takes in what became of a start. It reports whether the
+// HandleStartAnswer takes in what became of a start. It reports whether the
 // worker must be asked under a higher token what became of it.
-func (s *State) StartAnswered(now time.Time, o StartOrder, a runner.Answer) (resolve bool) {
+func (s *State) HandleStartAnswer(now time.Time, o StartOrder, a runner.Answer) (resolve bool) {
 	w := s.workers[o.Worker.ID]
 	if w == nil {
 		return false
@@ -32,7 +32,7 @@
 		s.unheard(now, w)
 		return s.raiseToken(w)
 	case runner.Restarted:
-		s.Reborn(now, w.info.ID)
+		s.HandleRestart(now, w.info.ID)
 	default:
 		s.Stats.StartsRefused++
 		s.refused(now, w, r, a.Status)
@@ -48,8 +48,8 @@
 	case runner.NoPermit:
 		r.task.step.dropTicket(w)
 	case runner.NoCapacity:
-		if !s.cfg.Without.Has(mechanism.NoCapacityPause) {
-			w.pausedUntil = now.Add(s.cfg.RoomPause)
+		if !s.cfg.Disabled.Has(mechanism.NoCapacityPause) {
+			w.pausedUntil = now.Add(s.cfg.NoCapacityPause)
 		}
 	case runner.Unhealthy, runner.Invalid:
 		w.pausedUntil = now.Add(unhealthyPause)
@@ -68,26 +68,26 @@
 	return true
 }
 
-// StopAnswered takes in what became of a stop; the end itself comes with a
+// HandleStopAnswer takes in what became of a stop; the end itself comes with a
 // report.
-func (s *State) StopAnswered(now time.Time, o StopOrder, a runner.Answer) {
+func (s *State) HandleStopAnswer(now time.Time, o StopOrder, a runner.Answer) {
 	w := s.workers[o.Worker.ID]
 	if w == nil {
 		return
 	}
 	w.tick(now, a.ClockMS)
 	if a.Status == runner.Restarted {
-		s.Reborn(now, w.info.ID)
+		s.HandleRestart(now, w.info.ID)
 	}
 }
 
-// PaceAnswered takes in what became of a change of pace.
-func (s *State) PaceAnswered(o PaceOrder, a runner.Answer) {
+// HandleCPULimitAnswer takes in what became of a change of pace.
+func (s *State) HandleCPULimitAnswer(o CPULimitOrder, a runner.Answer) {
 	w := s.workers[o.Worker.ID]
 	if w == nil || a.Status == runner.Done {
 		return
 	}
-	if r := w.runs[o.Pace.Task]; r != nil && r.number == o.Pace.Run && r.pace == o.Pace.Percent {
+	if r := w.runs[o.CPULimit.Task]; r != nil && r.number == o.CPULimit.Run && r.pace == o.CPULimit.Percent {
 		r.paceOpen = true
 	}
 }
--- a/dispatch/benchlarge_test.go
+++ b/dispatch/benchlarge_test.go
@@ -90,7 +90,7 @@
 		starts := r.state.PlanAtMost(r.now, 8).Starts
 		b.StopTimer()
 		for _, o := range starts {
-			r.state.StartAnswered(r.now, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()})
+			r.state.HandleStartAnswer(r.now, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()})
 			numbers[o.Worker.ID]++
 			r.report(o.Worker.ID, nil, []runner.RunEnd{end(numbers[o.Worker.ID], o, runner.EndFailed)})
 		}
--- a/dispatch/burstrig_test.go
+++ b/dispatch/burstrig_test.go
@@ -222,14 +222,14 @@
 			c.end(o.Stop.Task, r, runner.EndStopped)
 		}
 	}
-	for _, o := range p.Paces {
-		if r := b.workers[o.Worker.ID].runs[o.Pace.Task]; r != nil {
-			r.pace = o.Pace.Percent
+	for _, o := range p.CPULimits {
+		if r := b.workers[o.Worker.ID].runs[o.CPULimit.Task]; r != nil {
+			r.pace = o.CPULimit.Percent
 		}
 	}
 	for _, o := range p.Starts {
 		b.begin(o)
-		b.state.StartAnswered(b.now, o, runner.Answer{Status: runner.Done, ClockMS: b.clock()})
+		b.state.HandleStartAnswer(b.now, o, runner.Answer{Status: runner.Done, ClockMS: b.clock()})
 	}
 }
 
@@ -268,7 +268,7 @@
 	}
 	b.flush()
 	b.takeOver(roster...)
-	if err := b.state.RecallLessons(b.rows[dispatch.LessonsKey]); err != nil {
+	if err := b.state.ImportEstimates(b.rows[dispatch.EstimatesKey]); err != nil {
 		b.t.Fatal(err)
 	}
 	b.members(burstWorkers)
--- a/dispatch/cause.go
+++ b/dispatch/cause.go
@@ -2,22 +2,22 @@
 
 // Cause is why a step's task waits, by the check that stops it on the worker
 // where it gets furthest.
-type Cause uint8
+type WaitCause uint8
 
 // The causes, in the order of the checks.
 const (
 	// NoWorker: no usable worker of its pool has its label.
-	NoWorker Cause = iota
+	NoWorker WaitCause = iota
 	// NoProcessors: none has the processors.
 	NoProcessors
 	// NoMemory: none that has the processors has the memory.
 	NoMemory
 	// ReservedCapacity: the room is kept for a step before it.
-	KeptRoom
-	// TooManyThere: where there is room, it has as many tasks as it may.
-	TooManyThere
-	// WouldHarm: where there is room, it would disturb those who serve.
-	WouldHarm
+	ReservedCapacity
+	// PerWorkerLimit: where there is room, it has as many tasks as it may.
+	PerWorkerLimit
+	// WouldInterfere: where there is room, it would disturb those who serve.
+	WouldInterfere
 	// NoPermit: the policy service hasn't permitted a worker that has room.
 	NoPermit
 	// Headroom: the room is kept for short work.
@@ -32,7 +32,7 @@
 }
 
 // String returns the cause as logs and metrics show it.
-func (c Cause) String() string {
+func (c WaitCause) String() string {
 	if c < causes {
 		return causeNames[c]
 	}
@@ -42,11 +42,11 @@
 // wait says why a step's tasks wait.
 type wait struct {
 	// cause is the check that stops the first idle task where it gets furthest.
-	cause Cause
+	cause WaitCause
 	// fits counts the workers that would take one task now, otherwise is the
 	// cause at the rest.
 	fits      int
-	otherwise Cause
+	otherwise WaitCause
 }
 
 // waitOf returns why the step's tasks wait.
@@ -81,7 +81,7 @@
 }
 
 // causeAt returns the check that keeps a step's task from a worker.
-func (c *cycle) causeAt(st *step, w *worker) Cause {
+func (c *cycle) causeAt(st *step, w *worker) WaitCause {
 	reserved := st.spec.Reserved()
 	switch {
 	case !c.allowed(st, w):
@@ -91,12 +91,12 @@
 	case !reserved.Fits(w.free):
 		return NoMemory
 	case c.kept[w.slot]:
-		return KeptRoom
+		return ReservedCapacity
 	case c.crowded(st, w):
-		return TooManyThere
+		return PerWorkerLimit
 	}
 	if _, ok := c.harm(st, w); !ok {
-		return WouldHarm
+		return WouldInterfere
 	}
 	if _, ok := st.ticketFor(c.now, w); !ok {
 		return NoPermit
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -61,7 +61,7 @@
 func (c *cycle) rankTask(st *step) rank.Task {
 	return rank.Task{
 		Request: st.spec.Needs, Serving: st.spec.Serving(), BestEffort: st.spec.BestEffort, Spread: st.spec.LongRunning,
-		LowImpact: c.wanted.quiet[st.spec.Image], IgnoreClasses: c.s.cfg.Without.Has(mechanism.ClassAffinity),
+		LowImpact: c.wanted.quiet[st.spec.Image], IgnoreClasses: c.s.cfg.Disabled.Has(mechanism.ClassAffinity),
 	}
 }
 
@@ -128,7 +128,7 @@
 		Demand:         v.wanted,
 		SameStep:       siblings,
 		DataLocal:      w.info.HasLabel(st.spec.DataRack),
-		Suspect:        w.health.suspect(c.now) && !c.s.cfg.Without.Has(mechanism.FailingWorkers),
+		Suspect:        w.health.suspect(c.now) && !c.s.cfg.Disabled.Has(mechanism.FailingWorkers),
 	}
 }
 
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -23,9 +23,9 @@
 	TailBound time.Duration
 	// NoCapacityPause is how long a worker that refused a start for want of room gets
 	// no other.
-	RoomPause time.Duration
+	NoCapacityPause time.Duration
 	// Without names what the policy leaves out, for experiments.
-	Without mechanism.Set
+	Disabled mechanism.Set
 }
 
 const (
--- a/dispatch/copies.go
+++ b/dispatch/copies.go
@@ -18,7 +18,7 @@
 // copySlow starts second runs of speculative tasks whose first run is far
 // behind, as on a slow worker. The first to finish counts.
 func (c *cycle) copySlow() {
-	if c.s.cfg.Without.Has(mechanism.SpeculativeRuns) {
+	if c.s.cfg.Disabled.Has(mechanism.SpeculativeRuns) {
 		return
 	}
 	for _, j := range c.s.open {
--- a/dispatch/drain.go
+++ b/dispatch/drain.go
@@ -22,7 +22,7 @@
 			spec := r.task.step.spec
 			if spec.LongRunning || (leaving && spec.Checkpointing) {
 				s.Stats.Evictions++
-				s.stop(now, r, WorkerLeaves)
+				s.stop(now, r, WorkerDraining)
 			}
 		}
 	}
--- a/dispatch/evict.go
+++ b/dispatch/evict.go
@@ -29,7 +29,7 @@
 	if st.blockedSince.IsZero() {
 		st.blockedSince = c.now
 	}
-	if c.s.cfg.Without.Has(mechanism.Preemption) || st.spec.BestEffort || c.tries >= triesPerCycle || c.now.Sub(st.blockedSince) < preemptAfter ||
+	if c.s.cfg.Disabled.Has(mechanism.Preemption) || st.spec.BestEffort || c.tries >= triesPerCycle || c.now.Sub(st.blockedSince) < preemptAfter ||
 		c.now.Before(st.preemptNext) {
 		return
 	}
--- a/dispatch/evidence_test.go
+++ b/dispatch/evidence_test.go
@@ -11,7 +11,7 @@
 // TestOrdersSayWhy gives with each order what it was decided by.
 func TestOrdersSayWhy(t *testing.T) {
 	r, serving, filler := besideServing(t)
-	if k := filler.Known; k.Serving != 1 || k.LeastSlack < 3.5 || k.FreeMilliCPU != 8000 || k.ReportAge != 0 {
+	if k := filler.Snapshot; k.Serving != 1 || k.MinSlack < 3.5 || k.FreeMilliCPU != 8000 || k.ReportAge != 0 {
 		t.Errorf("start went by %+v, want one that serves with a slack of 3.8 and 8 cores free", k)
 	}
 	r.pass(1500 * time.Millisecond)
@@ -23,11 +23,11 @@
 	if len(stops) != 1 || stops[0].Cause != dispatch.TailTooLong {
 		t.Fatalf("stops %+v, want the filler moved for the tail's sake", stops)
 	}
-	if k := stops[0].Known; k.LeastSlack > 0.6 || k.Fillers != 1 || k.ReportAge != 20*time.Millisecond {
+	if k := stops[0].Snapshot; k.MinSlack > 0.6 || k.BestEffort != 1 || k.ReportAge != 20*time.Millisecond {
 		t.Errorf("stop went by %+v, want a slack of 0.56, reported 20 ms before", k)
 	}
 	r.state.Cancel(r.now, "serving")
-	if stops = r.state.Plan(r.now).Stops; len(stops) != 1 || stops[0].Cause != dispatch.JobOver {
+	if stops = r.state.Plan(r.now).Stops; len(stops) != 1 || stops[0].Cause != dispatch.JobEnded {
 		t.Errorf("stops %+v after a cancel, want one of a job that is over", stops)
 	}
 }
--- a/dispatch/faultsite_test.go
+++ b/dispatch/faultsite_test.go
@@ -229,7 +229,7 @@
 
 // commit makes durable what has changed, a little later.
 func (s *faultSite) commit() {
-	if s.committing || !s.state.Unflushed() || s.now.Before(s.storeAwayUntil) {
+	if s.committing || !s.state.HasUnflushedChanges() || s.now.Before(s.storeAwayUntil) {
 		return
 	}
 	b, err := s.state.Flush(s.now, 98)
@@ -291,12 +291,12 @@
 	slices.SortFunc(p.Stops, func(a, b dispatch.StopOrder) int { return cmp.Compare(a.Stop.Run, b.Stop.Run) })
 	for _, o := range p.Stops {
 		s.carry(o.Worker.ID, func(w *faultWorker) runner.Status { return w.stop(o.Stop) }, func(status runner.Status) {
-			state.StopAnswered(s.now, o, runner.Answer{Status: status, ClockMS: s.clock()})
+			state.HandleStopAnswer(s.now, o, runner.Answer{Status: status, ClockMS: s.clock()})
 		})
 	}
 	for _, o := range p.Starts {
 		s.carry(o.Worker.ID, func(w *faultWorker) runner.Status { return s.start(w, o) }, func(status runner.Status) {
-			if state.StartAnswered(s.now, o, runner.Answer{Status: status, ClockMS: s.clock()}) && s.state == state {
+			if state.HandleStartAnswer(s.now, o, runner.Answer{Status: status, ClockMS: s.clock()}) && s.state == state {
 				s.look(o.Worker.ID, func() {})
 			}
 		})
@@ -343,7 +343,7 @@
 		if status != runner.Done {
 			rep = runner.Report{}
 		}
-		state.Report(s.now, id, renewal, a, rep)
+		state.HandleReport(s.now, id, renewal, a, rep)
 	})
 }
 
--- a/dispatch/fill_test.go
+++ b/dispatch/fill_test.go
@@ -31,8 +31,8 @@
 	if started != 3 {
 		t.Errorf("%d fillers started, want 3", started)
 	}
-	r.state.Account(r.now)
-	if sum := r.state.Account(r.now); sum.Causes[dispatch.NoProcessors] != 3 {
-		t.Errorf("waiting by cause: %v, want the other 3 for processors", sum.Causes)
+	r.state.AttributeTime(r.now)
+	if sum := r.state.AttributeTime(r.now); sum.WaitingByCause[dispatch.NoProcessors] != 3 {
+		t.Errorf("waiting by cause: %v, want the other 3 for processors", sum.WaitingByCause)
 	}
 }
--- a/dispatch/flush.go
+++ b/dispatch/flush.go
@@ -19,8 +19,8 @@
 	ProgressPrefix = "progress/"
 	// RosterPrefix begins the key of a part of the roster; its number follows.
 	RosterPrefix = "roster/"
-	// LessonsKey is the key of what is known of pairs of images.
-	LessonsKey = "lessons"
+	// EstimatesKey is the key of what is known of pairs of images.
+	EstimatesKey = "lessons"
 )
 
 // Batch is a set of changes that become durable together.
@@ -61,12 +61,12 @@
 func (j *job) waitedFor() bool { return j.urgent || !j.rowStored || j.state.Final() }
 
 // Urgent reports whether there is something that FlushUrgent would collect.
-func (s *State) Urgent() bool {
+func (s *State) HasUrgentChanges() bool {
 	return len(s.rosterChanged) > 0 || slices.ContainsFunc(s.dirty, (*job).waitedFor)
 }
 
 // Hasten makes a job's change urgent.
-func (s *State) Hasten(id string) {
+func (s *State) MarkUrgent(id string) {
 	if j := s.jobs[id]; j != nil && j.dirty {
 		j.urgent = true
 	}
@@ -107,7 +107,7 @@
 // elsewhere could run a second time under the next owner, who goes by it.
 func (b *Batch) addJob(j *job) error {
 	if !j.rowStored {
-		value, err := msgpack.Marshal(JobRow{Job: *j.spec, Policy: j.queue})
+		value, err := msgpack.Marshal(JobRow{Job: *j.spec, Queue: j.queue})
 		if err != nil {
 			return errors.Wrap(err, "encode job row")
 		}
@@ -189,7 +189,7 @@
 }
 
 // Flushed takes in that a batch is durable.
-func (s *State) Flushed(b *Batch) {
+func (s *State) MarkFlushed(b *Batch) {
 	for _, f := range b.jobs {
 		f.job.rowStored = true
 		f.job.durable = f.state
@@ -208,6 +208,6 @@
 }
 
 // Unflushed reports whether changes wait to become durable.
-func (s *State) Unflushed() bool {
+func (s *State) HasUnflushedChanges() bool {
 	return len(s.dirty) > 0 || len(s.rosterChanged) > 0 || len(s.unacknowledged()) > 0
 }
--- a/dispatch/flushroster.go
+++ b/dispatch/flushroster.go
@@ -61,14 +61,14 @@
 	if err != nil {
 		return errors.Wrap(err, "encode lessons")
 	}
-	b.Writes = append(b.Writes, infra.Write{Key: LessonsKey, Value: value})
+	b.Writes = append(b.Writes, infra.Write{Key: EstimatesKey, Value: value})
 	s.learned, s.lessonsAt = false, now
 	return nil
 }
 
-// RecallLessons takes in what an earlier owner has learned.
-func (s *State) RecallLessons(value []byte) error {
-	if s.cfg.Without.Has(mechanism.StoredEstimates) {
+// ImportEstimates takes in what an earlier owner has learned.
+func (s *State) ImportEstimates(value []byte) error {
+	if s.cfg.Disabled.Has(mechanism.StoredEstimates) {
 		return nil
 	}
 	var lessons []interference.ClassEstimate
--- a/dispatch/forgotten_test.go
+++ b/dispatch/forgotten_test.go
@@ -17,7 +17,7 @@
 	r.submit(queueShort, "first", step(1, 16))
 	p := r.state.Plan(r.now)
 	cut := p.Starts[0].Worker.ID
-	r.state.StartAnswered(r.now, p.Starts[0], runner.Answer{Status: runner.Unknown})
+	r.state.HandleStartAnswer(r.now, p.Starts[0], runner.Answer{Status: runner.Unknown})
 	r.report(cut, nil, nil) // under the higher token
 	seen := r.renewalToken(cut)
 
@@ -29,7 +29,7 @@
 		r.report(other(cut), nil, nil)
 		r.plan()
 	}
-	if r.state.Known(cut) {
+	if r.state.HasWorker(cut) {
 		t.Fatal("the worker is still known, it should be forgotten")
 	}
 	r.members(2)
--- a/dispatch/gather.go
+++ b/dispatch/gather.go
@@ -20,7 +20,7 @@
 // come at the same time, so that the queue can order all of them. Placed as they
 // came, those that must spread over many workers found these taken.
 func (s *State) gathering(now time.Time, j *job) bool {
-	if s.cfg.Without.Has(mechanism.SpreadFirst) {
+	if s.cfg.Disabled.Has(mechanism.SpreadFirst) {
 		return false
 	}
 	return j.lasting && !j.inherited && now.Sub(s.lastingAt) < gatherPause && now.Sub(j.accepted) < gatherMost
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -30,7 +30,7 @@
 	// dirty is set while its progress isn't durable, urgent while somebody waits
 	// for that.
 	dirty, urgent bool
-	ledger        Ledger
+	ledger        TimeBreakdown
 	// toldLost is set once it has been told that the job is past its use.
 	toldLost bool
 }
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -10,38 +10,38 @@
 
 // Ledger divides the life of a job by what kept it from ending. It is booked
 // once for each Account, so its shares are as coarse as the time between two.
-type Ledger struct {
+type TimeBreakdown struct {
 	// Waited is the time in which a step could have begun a task and didn't, by
 	// the cause of the first such step.
 	Waited [causes]time.Duration
 	// Slowed is the time in which nothing waited and a filler ran below its full
 	// pace, Running that in which all ran as they can.
-	Slowed, Running time.Duration
+	CPULimited, Running time.Duration
 	// Unbooked is the time before the job was stored and, after a take-over,
 	// before this owner knew it.
-	Unbooked time.Duration
+	Unattributed time.Duration
 	// Starts counts runs ordered, Stopped those that this owner had stopped.
 	Starts, Stopped int
 }
 
-// JobEnd is what is told of a job that has ended, or has become too late to
+// JobOutcome is what is told of a job that has ended, or has become too late to
 // be of use.
-type JobEnd struct {
+type JobOutcome struct {
 	Job, Queue string
 	State      workload.State
 	// Hope is what it reached: on time, late, or past its use.
-	Hope queue.Timeliness
+	Timeliness queue.Timeliness
 	// Age is the time since it was due, Objective when it should have ended.
 	Age, Objective time.Duration
 	// CoreMS is its work by the caller's estimates, in core-milliseconds.
-	CoreMS int64
-	Tasks  int
-	Ledger Ledger
+	CoreMS        int64
+	Tasks         int
+	TimeBreakdown TimeBreakdown
 }
 
 // Account adds the time since the last call to the ledgers of the open jobs
 // and returns the state of the domain in a few figures.
-func (s *State) Account(now time.Time) Summary {
+func (s *State) AttributeTime(now time.Time) Summary {
 	sum, causes := s.summarize(now)
 	passed := now.Sub(s.accountedAt)
 	if s.accountedAt.IsZero() {
@@ -62,9 +62,9 @@
 }
 
 // book adds a span to what the job did in it.
-func (j *job) book(now time.Time, span time.Duration, causes map[*step]Cause) {
+func (j *job) book(now time.Time, span time.Duration, causes map[*step]WaitCause) {
 	l := &j.ledger
-	l.Unbooked += max(now.Sub(j.accepted)-span-l.booked(), 0)
+	l.Unattributed += max(now.Sub(j.accepted)-span-l.booked(), 0)
 	slowed := false
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
@@ -76,15 +76,15 @@
 		}
 	}
 	if slowed {
-		l.Slowed += span
+		l.CPULimited += span
 	} else {
 		l.Running += span
 	}
 }
 
 // booked returns the time that is accounted for.
-func (l *Ledger) booked() time.Duration {
-	sum := l.Slowed + l.Running + l.Unbooked
+func (l *TimeBreakdown) booked() time.Duration {
+	sum := l.CPULimited + l.Running + l.Unattributed
 	for _, d := range l.Waited {
 		sum += d
 	}
@@ -109,10 +109,10 @@
 		return
 	}
 	o := j.occurrences[len(j.occurrences)-1]
-	told := JobEnd{
+	told := JobOutcome{
 		Job: j.spec.ID, Queue: j.queue.Name, State: j.state, Age: now.Sub(o.due), Objective: j.dueBy().Sub(o.due),
-		Hope:   queue.TimelinessOf(&queue.Entry{LatestStart: j.dueBy(), LatestUsefulStart: j.useLimit()}, now),
-		Ledger: j.ledger,
+		Timeliness:    queue.TimelinessOf(&queue.Entry{LatestStart: j.dueBy(), LatestUsefulStart: j.useLimit()}, now),
+		TimeBreakdown: j.ledger,
 	}
 	for i := range j.spec.Steps {
 		st := &j.spec.Steps[i]
@@ -126,8 +126,8 @@
 // peak of the size to come.
 const maxOver = 4096
 
-// EndedJobs returns what there is to tell of jobs since the last call.
-func (s *State) EndedJobs() []JobEnd {
+// TakeJobOutcomes returns what there is to tell of jobs since the last call.
+func (s *State) TakeJobOutcomes() []JobOutcome {
 	over := s.over
 	s.over = nil
 	return over
@@ -139,7 +139,7 @@
 func (j *job) useLimit() time.Time { return j.lateLimit(j.occurrences[len(j.occurrences)-1]) }
 
 // LogValue implements slog.LogValuer.
-func (l Ledger) LogValue() slog.Value {
+func (l TimeBreakdown) LogValue() slog.Value {
 	attrs := []slog.Attr{slog.Int("starts", l.Starts), slog.Int("stopped", l.Stopped)}
 	add := func(name string, d time.Duration) {
 		if d > 0 {
@@ -147,10 +147,10 @@
 		}
 	}
 	for cause, d := range l.Waited {
-		add("waited_"+Cause(cause).String(), d)
+		add("waited_"+WaitCause(cause).String(), d)
 	}
-	add("slowed", l.Slowed)
+	add("slowed", l.CPULimited)
 	add("running", l.Running)
-	add("unbooked", l.Unbooked)
+	add("unbooked", l.Unattributed)
 	return slog.GroupValue(attrs...)
 }
--- a/dispatch/loststop_test.go
+++ b/dispatch/loststop_test.go
@@ -16,10 +16,10 @@
 // task stayed on a worker that was about to leave.
 func TestLostStopIsOrderedAgain(t *testing.T) {
 	for cause, stopped := range map[dispatch.StopCause]func(*testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder){
-		dispatch.WorkerLeaves: onLeavingWorker,
-		dispatch.TailTooLong:  besideTailTooLong,
-		dispatch.Preempted:    beforeUrgentWork,
-		dispatch.Duplicate:    besideTwin,
+		dispatch.WorkerDraining: onLeavingWorker,
+		dispatch.TailTooLong:    besideTailTooLong,
+		dispatch.Preempted:      beforeUrgentWork,
+		dispatch.Duplicate:      besideTwin,
 	} {
 		for _, status := range []runner.Status{runner.Unknown, runner.Fenced, runner.Unhealthy} {
 			t.Run(cause.String()+"/"+status.String(), func(t *testing.T) {
@@ -27,7 +27,7 @@
 				if first == nil || first.Cause != cause {
 					t.Fatalf("got stop %+v, want one for %v", first, cause)
 				}
-				r.state.StopAnswered(r.now, *first, runner.Answer{Status: status})
+				r.state.HandleStopAnswer(r.now, *first, runner.Answer{Status: status})
 				r.pass(1500 * time.Millisecond)
 				r.report(victim.Worker.ID, []runner.ActiveRun{halfDone(victim)}, nil)
 				if again := r.stopOf(victim); again == nil || again.Cause != cause {
--- a/dispatch/mark_test.go
+++ b/dispatch/mark_test.go
@@ -52,6 +52,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.state.StartAnswered(r.now, refused, runner.Answer{Status: runner.NoCapacity})
+	r.state.HandleStartAnswer(r.now, refused, runner.Answer{Status: runner.NoCapacity})
 	return r, refused, under
 }
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -102,7 +102,7 @@
 // Inherit adds a worker of an earlier owner's roster. Until it reports, or
 // until any lease that the earlier owner gave is over, runs of inherited jobs
 // that no other worker reports may be alive there.
-func (s *State) Inherit(now time.Time, m runner.Worker) {
+func (s *State) InheritWorker(now time.Time, m runner.Worker) {
 	w := s.addWorker(m)
 	w.rostered = true
 	w.inheritedUntil = now.Add(s.cfg.InheritedLease)
@@ -138,7 +138,7 @@
 }
 
 // Known reports whether the worker is still of interest.
-func (s *State) Known(id string) bool { return s.workers[id] != nil }
+func (s *State) HasWorker(id string) bool { return s.workers[id] != nil }
 
 // forget drops a worker that is no longer listed once nothing can be alive
 // there.
@@ -154,7 +154,7 @@
 
 // Reborn takes in that another life of the worker answered at its address:
 // all that ran in the life known is over.
-func (s *State) Reborn(now time.Time, id string) {
+func (s *State) HandleRestart(now time.Time, id string) {
 	w := s.workers[id]
 	if w == nil {
 		return
@@ -200,7 +200,7 @@
 func (s *State) ExpireLeases(now time.Time) {
 	for id, w := range s.workers {
 		if w.gone(now) {
-			s.Reborn(now, id)
+			s.HandleRestart(now, id)
 			continue
 		}
 		if !w.leaseOver(now) {
--- a/dispatch/membership_test.go
+++ b/dispatch/membership_test.go
@@ -80,7 +80,7 @@
 	stranger.Pool = "elsewhere"
 	list := []runner.Worker{workerInfo(worker(0)), stranger}
 	r.state.SetMembers(r.now, list)
-	if r.state.Known(stranger.ID) {
+	if r.state.HasWorker(stranger.ID) {
 		t.Error("a worker of a pool that no queue names is known")
 	}
 	r.submit(queueShort, "job", step(1, 4))
@@ -89,7 +89,7 @@
 	r.state.SetQueues([]workload.Queue{far})
 	r.state.SetMembers(r.now, list)
 	r.flush()
-	if !r.state.Known(stranger.ID) {
+	if !r.state.HasWorker(stranger.ID) {
 		t.Error("a worker of the pool that a queue names now isn't known")
 	}
 	r.report(worker(0), nil, nil)
@@ -121,7 +121,7 @@
 			r.state.SetMembers(r.now, []runner.Worker{workerInfo(other(id)), moved})
 			w, o, ok := r.state.Renewal(r.now, id, true)
 			if ok && w.Address == moved.Address {
-				r.state.Report(r.now, id, o, runner.Answer{Status: runner.Restarted}, runner.Report{})
+				r.state.HandleReport(r.now, id, o, runner.Answer{Status: runner.Restarted}, runner.Report{})
 			}
 		})
 		if waited < 6*time.Second {
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -7,29 +7,29 @@
 	Worker runner.Worker
 	Start  runner.Start
 	// Known is what the choice of the worker went by.
-	Known Evidence
+	Snapshot WorkerSnapshot
 }
 
 // StopOrder is a stop for one worker.
 type StopOrder struct {
-	Worker runner.Worker
-	Stop   runner.Stop
-	Cause  StopCause
-	Known  Evidence
+	Worker   runner.Worker
+	Stop     runner.Stop
+	Cause    StopCause
+	Snapshot WorkerSnapshot
 }
 
-// PaceOrder is a change of pace for one worker.
-type PaceOrder struct {
-	Worker runner.Worker
-	Pace   runner.CPULimit
-	Known  Evidence
+// CPULimitOrder is a change of pace for one worker.
+type CPULimitOrder struct {
+	Worker   runner.Worker
+	CPULimit runner.CPULimit
+	Snapshot WorkerSnapshot
 }
 
 // Plan is what a planning cycle orders.
 type Plan struct {
-	Starts []StartOrder
-	Stops  []StopOrder
-	Paces  []PaceOrder
-	// HeldBack is set if there may be more starts than were allowed.
-	HeldBack bool
+	Starts    []StartOrder
+	Stops     []StopOrder
+	CPULimits []CPULimitOrder
+	// StartLimitReached is set if there may be more starts than were allowed.
+	StartLimitReached bool
 }
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -134,8 +134,8 @@
 }
 
 // pace slows or moves fillers beside serving tasks whose tail is too long.
-func (s *State) pace(now time.Time) []PaceOrder {
-	var orders []PaceOrder
+func (s *State) pace(now time.Time) []CPULimitOrder {
+	var orders []CPULimitOrder
 	for _, w := range s.workers {
 		if w.silent || w.tally.fillers == 0 {
 			continue
@@ -153,7 +153,7 @@
 			}
 			w.guardedAt = now
 			if action.Kind == colocate.Migrate {
-				s.Stats.FillersMoved++
+				s.Stats.BestEffortMoved++
 				s.stop(now, r, TailTooLong)
 				continue
 			}
@@ -182,7 +182,7 @@
 }
 
 // paceAgain orders once more the paces that got no answer.
-func (w *worker) paceAgain(now time.Time, orders []PaceOrder) []PaceOrder {
+func (w *worker) paceAgain(now time.Time, orders []CPULimitOrder) []CPULimitOrder {
 	for _, r := range w.inOrder {
 		if r.paceOpen && r.phase == running && now.Sub(r.pacedAt) >= paceRetry {
 			orders = append(orders, r.paceOrder(now))
@@ -192,10 +192,10 @@
 }
 
 // paceOrder orders the run's pace.
-func (r *run) paceOrder(now time.Time) PaceOrder {
+func (r *run) paceOrder(now time.Time) CPULimitOrder {
 	r.pacedAt, r.paceOpen = now, false
-	return PaceOrder{
-		Worker: r.worker.info, Known: r.worker.evidence(now),
-		Pace: runner.CPULimit{Task: r.task.id(), Run: r.number, Percent: r.pace, Token: r.worker.token},
+	return CPULimitOrder{
+		Worker: r.worker.info, Snapshot: r.worker.evidence(now),
+		CPULimit: runner.CPULimit{Task: r.task.id(), Run: r.number, Percent: r.pace, Token: r.worker.token},
 	}
 }
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -46,10 +46,10 @@
 // paceOf plans and returns the pace that is ordered, -1 if none is.
 func (r *rig) paceOf() int {
 	p := r.state.Plan(r.now)
-	if len(p.Paces) == 0 {
+	if len(p.CPULimits) == 0 {
 		return -1
 	}
-	return p.Paces[0].Pace.Percent
+	return p.CPULimits[0].CPULimit.Percent
 }
 
 // besideLongTail is besideServing with the filler paused for a tail of 90 ms.
@@ -103,21 +103,21 @@
 	}
 	report()
 	p := r.state.Plan(r.now)
-	if len(p.Paces) != 1 || p.Paces[0].Pace.Percent != 0 {
-		t.Fatalf("paces %+v beside a tail of 90 ms, want the filler paused", p.Paces)
+	if len(p.CPULimits) != 1 || p.CPULimits[0].CPULimit.Percent != 0 {
+		t.Fatalf("paces %+v beside a tail of 90 ms, want the filler paused", p.CPULimits)
 	}
-	r.state.PaceAnswered(p.Paces[0], runner.Answer{Status: runner.Unknown})
+	r.state.HandleCPULimitAnswer(p.CPULimits[0], runner.Answer{Status: runner.Unknown})
 	r.pass(400 * time.Millisecond)
 	report()
 	p = r.state.Plan(r.now)
-	if len(p.Paces) != 1 || p.Paces[0].Pace.Percent != 0 {
-		t.Fatalf("paces %+v after a lost answer, want the pause again", p.Paces)
+	if len(p.CPULimits) != 1 || p.CPULimits[0].CPULimit.Percent != 0 {
+		t.Fatalf("paces %+v after a lost answer, want the pause again", p.CPULimits)
 	}
-	r.state.PaceAnswered(p.Paces[0], runner.Answer{Status: runner.Done})
+	r.state.HandleCPULimitAnswer(p.CPULimits[0], runner.Answer{Status: runner.Done})
 	r.pass(400 * time.Millisecond)
 	report()
-	if p = r.state.Plan(r.now); len(p.Paces) != 0 {
-		t.Errorf("paces %+v once it is in force, want none", p.Paces)
+	if p = r.state.Plan(r.now); len(p.CPULimits) != 0 {
+		t.Errorf("paces %+v once it is in force, want none", p.CPULimits)
 	}
 }
 
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -37,8 +37,8 @@
 	until time.Time
 }
 
-// PermitQuestion asks the policy service about a step.
-type PermitQuestion struct {
+// PermitRequest asks the policy service about a step.
+type PermitRequest struct {
 	Step    workload.StepID
 	Workers []string
 }
@@ -58,11 +58,11 @@
 	return t.text, ok && now.Add(permitMargin).Before(t.until)
 }
 
-// AskPermit returns the next question for the policy service: for the first
+// NextPermitRequest returns the next question for the policy service: for the first
 // step in the queue that has too few permits, then for one whose turn comes
 // next, so that its permits are there when it does. One question should be
 // under way at a time.
-func (s *State) AskPermit(now time.Time) (PermitQuestion, bool) {
+func (s *State) NextPermitRequest(now time.Time) (PermitRequest, bool) {
 	c := newCycle(s, now)
 	for _, w := range s.waiting(now) {
 		if q, ok := c.question(w.step); ok {
@@ -84,7 +84,7 @@
 			}
 		}
 	}
-	return PermitQuestion{}, false
+	return PermitRequest{}, false
 }
 
 // nextAfter reports whether all tasks of the steps before are at work.
@@ -98,9 +98,9 @@
 }
 
 // question returns what to ask about a step, false if nothing is needed.
-func (c *cycle) question(st *step) (PermitQuestion, bool) {
+func (c *cycle) question(st *step) (PermitRequest, bool) {
 	if !st.job.queue.NeedsPermit || c.now.Before(st.permits.nextAsk) {
-		return PermitQuestion{}, false
+		return PermitRequest{}, false
 	}
 	var ask []*worker
 	for _, w := range c.workers {
@@ -109,17 +109,17 @@
 		}
 		if _, ok := st.ticketFor(c.now, w); ok {
 			if st.spec.Reserved().Fits(w.free) {
-				return PermitQuestion{}, false // a start is possible as it is
+				return PermitRequest{}, false // a start is possible as it is
 			}
 			continue
 		}
 		ask = append(ask, w)
 	}
 	if len(ask) == 0 {
-		return PermitQuestion{}, false
+		return PermitRequest{}, false
 	}
 	slices.SortStableFunc(ask, func(a, b *worker) int { return cmp.Compare(b.free.MilliCPU, a.free.MilliCPU) })
-	q := PermitQuestion{Step: st.id()}
+	q := PermitRequest{Step: st.id()}
 	for _, w := range ask[:min(len(ask), max(permitWorkers, min(2*st.idle, permitMost)))] {
 		q.Workers = append(q.Workers, w.info.ID)
 	}
@@ -127,7 +127,7 @@
 }
 
 // Permitted takes in the answer to a question; err is set if there was none.
-func (s *State) Permitted(now time.Time, q PermitQuestion, p runner.Permits, err error) {
+func (s *State) HandlePermits(now time.Time, q PermitRequest, p runner.Permits, err error) {
 	j := s.jobs[q.Step.Job]
 	if j == nil {
 		return
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -27,14 +27,14 @@
 	s.ExpireLeases(now)
 	s.drain(now)
 	var p Plan
-	p.Paces = s.pace(now)
+	p.CPULimits = s.pace(now)
 	c := newCycle(s, now)
 	c.most = starts
 	list := s.waiting(now)
 	c.rooms(list)
 	for _, w := range list {
 		if c.full() {
-			p.HeldBack = true
+			p.StartLimitReached = true
 			break
 		}
 		c.placeStep(w.step)
@@ -66,7 +66,7 @@
 		}
 	}
 	compare := queue.Compare
-	if s.cfg.Without.Has(mechanism.Timeliness) {
+	if s.cfg.Disabled.Has(mechanism.Timeliness) {
 		compare = queue.CompareArrival
 	}
 	slices.SortFunc(list, func(a, b *waiting) int { return compare(&a.entry, &b.entry, now) })
@@ -80,7 +80,7 @@
 	return queue.Entry{
 		Priority:    j.queue.Priority,
 		Restart:     st.spec.LongRunning && st.began(),
-		LongRunning: st.spec.LongRunning && !st.began() && !s.cfg.Without.Has(mechanism.SpreadFirst), MaxPerWorker: st.spec.MaxPerWorker,
+		LongRunning: st.spec.LongRunning && !st.began() && !s.cfg.Disabled.Has(mechanism.SpreadFirst), MaxPerWorker: st.spec.MaxPerWorker,
 		LatestStart:       j.objective(o).Add(-rest),
 		LatestUsefulStart: j.lateLimit(o).Add(-rest),
 		Arrived:           o.due,
@@ -222,7 +222,7 @@
 	c.s.touch(t.step.job)
 	permit, _ := t.step.ticketFor(c.now, w)
 	c.starts = append(c.starts, StartOrder{
-		Worker: w.info, Known: known,
+		Worker: w.info, Snapshot: known,
 		Start: runner.Start{
 			Task: t.id(), Run: number, Payload: t.step.job.spec.Payload,
 			LeaseUntil: c.s.leaseFor(c.now, w), Token: w.token, Checkpoint: t.saved, Permit: permit,
@@ -238,7 +238,7 @@
 // behind it in the queue: without this, small tasks take each gap before a
 // large one fits. Room that long-running tasks hold never comes.
 func (c *cycle) keepRoom(st *step) {
-	if c.s.cfg.Without.Has(mechanism.ReservedCapacity) || st.spec.BestEffort || c.keeps >= max(1, len(c.workers)/keptShare) {
+	if c.s.cfg.Disabled.Has(mechanism.ReservedCapacity) || st.spec.BestEffort || c.keeps >= max(1, len(c.workers)/keptShare) {
 		return
 	}
 	var best *worker
--- a/dispatch/record.go
+++ b/dispatch/record.go
@@ -13,8 +13,8 @@
 
 // JobRow is the durable form of an accepted job; it never changes.
 type JobRow struct {
-	Job    workload.Job   `msgpack:"j"`
-	Policy workload.Queue `msgpack:"p"`
+	Job   workload.Job   `msgpack:"j"`
+	Queue workload.Queue `msgpack:"p"`
 }
 
 // ProgressRow is the durable form of a job's progress.
@@ -25,19 +25,19 @@
 	// Failed holds the failed runs of tasks that have any.
 	Failed []FailedRuns `msgpack:"f,omitempty"`
 	// Running says on which workers runs may be alive.
-	Running []RunMark `msgpack:"r,omitempty"`
+	Running []RunLocation `msgpack:"r,omitempty"`
 }
 
-// RunMark says that a run of a task may be alive on a worker. It is written as
+// RunLocation says that a run of a task may be alive on a worker. It is written as
 // an array, half as long as a map: most of a row is marks.
-type RunMark struct {
+type RunLocation struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Occurrence int `msgpack:"k"`
 	Step       int `msgpack:"s"`
 	Index      int `msgpack:"i"`
 	// Worker is the worker's mark.
-	Worker uint32 `msgpack:"w"`
+	WorkerHash uint32 `msgpack:"w"`
 }
 
 // workerMark shortens a worker's ID to a number for rows; two workers with the
@@ -75,7 +75,7 @@
 	j.eachTask(func(t *task) {
 		for _, r := range t.runs {
 			id := t.id()
-			row.Running = append(row.Running, RunMark{Occurrence: id.Occurrence, Step: id.Step, Index: id.Index, Worker: r.worker.mark})
+			row.Running = append(row.Running, RunLocation{Occurrence: id.Occurrence, Step: id.Step, Index: id.Index, WorkerHash: r.worker.mark})
 		}
 		if len(t.failed) > 0 && !t.done {
 			id := t.id()
@@ -119,7 +119,7 @@
 	for _, m := range row.Running {
 		id := workload.TaskID{Occurrence: m.Occurrence, Step: m.Step, Index: m.Index}
 		if t := j.task(id); t != nil {
-			t.marks = append(t.marks, m.Worker)
+			t.marks = append(t.marks, m.WorkerHash)
 		}
 	}
 	j.state, j.durable = row.State, row.State
@@ -142,10 +142,10 @@
 
 // Restore takes in a job that an earlier owner accepted. The progress is nil
 // if none was written.
-func (s *State) Restore(now time.Time, wallNow int64, row *JobRow, progress *ProgressRow) {
-	q, ok := s.queues[row.Policy.Name]
+func (s *State) RestoreJob(now time.Time, wallNow int64, row *JobRow, progress *ProgressRow) {
+	q, ok := s.queues[row.Queue.Name]
 	if !ok {
-		q = row.Policy
+		q = row.Queue
 	}
 	j := newJob(now, wallNow, &row.Job, q)
 	j.rowStored, j.inherited = true, true
--- a/dispatch/renewal.go
+++ b/dispatch/renewal.go
@@ -61,7 +61,7 @@
 // Peek returns the workers that should be looked at although a look is waiting
 // there: a filler is new beside serving tasks, or a tail is long, and the last
 // figures are older than what they cover.
-func (s *State) Peek(now time.Time) []string {
+func (s *State) EarlyPolls(now time.Time) []string {
 	var ids []string
 	for id, w := range s.workers {
 		if w.silent || !w.reported || now.Sub(w.answersAt) < peekAfter || now.Sub(w.peekedAt) < peekAfter ||
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -11,7 +11,7 @@
 // Report takes in a worker's answer to a renewal. It returns the ends that are
 // new: a worker lists each until it is durable, which takes as long as the
 // store is away.
-func (s *State) Report(now time.Time, id string, sent runner.Renewal, a runner.Answer, rep runner.Report) []runner.RunEnd {
+func (s *State) HandleReport(now time.Time, id string, sent runner.Renewal, a runner.Answer, rep runner.Report) []runner.RunEnd {
 	w := s.workers[id]
 	if w == nil {
 		return nil
@@ -20,7 +20,7 @@
 	switch a.Status {
 	case runner.Done:
 	case runner.Restarted:
-		s.Reborn(now, id)
+		s.HandleRestart(now, id)
 		return nil
 	default:
 		s.unheard(now, w)
@@ -196,7 +196,7 @@
 		}
 		switch {
 		case r.task.step.job.state.Final():
-			s.stop(now, r, JobOver)
+			s.stop(now, r, JobEnded)
 		case r.task.done:
 			s.stop(now, r, TaskDone)
 		case r.phase == stopping:
@@ -222,7 +222,7 @@
 	if t == nil {
 		s.stops = append(s.stops, StopOrder{
 			Worker: w.info, Stop: runner.Stop{Task: a.Task, Run: a.Run, Token: w.token},
-			Cause: NoSuchTask, Known: w.evidence(now),
+			Cause: UnknownTask, Snapshot: w.evidence(now),
 		})
 		return nil
 	}
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -39,7 +39,7 @@
 	if len(p.Starts) != 1 {
 		t.Fatalf("%d starts, want 1", len(p.Starts))
 	}
-	r.state.StartAnswered(r.now, p.Starts[0], runner.Answer{Status: runner.NoCapacity, ClockMS: r.clock()})
+	r.state.HandleStartAnswer(r.now, p.Starts[0], runner.Answer{Status: runner.NoCapacity, ClockMS: r.clock()})
 	for waited := time.Duration(0); waited < time.Second; waited += testTick {
 		if len(r.plan()) > 0 {
 			return
--- a/dispatch/rig_test.go
+++ b/dispatch/rig_test.go
@@ -64,7 +64,7 @@
 	r.epoch = epoch
 	r.state = dispatch.New(dispatch.Config{
 		Epoch: epoch, Lease: 6 * time.Second, InheritedLease: 12 * time.Second, Retention: time.Minute,
-		RoomPause: 250 * time.Millisecond, TailBound: 4 * time.Second, Without: r.without,
+		NoCapacityPause: 250 * time.Millisecond, TailBound: 4 * time.Second, Disabled: r.without,
 	})
 	r.state.SetQueues([]workload.Queue{queueShort, queueLong})
 }
@@ -87,10 +87,10 @@
 				r.t.Fatal(err)
 			}
 		}
-		r.state.Restore(r.now, r.now.UnixMilli(), job, progress)
+		r.state.RestoreJob(r.now, r.now.UnixMilli(), job, progress)
 	}
 	for _, id := range roster {
-		r.state.Inherit(r.now, workerInfo(id))
+		r.state.InheritWorker(r.now, workerInfo(id))
 	}
 }
 
@@ -118,7 +118,7 @@
 // flush commits everything.
 func (r *rig) flush() {
 	r.t.Helper()
-	for r.state.Unflushed() {
+	for r.state.HasUnflushedChanges() {
 		b, err := r.state.Flush(r.now, 98)
 		if err != nil {
 			r.t.Fatal(err)
@@ -136,7 +136,7 @@
 			r.rows[w.Key] = w.Value
 		}
 	}
-	r.state.Flushed(b)
+	r.state.MarkFlushed(b)
 }
 
 // clock is what all workers' clocks show.
@@ -149,7 +149,7 @@
 	if !ok {
 		r.t.Fatalf("worker %s isn't known", id)
 	}
-	return r.state.Report(r.now, id, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()},
+	return r.state.HandleReport(r.now, id, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()},
 		runner.Report{ClockMS: r.clock(), Active: active, Ends: ends})
 }
 
@@ -160,7 +160,7 @@
 	if !ok {
 		return
 	}
-	r.state.Report(r.now, id, o, runner.Answer{Status: runner.Unknown}, runner.Report{})
+	r.state.HandleReport(r.now, id, o, runner.Answer{Status: runner.Unknown}, runner.Report{})
 }
 
 // submit has a job accepted.
@@ -203,7 +203,7 @@
 func (r *rig) plan() []dispatch.StartOrder {
 	p := r.state.Plan(r.now)
 	for _, o := range p.Starts {
-		r.state.StartAnswered(r.now, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()})
+		r.state.HandleStartAnswer(r.now, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()})
 	}
 	return p.Starts
 }
--- a/dispatch/room.go
+++ b/dispatch/room.go
@@ -54,7 +54,7 @@
 // mayBegin reports whether a long-running task that has never run may start:
 // enough must be left for short work.
 func (c *cycle) mayBegin(t *task) bool {
-	if !t.step.spec.LongRunning || t.began || c.s.cfg.Without.Has(mechanism.Headroom) {
+	if !t.step.spec.LongRunning || t.began || c.s.cfg.Disabled.Has(mechanism.Headroom) {
 		return true
 	}
 	p := c.pools[t.step.job.queue.Pool]
--- a/dispatch/shortlist_test.go
+++ b/dispatch/shortlist_test.go
@@ -38,7 +38,7 @@
 				t.Errorf("seed %d: %s", seed, d)
 			}
 			for _, o := range starts {
-				r.state.StartAnswered(r.now, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()})
+				r.state.HandleStartAnswer(r.now, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()})
 			}
 			started += len(starts)
 			kinds[len(starts) < n]++
--- a/dispatch/silence.go
+++ b/dispatch/silence.go
@@ -57,7 +57,7 @@
 }
 
 // Heard reports whether a worker has answered the last time it was asked.
-func (s *State) Heard(id string) bool {
+func (s *State) Responsive(id string) bool {
 	w := s.workers[id]
 	return w != nil && w.unheardSince.IsZero()
 }
--- a/dispatch/silence_test.go
+++ b/dispatch/silence_test.go
@@ -118,7 +118,7 @@
 	for range 2 {
 		for _, o := range r.state.PlanAtMost(r.now, 2).Starts {
 			jobs[o.Start.Task.Job]++
-			r.state.StartAnswered(r.now, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()})
+			r.state.HandleStartAnswer(r.now, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()})
 		}
 	}
 	if jobs["first"] != 3 || jobs["later"] != 1 {
--- a/dispatch/slowlink_test.go
+++ b/dispatch/slowlink_test.go
@@ -207,7 +207,7 @@
 		}
 		s.traffic.Observe(s.now, way)
 		s.traffic.StartFinished(s.now, way)
-		if s.state.StartAnswered(s.now, o, a) {
+		if s.state.HandleStartAnswer(s.now, o, a) {
 			s.lookAt(w, false)
 		}
 	})
@@ -256,7 +256,7 @@
 			if waits {
 				s.looking[id] = false
 			}
-			if (way.TimedOut && s.state.Heard(id)) || (!way.TimedOut && held == 0) {
+			if (way.TimedOut && s.state.Responsive(id)) || (!way.TimedOut && held == 0) {
 				s.traffic.Observe(s.now, way)
 			}
 			a := runner.Answer{Status: status, ClockMS: rep.ClockMS}
@@ -265,7 +265,7 @@
 				a, rep = runner.Answer{Status: runner.Unknown}, runner.Report{}
 				s.nextLook[id] = s.now.Add(s.traffic.Timeout())
 			}
-			s.state.Report(s.now, id, renewal, a, rep)
+			s.state.HandleReport(s.now, id, renewal, a, rep)
 		})
 }
 
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -46,7 +46,7 @@
 	// accountedAt is when the jobs' ledgers were last booked, over what is to be
 	// told of jobs.
 	accountedAt time.Time
-	over        []JobEnd
+	over        []JobOutcome
 	Stats       Stats
 }
 
@@ -54,7 +54,7 @@
 func New(cfg Config) *State {
 	return &State{
 		cfg:      cfg,
-		model:    colocate.NewModelWithout(cfg.Without),
+		model:    colocate.NewModelWithout(cfg.Disabled),
 		headroom: map[string]*headroom.Tracker{}, rosterChanged: map[int]bool{},
 		queues:  map[string]workload.Queue{},
 		jobs:    map[string]*job{},
@@ -125,22 +125,22 @@
 }
 
 // Has reports whether the job is known, durable or not.
-func (s *State) Has(id string) bool { return s.jobs[id] != nil }
+func (s *State) HasJob(id string) bool { return s.jobs[id] != nil }
 
 // Stored reports whether the job is durable.
-func (s *State) Stored(id string) bool {
+func (s *State) JobStored(id string) bool {
 	j := s.jobs[id]
 	return j != nil && j.rowStored
 }
 
 // Settled reports whether nothing of the job waits to become durable.
-func (s *State) Settled(id string) bool {
+func (s *State) JobFlushed(id string) bool {
 	j := s.jobs[id]
 	return j == nil || (j.rowStored && !j.dirty && j.durable == j.state)
 }
 
 // Pending counts a queue's jobs of which no task has started.
-func (s *State) Pending(queue string) int {
+func (s *State) PendingJobs(queue string) int {
 	n := 0
 	for _, j := range s.open {
 		if j.queue.Name == queue && j.state == workload.Queued {
@@ -150,9 +150,9 @@
 	return n
 }
 
-// StartsBefore counts the tasks that may start and come before a new job of a
+// TasksAhead counts the tasks that may start and come before a new job of a
 // queue: those of its own priority and of higher ones.
-func (s *State) StartsBefore(q workload.Queue) int {
+func (s *State) TasksAhead(q workload.Queue) int {
 	n := 0
 	for _, j := range s.open {
 		if j.queue.Priority > q.Priority {
@@ -179,7 +179,7 @@
 	}
 	j.eachTask(func(t *task) {
 		for _, r := range t.runs {
-			s.stop(now, r, JobOver)
+			s.stop(now, r, JobEnded)
 		}
 	})
 	for i, o := range s.open {
@@ -222,10 +222,10 @@
 	r.stopAt, r.stopCause = now, cause
 	s.changed(r.worker)
 	s.stops = append(s.stops, StopOrder{
-		Worker: r.worker.info,
-		Stop:   runner.Stop{Task: r.task.id(), Run: r.number, Token: r.worker.token},
-		Cause:  cause,
-		Known:  r.worker.evidence(now),
+		Worker:   r.worker.info,
+		Stop:     runner.Stop{Task: r.task.id(), Run: r.number, Token: r.worker.token},
+		Cause:    cause,
+		Snapshot: r.worker.evidence(now),
 	})
 }
 
--- a/dispatch/state_test.go
+++ b/dispatch/state_test.go
@@ -71,7 +71,7 @@
 		r := newRig(t, 1)
 		r.submit(queueShort, "job", step(1, 4))
 		o := r.state.Plan(r.now).Starts[0]
-		if !r.state.StartAnswered(r.now, o, runner.Answer{Status: runner.Unknown}) {
+		if !r.state.HandleStartAnswer(r.now, o, runner.Answer{Status: runner.Unknown}) {
 			t.Fatal("the worker need not be asked what became of the start")
 		}
 		if p := r.state.Plan(r.now); len(p.Starts) != 0 {
@@ -187,7 +187,7 @@
 	if !r.state.Cancel(r.now, "job") || r.state.Cancel(r.now, "other") {
 		t.Fatal("cancelling tells wrongly whether the job is known")
 	}
-	if r.state.Settled("job") {
+	if r.state.JobFlushed("job") {
 		t.Error("settled before it is durable")
 	}
 	p := r.state.Plan(r.now)
--- a/dispatch/stats.go
+++ b/dispatch/stats.go
@@ -2,8 +2,8 @@
 
 // Stats counts decisions since the state began.
 type Stats struct {
-	Accepted, Completed, Failed                             uint64
-	Starts, StartsRefused, StartsUnknown                    uint64
-	Done, FailedRuns, StoppedRuns, LostRuns                 uint64
-	ExpiredRuns, Copies, Evictions, Preempted, FillersMoved uint64
+	Accepted, Completed, Failed                                uint64
+	Starts, StartsRefused, StartsUnknown                       uint64
+	Done, FailedRuns, StoppedRuns, LostRuns                    uint64
+	ExpiredRuns, Copies, Evictions, Preempted, BestEffortMoved uint64
 }
--- a/dispatch/stopcause.go
+++ b/dispatch/stopcause.go
@@ -5,20 +5,20 @@
 
 // The causes of a stop.
 const (
-	// JobOver: its job is complete, failed or cancelled.
-	JobOver StopCause = iota
+	// JobEnded: its job is complete, failed or cancelled.
+	JobEnded StopCause = iota
 	// TaskDone: another run of its task has finished.
 	TaskDone
 	// TailTooLong: it disturbs those who serve at its worker.
 	TailTooLong
 	// Preempted: a queue that comes first needs the room.
 	Preempted
-	// WorkerLeaves: its worker is draining.
-	WorkerLeaves
+	// WorkerDraining: its worker is draining.
+	WorkerDraining
 	// Duplicate: another run of its task is at work.
 	Duplicate
-	// NoSuchTask: nothing is known of its task.
-	NoSuchTask
+	// UnknownTask: nothing is known of its task.
+	UnknownTask
 	stopCauses
 )
 
--- a/dispatch/summary.go
+++ b/dispatch/summary.go
@@ -11,17 +11,17 @@
 type Summary struct {
 	// Open counts jobs that aren't over, Waiting tasks that could start if
 	// there were room, by kind.
-	Open            int
-	WaitingServing  int
-	WaitingReserved int
-	WaitingFillers  int
+	OpenJobs          int
+	WaitingServing    int
+	WaitingReserved   int
+	WaitingBestEffort int
 	// Causes counts the waiting tasks by cause; Restarts those of them that
 	// are long-running and ran before.
-	Causes, Restarts [causes]int
+	WaitingByCause, RestartsByCause [causes]int
 	// Workers counts workers by what they may get.
-	Workers, Usable, Silent, Awaited int
-	// Free is the room on usable workers, MostFree the most of it on one.
-	Free, MostFree infra.Resources
+	Workers, Usable, Suspected, AwaitingReport int
+	// Free is the room on usable workers, MaxFree the most of it on one.
+	Free, MaxFree infra.Resources
 	// OverTarget counts serving tasks whose tail is over its target.
 	OverTarget int
 	Stats      Stats
@@ -29,12 +29,12 @@
 
 // summarize returns the state of the domain in a few figures, and the cause by
 // which each waiting step waits.
-func (s *State) summarize(now time.Time) (Summary, map[*step]Cause) {
-	byStep := map[*step]Cause{}
-	sum := Summary{Open: len(s.open), Workers: len(s.workers), Awaited: len(s.awaited), Stats: s.Stats}
+func (s *State) summarize(now time.Time) (Summary, map[*step]WaitCause) {
+	byStep := map[*step]WaitCause{}
+	sum := Summary{OpenJobs: len(s.open), Workers: len(s.workers), AwaitingReport: len(s.awaited), Stats: s.Stats}
 	for _, w := range s.workers {
 		if w.silent {
-			sum.Silent++
+			sum.Suspected++
 		}
 		for _, r := range w.runs {
 			if !r.tailOver.IsZero() {
@@ -46,8 +46,8 @@
 		}
 		sum.Usable++
 		sum.Free = sum.Free.Add(w.free)
-		if w.free.MilliCPU > sum.MostFree.MilliCPU {
-			sum.MostFree = w.free
+		if w.free.MilliCPU > sum.MaxFree.MilliCPU {
+			sum.MaxFree = w.free
 		}
 	}
 	list := s.waiting(now)
@@ -61,7 +61,7 @@
 		case st.spec.Serving():
 			sum.WaitingServing += st.idle
 		case st.spec.BestEffort:
-			sum.WaitingFillers += st.idle
+			sum.WaitingBestEffort += st.idle
 		default:
 			sum.WaitingReserved += st.idle
 		}
@@ -73,10 +73,10 @@
 // there are workers that would take one: the others wait behind them.
 func (s *Summary) count(why wait, wt *waiting) {
 	fitting := min(why.fits, wt.step.idle)
-	for cause, n := range map[Cause]int{Fits: fitting, why.otherwise: wt.step.idle - fitting} {
-		s.Causes[cause] += n
+	for cause, n := range map[WaitCause]int{Fits: fitting, why.otherwise: wt.step.idle - fitting} {
+		s.WaitingByCause[cause] += n
 		if wt.entry.Restart {
-			s.Restarts[cause] += n
+			s.RestartsByCause[cause] += n
 		}
 	}
 }
@@ -85,22 +85,22 @@
 func (s Summary) LogValue() slog.Value {
 	var waits []slog.Attr
 	for cause := range causes {
-		if n := s.Causes[cause]; n > 0 {
+		if n := s.WaitingByCause[cause]; n > 0 {
 			waits = append(waits, slog.Int(cause.String(), n))
 		}
-		if n := s.Restarts[cause]; n > 0 {
+		if n := s.RestartsByCause[cause]; n > 0 {
 			waits = append(waits, slog.Int("restart_"+cause.String(), n))
 		}
 	}
 	return slog.GroupValue(
 		slog.Attr{Key: "waits", Value: slog.GroupValue(waits...)},
-		slog.Int("open", s.Open), slog.Int("waiting_serving", s.WaitingServing),
-		slog.Int("waiting_reserved", s.WaitingReserved), slog.Int("waiting_fillers", s.WaitingFillers),
-		slog.Int("workers", s.Workers), slog.Int("usable", s.Usable), slog.Int("silent", s.Silent),
-		slog.Int("awaited", s.Awaited), slog.Int64("free_milli_cpu", s.Free.MilliCPU),
-		slog.Int64("free_memory_mb", s.Free.MemoryMB), slog.Int64("most_free_milli_cpu", s.MostFree.MilliCPU),
+		slog.Int("open", s.OpenJobs), slog.Int("waiting_serving", s.WaitingServing),
+		slog.Int("waiting_reserved", s.WaitingReserved), slog.Int("waiting_fillers", s.WaitingBestEffort),
+		slog.Int("workers", s.Workers), slog.Int("usable", s.Usable), slog.Int("silent", s.Suspected),
+		slog.Int("awaited", s.AwaitingReport), slog.Int64("free_milli_cpu", s.Free.MilliCPU),
+		slog.Int64("free_memory_mb", s.Free.MemoryMB), slog.Int64("most_free_milli_cpu", s.MaxFree.MilliCPU),
 		slog.Int("over_target", s.OverTarget), slog.Uint64("starts", s.Stats.Starts), slog.Uint64("done", s.Stats.Done),
 		slog.Uint64("failed_runs", s.Stats.FailedRuns), slog.Uint64("lost_runs", s.Stats.LostRuns),
-		slog.Uint64("refused_starts", s.Stats.StartsRefused), slog.Uint64("preempted", s.Stats.Preempted), slog.Uint64("fillers_moved", s.Stats.FillersMoved),
+		slog.Uint64("refused_starts", s.Stats.StartsRefused), slog.Uint64("preempted", s.Stats.Preempted), slog.Uint64("fillers_moved", s.Stats.BestEffortMoved),
 	)
 }
--- a/dispatch/unanswered_test.go
+++ b/dispatch/unanswered_test.go
@@ -20,7 +20,7 @@
 		t.Run(status.String(), func(t *testing.T) {
 			r := newRig(t, 2)
 			first, copied := r.stopCopyEarly()
-			if resolve := r.state.StartAnswered(r.now, copied, runner.Answer{Status: status}); resolve != (status == runner.Unknown) {
+			if resolve := r.state.HandleStartAnswer(r.now, copied, runner.Answer{Status: status}); resolve != (status == runner.Unknown) {
 				t.Errorf("the worker must be asked what became of the start: %v", resolve)
 			}
 			r.pass(time.Second) // longer than any pause after a refusal
@@ -40,7 +40,7 @@
 func TestStoppedRunIsStillThere(t *testing.T) {
 	r := newRig(t, 2)
 	_, copied := r.stopCopyEarly()
-	r.state.StartAnswered(r.now, copied, runner.Answer{Status: runner.Unknown})
+	r.state.HandleStartAnswer(r.now, copied, runner.Answer{Status: runner.Unknown})
 	r.pass(2 * time.Second)
 	r.report(copied.Worker.ID, []runner.ActiveRun{active(copied)}, nil)
 	r.submit(queueShort, "whole", step(2, 16))
--- a/dispatch/urgent_test.go
+++ b/dispatch/urgent_test.go
@@ -34,7 +34,7 @@
 	r.submit(queueShort, "over", step(1, 4))
 	r.submit(queueShort, "hastened", step(1, 4))
 	starts := r.plan()
-	if r.state.Urgent() {
+	if r.state.HasUrgentChanges() {
 		t.Error("starts are urgent")
 	}
 	for i, o := range starts {
@@ -42,9 +42,9 @@
 			r.report(o.Worker.ID, nil, []runner.RunEnd{end(uint64(i+1), o, runner.EndDone)})
 		}
 	}
-	r.state.Hasten("hastened")
+	r.state.MarkUrgent("hastened")
 	r.state.Accept(r.now, r.now.UnixMilli(), &workload.Job{ID: "new", Queue: queueShort.Name, Steps: []workload.Step{step(1, 4)}}, queueShort)
-	if !r.state.Urgent() {
+	if !r.state.HasUrgentChanges() {
 		t.Error("a new job isn't urgent")
 	}
 	b, err := r.state.FlushUrgent(r.now, 98)
@@ -55,8 +55,8 @@
 		t.Errorf("writes %v, want %v", got, want)
 	}
 	r.apply(b)
-	if r.state.Urgent() || !r.state.Unflushed() {
-		t.Errorf("urgent %v, unflushed %v after the urgent part is durable", r.state.Urgent(), r.state.Unflushed())
+	if r.state.HasUrgentChanges() || !r.state.HasUnflushedChanges() {
+		t.Errorf("urgent %v, unflushed %v after the urgent part is durable", r.state.HasUrgentChanges(), r.state.HasUnflushedChanges())
 	}
 	for _, o := range starts {
 		if _, renewal, _ := r.state.Renewal(r.now, o.Worker.ID, true); renewal.Acknowledged != 0 {
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := dispatch.RunMark{Occurrence: 1, Step: 2, Index: 3, Worker: 4}
+	want := dispatch.RunLocation{Occurrence: 1, Step: 2, Index: 3, WorkerHash: 4}
 	if len(p.Running) != 1 || p.Running[0] != want {
 		t.Errorf("read %+v, want %+v", p.Running, want)
 	}
--- a/relay/demand.go
+++ b/relay/demand.go
@@ -10,7 +10,7 @@
 	Orders int
 	// RoundTrip is the smoothed way of an order and its answer.
 	RoundTrip time.Duration
-	// HeldBack is set if starts waited because of those under way.
+	// StartLimitReached is set if starts waited because of those under way.
 	HeldBack bool
 }
 
