--- a/batch/event_work.go
+++ b/batch/event_work.go
@@ -32,7 +32,7 @@
 	Reason  string           `msgpack:"r"`
 }
 
-// Left counts the jobs that have not ended.
+// Remaining counts the jobs that have not ended.
 func (w EventWork) Remaining() int { return w.Jobs - w.Done - w.Parked - w.Cancelled }
 
 // Add returns the work of both.
--- a/batch/status.go
+++ b/batch/status.go
@@ -10,7 +10,7 @@
 	// Record is the job's record; its State may lag behind State, since the
 	// confirmation of a start is not written.
 	Record task.Record `msgpack:"r"`
-	// Why says why it is pending or where it runs, for people.
+	// Explanation says why it is pending or where it runs, for people.
 	Explanation string `msgpack:"w,omitempty"`
 	// Existing is set when a submission named a job that was already known.
 	Existing bool `msgpack:"x,omitempty"`
--- a/booking/answer.go
+++ b/booking/answer.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Answer is an endpoint's whole answer.
+// Response is an endpoint's whole answer.
 type Response struct {
 	// Status is the HTTP status.
 	Status int `msgpack:"s"`
--- a/booking/book.go
+++ b/booking/book.go
@@ -11,7 +11,7 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// Book claims keys and keeps outcomes. It is safe for concurrent use.
+// Registry claims keys and keeps outcomes. It is safe for concurrent use.
 type Registry struct {
 	opt Options
 
--- a/colocate/guard.go
+++ b/colocate/guard.go
@@ -12,7 +12,7 @@
 // Action is what to do about one filler.
 type Action struct {
 	Kind Kind
-	// Pace is the share of its speed, in percent, for SetCPULimit.
+	// CPULimit is the share of its speed, in percent, for SetCPULimit.
 	CPULimit int
 }
 
@@ -25,12 +25,12 @@
 	NoAction Kind = iota
 	// SetCPULimit slows it down, or lets it go on.
 	SetCPULimit
-	// Move stops it, so that it resumes elsewhere.
+	// Migrate stops it, so that it resumes elsewhere.
 	Migrate
 )
 
 const (
-	// Patience is how long a worker is left alone after an action: one window
+	// ActionCooldown is how long a worker is left alone after an action: one window
 	// of half a second and the way of an order and a report.
 	ActionCooldown = 700 * time.Millisecond
 	// reactTime is how far ahead a slack must hold: until the next report has
@@ -59,7 +59,7 @@
 	restartPercent = 40
 )
 
-// Guard decides about each filler of a worker, in their order. The caller
+// Actions decides about each filler of a worker, in their order. The caller
 // leaves Patience between two decisions that act; bound is how long a tail may
 // be over its target at all. As many fillers are acted on as restore the slack
 // of the task that is worst off, those that take most from it first.
@@ -218,7 +218,7 @@
 	return least
 }
 
-// Watch reports whether the worker's tails may pass a target soon, so that it
+// NeedsFrequentPolls reports whether the worker's tails may pass a target soon, so that it
 // should be looked at often: a tail is long, or a filler is new.
 func (w *Worker) NeedsFrequentPolls() bool {
 	if len(w.Serving) == 0 || len(w.BestEffort) == 0 {
--- a/colocate/harm.go
+++ b/colocate/harm.go
@@ -23,16 +23,16 @@
 // noRoom is a slack beside which nothing fits.
 const noRoom = -10.0
 
-// Harm is what adding a task is expected to do to those who serve.
+// Impact is what adding a task is expected to do to those who serve.
 type Impact struct {
-	// Short is by how much the slack of the task that is worst off would be
+	// Shortfall is by how much the slack of the task that is worst off would be
 	// below 1 and Margin, uncertainty counted in; 0 if it would not.
 	Shortfall float64
 	// Effect is the most that is taken from any task's slack.
 	Effect float64
 }
 
-// Room is how much slack a step's tasks on a worker are expected to have left
+// SlackBudget is how much slack a step's tasks on a worker are expected to have left
 // beside its fillers, all of them as busy as they can be, since they turn so
 // within a second.
 type SlackBudget struct {
@@ -42,7 +42,7 @@
 	pairs map[string]pairEffect
 }
 
-// Rooms returns the room of each step that serves on the worker. It holds for
+// SlackBudgets returns the room of each step that serves on the worker. It holds for
 // all placements of a planning cycle, which weighs hundreds of them. Beside a
 // tail over its target there is none, whatever the model expects: it has just
 // proved wrong, and one filler after the other kept a tail over for 4 s.
--- a/colocate/model.go
+++ b/colocate/model.go
@@ -71,11 +71,11 @@
 	}
 }
 
-// Lessons returns what is known of pairs, to be recalled by a later model. How
+// Export returns what is known of pairs, to be recalled by a later model. How
 // steps swing is left out: it is learned again within a second.
 func (m *Model) Export() []interference.ClassEstimate { return m.effects.Export() }
 
-// Recall takes in what another model has learned.
+// Import takes in what another model has learned.
 func (m *Model) Import(lessons []interference.ClassEstimate) {
 	m.effects.Import(lessons)
 	clear(m.pairs)
--- a/colocate/pairs.go
+++ b/colocate/pairs.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Loudest returns the most that a filler of the image is estimated to take
+// MaxEffect returns the most that a filler of the image is estimated to take
 // from any class's slack if it had all processors of a worker.
 func (m *Model) MaxEffect(image string) float64 {
 	loudest := 0.0
--- a/colocate/swing.go
+++ b/colocate/swing.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Swing follows the slack that the tasks of a step would have by themselves.
+// SlackTrend follows the slack that the tasks of a step would have by themselves.
 // It rises and falls with their users, and all tasks of the step share it. It
 // is a Kalman filter over the level and its slope.
 type SlackTrend struct {
--- a/colocate/worker.go
+++ b/colocate/worker.go
@@ -10,7 +10,7 @@
 // Worker is what runs on a worker, as last reported.
 type Worker struct {
 	Serving []Serving
-	// Fillers are at work, Leaving have ended so lately that the tails may
+	// BestEffort are at work, Leaving have ended so lately that the tails may
 	// still show them.
 	BestEffort, RecentlyEnded []BestEffortTask
 }
@@ -39,19 +39,19 @@
 	return float64(s.Target) / float64(s.Tail)
 }
 
-// Filler is a task that fills what others leave.
+// BestEffortTask is a task that fills what others leave.
 type BestEffortTask struct {
 	Image string
-	// Part is the share of the worker's processors that it asks for, 0 to 1.
+	// CPUShare is the share of the worker's processors that it asks for, 0 to 1.
 	CPUShare float64
-	// Use is how much it used over the last half second of what it asks for,
+	// Utilization is how much it used over the last half second of what it asks for,
 	// at its pace.
 	Utilization float64
-	// Pace is the share of its speed that it is allowed, in percent.
+	// CPULimit is the share of its speed that it is allowed, in percent.
 	CPULimit int
-	// Saves is set if it can resume elsewhere from a checkpoint.
+	// Resumable is set if it can resume elsewhere from a checkpoint.
 	Resumable bool
-	// Percent is how far it has come.
+	// ProgressPercent is how far it has come.
 	ProgressPercent int
 	// Settled is set once a report covers a whole window of it at its pace.
 	Settled bool
--- a/control/options.go
+++ b/control/options.go
@@ -37,7 +37,7 @@
 	// TailBound is how long a serving task's tail may be over its target
 	// because of its neighbours.
 	TailBound time.Duration
-	// Leads, if set, is told when this host begins to own the domain and when
+	// OwnershipChanged, if set, is told when this host begins to own the domain and when
 	// that is over.
 	OwnershipChanged func(owner bool)
 	// Without names what the scheduling policy leaves out, for experiments.
--- a/dispatch/cause.go
+++ b/dispatch/cause.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// Cause is why a step's task waits, by the check that stops it on the worker
+// WaitCause is why a step's task waits, by the check that stops it on the worker
 // where it gets furthest.
 type WaitCause uint8
 
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -24,7 +24,7 @@
 	// NoCapacityPause is how long a worker that refused a start for want of room gets
 	// no other.
 	NoCapacityPause time.Duration
-	// Without names what the policy leaves out, for experiments.
+	// Disabled names what the policy leaves out, for experiments.
 	Disabled mechanism.Set
 }
 
--- a/dispatch/evidence.go
+++ b/dispatch/evidence.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Evidence is what was known of a worker when an order was decided, for the
+// WorkerSnapshot is what was known of a worker when an order was decided, for the
 // log: it says what the decision went by, and how old that was.
 type WorkerSnapshot struct {
 	// FreeMilliCPU is what no run had reserved.
--- a/dispatch/flush.go
+++ b/dispatch/flush.go
@@ -60,12 +60,12 @@
 // waitedFor reports whether somebody waits for the job's change to be durable.
 func (j *job) waitedFor() bool { return j.urgent || !j.rowStored || j.state.Final() }
 
-// Urgent reports whether there is something that FlushUrgent would collect.
+// HasUrgentChanges reports whether there is something that FlushUrgent would collect.
 func (s *State) HasUrgentChanges() bool {
 	return len(s.rosterChanged) > 0 || slices.ContainsFunc(s.dirty, (*job).waitedFor)
 }
 
-// Hasten makes a job's change urgent.
+// MarkUrgent makes a job's change urgent.
 func (s *State) MarkUrgent(id string) {
 	if j := s.jobs[id]; j != nil && j.dirty {
 		j.urgent = true
@@ -188,7 +188,7 @@
 	return found
 }
 
-// Flushed takes in that a batch is durable.
+// MarkFlushed takes in that a batch is durable.
 func (s *State) MarkFlushed(b *Batch) {
 	for _, f := range b.jobs {
 		f.job.rowStored = true
@@ -207,7 +207,7 @@
 	}
 }
 
-// Unflushed reports whether changes wait to become durable.
+// HasUnflushedChanges reports whether changes wait to become durable.
 func (s *State) HasUnflushedChanges() bool {
 	return len(s.dirty) > 0 || len(s.rosterChanged) > 0 || len(s.unacknowledged()) > 0
 }
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -8,16 +8,16 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// Ledger divides the life of a job by what kept it from ending. It is booked
+// TimeBreakdown divides the life of a job by what kept it from ending. It is booked
 // once for each Account, so its shares are as coarse as the time between two.
 type TimeBreakdown struct {
 	// Waited is the time in which a step could have begun a task and didn't, by
 	// the cause of the first such step.
 	Waited [causes]time.Duration
-	// Slowed is the time in which nothing waited and a filler ran below its full
+	// CPULimited is the time in which nothing waited and a filler ran below its full
 	// pace, Running that in which all ran as they can.
 	CPULimited, Running time.Duration
-	// Unbooked is the time before the job was stored and, after a take-over,
+	// Unattributed is the time before the job was stored and, after a take-over,
 	// before this owner knew it.
 	Unattributed time.Duration
 	// Starts counts runs ordered, Stopped those that this owner had stopped.
@@ -29,7 +29,7 @@
 type JobOutcome struct {
 	Job, Queue string
 	State      workload.State
-	// Hope is what it reached: on time, late, or past its use.
+	// Timeliness is what it reached: on time, late, or past its use.
 	Timeliness queue.Timeliness
 	// Age is the time since it was due, Objective when it should have ended.
 	Age, Objective time.Duration
@@ -39,7 +39,7 @@
 	TimeBreakdown TimeBreakdown
 }
 
-// Account adds the time since the last call to the ledgers of the open jobs
+// AttributeTime adds the time since the last call to the ledgers of the open jobs
 // and returns the state of the domain in a few figures.
 func (s *State) AttributeTime(now time.Time) Summary {
 	sum, causes := s.summarize(now)
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -99,7 +99,7 @@
 	return w
 }
 
-// Inherit adds a worker of an earlier owner's roster. Until it reports, or
+// InheritWorker adds a worker of an earlier owner's roster. Until it reports, or
 // until any lease that the earlier owner gave is over, runs of inherited jobs
 // that no other worker reports may be alive there.
 func (s *State) InheritWorker(now time.Time, m runner.Worker) {
@@ -137,7 +137,7 @@
 	return s.sorted
 }
 
-// Known reports whether the worker is still of interest.
+// HasWorker reports whether the worker is still of interest.
 func (s *State) HasWorker(id string) bool { return s.workers[id] != nil }
 
 // forget drops a worker that is no longer listed once nothing can be alive
@@ -152,7 +152,7 @@
 	s.rosterChanged[w.rosterPart()] = true
 }
 
-// Reborn takes in that another life of the worker answered at its address:
+// HandleRestart takes in that another life of the worker answered at its address:
 // all that ran in the life known is over.
 func (s *State) HandleRestart(now time.Time, id string) {
 	w := s.workers[id]
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -6,7 +6,7 @@
 type StartOrder struct {
 	Worker runner.Worker
 	Start  runner.Start
-	// Known is what the choice of the worker went by.
+	// Snapshot is what the choice of the worker went by.
 	Snapshot WorkerSnapshot
 }
 
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -126,7 +126,7 @@
 	return q, true
 }
 
-// Permitted takes in the answer to a question; err is set if there was none.
+// HandlePermits takes in the answer to a question; err is set if there was none.
 func (s *State) HandlePermits(now time.Time, q PermitRequest, p runner.Permits, err error) {
 	j := s.jobs[q.Step.Job]
 	if j == nil {
--- a/dispatch/record.go
+++ b/dispatch/record.go
@@ -36,7 +36,7 @@
 	Occurrence int `msgpack:"k"`
 	Step       int `msgpack:"s"`
 	Index      int `msgpack:"i"`
-	// Worker is the worker's mark.
+	// WorkerHash is the worker's mark.
 	WorkerHash uint32 `msgpack:"w"`
 }
 
@@ -140,7 +140,7 @@
 	}
 }
 
-// Restore takes in a job that an earlier owner accepted. The progress is nil
+// RestoreJob takes in a job that an earlier owner accepted. The progress is nil
 // if none was written.
 func (s *State) RestoreJob(now time.Time, wallNow int64, row *JobRow, progress *ProgressRow) {
 	q, ok := s.queues[row.Queue.Name]
--- a/dispatch/renewal.go
+++ b/dispatch/renewal.go
@@ -58,7 +58,7 @@
 	return until
 }
 
-// Peek returns the workers that should be looked at although a look is waiting
+// EarlyPolls returns the workers that should be looked at although a look is waiting
 // there: a filler is new beside serving tasks, or a tail is long, and the last
 // figures are older than what they cover.
 func (s *State) EarlyPolls(now time.Time) []string {
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -8,7 +8,7 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// Report takes in a worker's answer to a renewal. It returns the ends that are
+// HandleReport takes in a worker's answer to a renewal. It returns the ends that are
 // new: a worker lists each until it is durable, which takes as long as the
 // store is away.
 func (s *State) HandleReport(now time.Time, id string, sent runner.Renewal, a runner.Answer, rep runner.Report) []runner.RunEnd {
--- a/dispatch/silence.go
+++ b/dispatch/silence.go
@@ -56,7 +56,7 @@
 	return true
 }
 
-// Heard reports whether a worker has answered the last time it was asked.
+// Responsive reports whether a worker has answered the last time it was asked.
 func (s *State) Responsive(id string) bool {
 	w := s.workers[id]
 	return w != nil && w.unheardSince.IsZero()
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -124,22 +124,22 @@
 	return j.state, true
 }
 
-// Has reports whether the job is known, durable or not.
+// HasJob reports whether the job is known, durable or not.
 func (s *State) HasJob(id string) bool { return s.jobs[id] != nil }
 
-// Stored reports whether the job is durable.
+// JobStored reports whether the job is durable.
 func (s *State) JobStored(id string) bool {
 	j := s.jobs[id]
 	return j != nil && j.rowStored
 }
 
-// Settled reports whether nothing of the job waits to become durable.
+// JobFlushed reports whether nothing of the job waits to become durable.
 func (s *State) JobFlushed(id string) bool {
 	j := s.jobs[id]
 	return j == nil || (j.rowStored && !j.dirty && j.durable == j.state)
 }
 
-// Pending counts a queue's jobs of which no task has started.
+// PendingJobs counts a queue's jobs of which no task has started.
 func (s *State) PendingJobs(queue string) int {
 	n := 0
 	for _, j := range s.open {
--- a/dispatch/summary.go
+++ b/dispatch/summary.go
@@ -9,13 +9,13 @@
 
 // Summary is the state of the domain in a few figures, for logs and metrics.
 type Summary struct {
-	// Open counts jobs that aren't over, Waiting tasks that could start if
+	// OpenJobs counts jobs that aren't over, Waiting tasks that could start if
 	// there were room, by kind.
 	OpenJobs          int
 	WaitingServing    int
 	WaitingReserved   int
 	WaitingBestEffort int
-	// Causes counts the waiting tasks by cause; Restarts those of them that
+	// WaitingByCause counts the waiting tasks by cause; Restarts those of them that
 	// are long-running and ran before.
 	WaitingByCause, RestartsByCause [causes]int
 	// Workers counts workers by what they may get.
--- a/election/answer.go
+++ b/election/answer.go
@@ -6,7 +6,7 @@
 // at its row themselves: nearly twice the heartbeat.
 const StaleAfter = 750 * time.Millisecond
 
-// Answer is what a host says of its ownership.
+// Status is what a host says of its ownership.
 type Status struct {
 	// Incarnation names the life of its process.
 	Incarnation string
@@ -22,7 +22,7 @@
 	return a.Owner && a.Incarnation == leader.Incarnation && a.Epoch == leader.Epoch
 }
 
-// Doubt returns why an answer of the host that the owner's row names is a reason
+// SuspectReason returns why an answer of the host that the owner's row names is a reason
 // to look at the row, empty if it is none, and whether the owner's process is
 // gone. One that is alive may be the owner without knowing it yet: the answer to
 // the commit by which it took the domain is still on its way. Taken for gone,
--- a/election/committer.go
+++ b/election/committer.go
@@ -31,7 +31,7 @@
 	table   infra.Table
 	record  Record
 	version uint64
-	// Pause waits before a try after a refusal; tests replace it.
+	// Sleep waits before a try after a refusal; tests replace it.
 	Sleep func(ctx context.Context, d time.Duration)
 }
 
@@ -65,7 +65,7 @@
 	return c.version
 }
 
-// Measure has the next commits say that the strongest host has so many
+// SetCores has the next commits say that the strongest host has so many
 // processors.
 func (c *Committer) SetCores(cores float64) {
 	c.mu.Lock()
@@ -73,7 +73,7 @@
 	c.record.Cores = cores
 }
 
-// HandOver has the next commits say that the owner stops for a stronger host.
+// MarkHandedOver has the next commits say that the owner stops for a stronger host.
 func (c *Committer) MarkHandedOver() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/election/handicap.go
+++ b/election/handicap.go
@@ -13,7 +13,7 @@
 	takeOverHandicap = 300 * time.Millisecond
 )
 
-// Handicap returns how much longer a host with so many processors waits than
+// TakeoverDelay returns how much longer a host with so many processors waits than
 // others before it takes the domain, because it has fewer than the owner before
 // had, or than a whole one where there was none. The owner's host does most of
 // the work: on hosts of 0.19 to 0.8 processors it is so one of the strongest,
@@ -29,7 +29,7 @@
 	return time.Duration((1 - cores/most) * float64(longest))
 }
 
-// Wait returns how long the owner's row must stay as a host with so many
+// AcquireWait returns how long the owner's row must stay as a host with so many
 // processors has first seen it, until that host takes the domain. Patience is
 // what it grants an owner that may still live. One that has resigned is not
 // waited for, but weaker hosts still leave its place to stronger ones: without
--- a/election/handover.go
+++ b/election/handover.go
@@ -23,19 +23,19 @@
 	retryAfter = 30 * time.Second
 )
 
-// Standing is how an owner's host compares with the other hosts.
+// HandoverState is how an owner's host compares with the other hosts.
 type HandoverState struct {
 	// Cores are the processors of the owner's host, 0 if it doesn't know.
 	Cores float64
-	// Best are those of the strongest other host that can take the domain, 0 if
+	// BestCores are those of the strongest other host that can take the domain, 0 if
 	// there is none, and BestSeenFor how long it has been there.
 	BestCores   float64
 	BestSeenFor time.Duration
-	// Owned is for how long the host has owned the domain.
+	// OwnedFor is for how long the host has owned the domain.
 	OwnedFor time.Duration
 	// CommitAge is the age of its last commit.
 	CommitAge time.Duration
-	// Missed is set if the owner before handed the domain over for a stronger
+	// PredecessorHandedOver is set if the owner before handed the domain over for a stronger
 	// host than this.
 	PredecessorHandedOver bool
 }
--- a/election/record.go
+++ b/election/record.go
@@ -29,7 +29,7 @@
 	Resigned bool `msgpack:"r,omitempty"`
 }
 
-// Same reports whether both name the same ownership.
+// SameOwnership reports whether both name the same ownership.
 func (r *Record) SameOwnership(o *Record) bool {
 	return r.Epoch == o.Epoch && r.Incarnation == o.Incarnation
 }
--- a/election/rivals.go
+++ b/election/rivals.go
@@ -12,7 +12,7 @@
 // elsewhere for a second before it asks again.
 const unseenFor = 2 * time.Second
 
-// Rivals keeps which processors the hosts have that ask after an owner. It is
+// Candidates keeps which processors the hosts have that ask after an owner. It is
 // safe for concurrent use.
 type Candidates struct {
 	mu   sync.Mutex
@@ -27,7 +27,7 @@
 	since, last time.Duration
 }
 
-// Heard notes that a host of a zone with so many processors asked, at the time
+// Observe notes that a host of a zone with so many processors asked, at the time
 // now of a clock that only rises. A host that can't take the domain says 0.
 func (r *Candidates) Observe(host, zone string, cores float64, now time.Duration) {
 	r.mu.Lock()
@@ -51,7 +51,7 @@
 	r.seen[host] = rival{cores: cores, zone: zone, since: since, last: now}
 }
 
-// Relays returns the hosts that are there and may carry orders.
+// RelayHosts returns the hosts that are there and may carry orders.
 func (r *Candidates) RelayHosts(now time.Duration) []relay.Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,7 +64,7 @@
 	return all
 }
 
-// Best returns the processors of the strongest host that is there, and how
+// Strongest returns the processors of the strongest host that is there, and how
 // long it has been; 0 if none is.
 func (r *Candidates) Strongest(now time.Duration) (cores float64, there time.Duration) {
 	r.mu.Lock()
--- a/election/take.go
+++ b/election/take.go
@@ -21,7 +21,7 @@
 	return r, rows[0].Version, err
 }
 
-// Take makes self the next owner, if the row still has the version seen. It
+// Acquire makes self the next owner, if the row still has the version seen. It
 // returns ErrDeposed if somebody else was faster.
 func Acquire(ctx context.Context, table infra.Table, self, seen Record, version uint64) (*Committer, error) {
 	self.Epoch, self.Seq, self.Resigned = seen.Epoch+1, 0, false
--- a/estimate/book.go
+++ b/estimate/book.go
@@ -24,7 +24,7 @@
 	memoryStep = 32
 )
 
-// Book holds the estimates of every class. It is not safe for concurrent use.
+// Estimator holds the estimates of every class. It is not safe for concurrent use.
 type Estimator struct {
 	classes map[string]*class
 	clock   uint64
@@ -92,7 +92,7 @@
 	}
 }
 
-// Killed raises the class's memory at once, after a run was killed for
+// RecordOOMKill raises the class's memory at once, after a run was killed for
 // exceeding reserved.
 func (b *Estimator) RecordOOMKill(s task.Spec, reserved infra.Resources) {
 	if s.Resources.MemoryMB <= 0 {
--- a/eviction/decision.go
+++ b/eviction/decision.go
@@ -7,7 +7,7 @@
 const (
 	// Throttle the task to Percent of its processors.
 	Throttle Kind = iota + 1
-	// Lift the throttle of the task.
+	// Unthrottle the throttle of the task.
 	Unthrottle
 	// Evict the task.
 	Evict
--- a/eviction/suspect.go
+++ b/eviction/suspect.go
@@ -1,11 +1,11 @@
 package eviction
 
-// Suspect is a batch task beside a latency-critical class.
+// Candidate is a batch task beside a latency-critical class.
 type Candidate struct {
 	Job string
-	// Percent is the share of its processors that it has now.
+	// CPULimit is the share of its processors that it has now.
 	CPULimit int
-	// Blame is what it is estimated to add to the logarithm of the latency
+	// Effect is what it is estimated to add to the logarithm of the latency
 	// at full speed; Deviation is the uncertainty of that.
 	Effect    float64
 	Deviation float64
--- a/eviction/watch.go
+++ b/eviction/watch.go
@@ -17,7 +17,7 @@
 	staleAfter = 3
 )
 
-// Watch follows one host whose latency-critical classes have objectives. It
+// HostMonitor follows one host whose latency-critical classes have objectives. It
 // is not safe for concurrent use.
 type HostMonitor struct {
 	options Options
@@ -83,7 +83,7 @@
 	return !w.violatedSince.IsZero() && now.Sub(w.violatedSince) > w.options.Lag
 }
 
-// Step takes at most limit decisions at now about the suspects on the host.
+// Decide takes at most limit decisions at now about the suspects on the host.
 // With mayEvict false no eviction is decided. It decides nothing until the last step's effect can
 // have been seen, and nothing without recent reports.
 func (w *HostMonitor) Decide(now time.Time, suspects []Candidate, limit int, mayEvict bool) []Decision {
--- a/flow/gap.go
+++ b/flow/gap.go
@@ -13,7 +13,7 @@
 	longestGap = time.Second
 )
 
-// Gap returns how long a worker is left alone after a report before the next is
+// PollInterval returns how long a worker is left alone after a report before the next is
 // asked for, given the smoothed round trip of orders.
 func PollInterval(smoothed time.Duration) time.Duration {
 	return min(max(gapFactor*(smoothed-calm), 0), longestGap)
--- a/flow/limit.go
+++ b/flow/limit.go
@@ -9,7 +9,7 @@
 type Limit struct {
 	// Target is the round trip beyond which more under way only waits longer.
 	Target time.Duration
-	// Least and Most bound the limit.
+	// Min and Most bound the limit.
 	Min, Max int
 
 	limit    float64
@@ -39,7 +39,7 @@
 	return &Limit{Target: target, Min: least, Max: most, limit: float64(min(max(beginWith, least), most))}
 }
 
-// Room returns how many more may be begun.
+// Available returns how many more may be begun.
 func (l *Limit) Available() int { return max(int(l.limit)-l.underWay, 0) }
 
 // InFlight returns how many are under way, Current how many may be.
@@ -48,7 +48,7 @@
 // Current returns how many may be under way.
 func (l *Limit) Current() int { return int(l.limit) }
 
-// Begin takes in that an order is given.
+// Acquire takes in that an order is given.
 func (l *Limit) Acquire() { l.underWay++ }
 
 // Answered takes in that an order was answered.
@@ -75,6 +75,6 @@
 	}
 }
 
-// Gone takes in that an order is over of which nothing was measured: it wasn't
+// Release takes in that an order is over of which nothing was measured: it wasn't
 // sent, or got no answer.
 func (l *Limit) Release() { l.underWay-- }
--- a/flow/timeout.go
+++ b/flow/timeout.go
@@ -7,7 +7,7 @@
 // It is for all of an owner's workers together, since what delays many of them
 // is the owner's own processor or link.
 type Timeout struct {
-	// Floor and Ceiling bound the time to wait.
+	// Min and Ceiling bound the time to wait.
 	Min, Max time.Duration
 
 	smoothed, deviation time.Duration
@@ -47,7 +47,7 @@
 	t.smoothed += time.Duration(smoothedWeight * float64(took-t.smoothed))
 }
 
-// Missed takes in that an order got no answer in time.
+// TimedOut takes in that an order got no answer in time.
 func (t *Timeout) TimedOut() {
 	t.missed += missedWeight * (1 - t.missed)
 	if t.missed >= missedMany {
@@ -62,5 +62,5 @@
 	return min(wait, t.Max)
 }
 
-// Smoothed returns the smoothed round trip, 0 before the first.
+// SmoothedRTT returns the smoothed round trip, 0 before the first.
 func (t *Timeout) SmoothedRTT() time.Duration { return t.smoothed }
--- a/flow/traffic.go
+++ b/flow/traffic.go
@@ -23,11 +23,11 @@
 	measuredFor = time.Second
 )
 
-// Way is an order's way to a worker and back.
+// RoundTrip is an order's way to a worker and back.
 type RoundTrip struct {
-	// Took is how long it took; zero if it wasn't sent.
+	// Duration is how long it took; zero if it wasn't sent.
 	Duration time.Duration
-	// Late is set if there was no answer within the wait.
+	// TimedOut is set if there was no answer within the wait.
 	TimedOut bool
 }
 
@@ -46,10 +46,10 @@
 	}
 }
 
-// Wait returns how long to wait for the answer to an order.
+// Timeout returns how long to wait for the answer to an order.
 func (t *Traffic) Timeout() time.Duration { return t.timeout.Value() }
 
-// Measured takes in the way of an order that the worker answered at once, or
+// Observe takes in the way of an order that the worker answered at once, or
 // that got no answer in time.
 func (t *Traffic) Observe(now time.Time, w RoundTrip) {
 	if w.TimedOut {
@@ -100,9 +100,9 @@
 
 // State is what a Traffic has measured and allows, for logs.
 type State struct {
-	// Wait is how long answers are waited for, Smoothed the smoothed round trip.
+	// Timeout is how long answers are waited for, Smoothed the smoothed round trip.
 	Timeout, SmoothedRTT time.Duration
-	// Starts are under way, StartLimit may be.
+	// StartsInFlight are under way, StartLimit may be.
 	StartsInFlight, StartLimit int
 	// PollInterval is how long a worker that has just reported is left alone.
 	PollInterval time.Duration
--- a/forecast/job.go
+++ b/forecast/job.go
@@ -13,7 +13,7 @@
 	Due time.Time
 	// MilliCPU is what it reserves.
 	MilliCPU int64
-	// Blocked is why a pending job can't start now; empty if it can.
+	// BlockedReason is why a pending job can't start now; empty if it can.
 	BlockedReason string
 }
 
--- a/headroom/headroom.go
+++ b/headroom/headroom.go
@@ -38,7 +38,7 @@
 	t.need = max(t.need, float64(inUse+waiting))
 }
 
-// Keep returns how much of the free room must stay free of long-running
+// Headroom returns how much of the free room must stay free of long-running
 // tasks, given what short work uses now.
 func (t *Tracker) Headroom(inUse int64) int64 {
 	return max(int64(spare*t.need)-inUse, 0)
--- a/infra/workers.go
+++ b/infra/workers.go
@@ -95,7 +95,7 @@
 // Exchange is one message from the owner of a worker's shard: it renews the
 // lease of every run on the worker, gives orders and asks what changed.
 type Exchange struct {
-	// Owner is the epoch of the shard's owner. A worker refuses an exchange
+	// OwnerEpoch is the epoch of the shard's owner. A worker refuses an exchange
 	// from an epoch lower than the highest it has seen.
 	OwnerEpoch uint64 `json:"owner"`
 	// LeaseMS is how long runs may go on without another exchange, in
@@ -137,7 +137,7 @@
 	ClockMS int64 `json:"clock_ms"`
 	// Seq is the sequence number to pass as Since next.
 	Seq uint64 `json:"seq"`
-	// Whole is set when Runs is the whole list rather than the changes.
+	// FullList is set when Runs is the whole list rather than the changes.
 	FullList bool        `json:"whole,omitempty"`
 	Runs     []RunReport `json:"runs,omitempty"`
 	// LatencyMS is the recent tail latency of latency-critical tasks on
--- a/interference/lessons.go
+++ b/interference/lessons.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Lesson is what is known of one latency-critical class, in a form that can be
+// ClassEstimate is what is known of one latency-critical class, in a form that can be
 // kept and recalled by another Model.
 type ClassEstimate struct {
 	Class       string  `msgpack:"c"`
@@ -28,7 +28,7 @@
 	Weight     Weight `msgpack:"w"`
 }
 
-// Lessons returns what is known, in the order of classes. How the weights
+// Export returns what is known, in the order of classes. How the weights
 // depend on each other is left out: it is most of the state, and soon learned
 // again.
 func (m *Model) Export() []ClassEstimate {
@@ -59,7 +59,7 @@
 	s.model.covariance[at*s.model.size+at] = float64(w.Variance)
 }
 
-// Recall takes in what another Model has learned. Classes that this one knows
+// Import takes in what another Model has learned. Classes that this one knows
 // already are left as they are.
 func (m *Model) Import(lessons []ClassEstimate) {
 	for _, l := range lessons {
--- a/interference/load.go
+++ b/interference/load.go
@@ -3,13 +3,13 @@
 // Share is how much of a host's processors the runs of one class use.
 type Share struct {
 	Class string
-	// Part is from 0 to 1.
+	// CPUShare is from 0 to 1.
 	CPUShare float64
 }
 
 // Load is what runs on a host beside a latency-critical class, at one time.
 type Load struct {
-	// Self is how busy the class's own runs are, as the share used of what
+	// OwnUtilization is how busy the class's own runs are, as the share used of what
 	// they reserve. It keeps their own load from being blamed on others.
 	OwnUtilization float64
 	// Batch is the neighbours, one entry to a class.
--- a/interference/model.go
+++ b/interference/model.go
@@ -93,7 +93,7 @@
 	return max(v.dot(s.model.mean)+m.margin, 0)
 }
 
-// Blame is what part of a host's processors given to batch class other adds
+// Effect is what part of a host's processors given to batch class other adds
 // to the logarithm of class's latency: the estimate and its deviation.
 func (m *Model) Effect(class, other string, part float64) (mean, deviation float64) {
 	s := m.service(class)
@@ -110,7 +110,7 @@
 	return v.dot(s.model.mean), math.Sqrt(s.model.variance(v))
 }
 
-// Loudest is the most that a batch class which fills a host is estimated to
+// MaxEffect is the most that a batch class which fills a host is estimated to
 // add to the logarithm of any class's latency; 0 if nothing is known of it.
 func (m *Model) MaxEffect(other string) float64 {
 	loudest := 0.0
--- a/interference/priors.go
+++ b/interference/priors.go
@@ -7,9 +7,9 @@
 // adds to the learned value where it is 1: a constant, a class at full load
 // of its own, or a batch class that fills the host.
 type Priors struct {
-	// Base is the constant, Self the class's own load.
+	// Intercept is the constant, Self the class's own load.
 	Intercept, OwnUtilization Prior
-	// Any is what all batch classes have in common, Class what one adds to it.
+	// AnyBatch is what all batch classes have in common, Class what one adds to it.
 	AnyBatch, BatchClass Prior
 	// Drift is by how much the variance of a weight in use grows with each
 	// observation, so that old lessons fade.
--- a/mechanism/set.go
+++ b/mechanism/set.go
@@ -12,7 +12,7 @@
 
 // The mechanisms, each with what happens without it.
 const (
-	// Hope: steps wait by arrival, whatever they can still reach.
+	// Timeliness: steps wait by arrival, whatever they can still reach.
 	Timeliness Mechanism = iota
 	// ReservedCapacity: no worker is kept for a step that fits nowhere yet.
 	ReservedCapacity
@@ -20,29 +20,29 @@
 	Headroom
 	// Preemption: nothing gives way to a queue that comes first.
 	Preemption
-	// Pacing: fillers beside a long tail are moved or stand still, not slowed.
+	// CPULimits: fillers beside a long tail are moved or stand still, not slowed.
 	CPULimits
 	// Moving: fillers beside a long tail are slowed or stand still, not moved.
 	Moving
-	// Foresight: a serving task's load is taken to stay as it is.
+	// LoadForecast: a serving task's load is taken to stay as it is.
 	LoadForecast
-	// Pairs: all images are taken to disturb each other alike.
+	// PairEffects: all images are taken to disturb each other alike.
 	PairEffects
-	// Classes: serving tasks are placed without regard to who serves there.
+	// ClassAffinity: serving tasks are placed without regard to who serves there.
 	ClassAffinity
 	// SpreadFirst: long-running tasks are placed as they come, steps that must
 	// spread not before others.
 	SpreadFirst
 	// BlockOverTarget: fillers may join a tail over its target if the model allows it.
 	BlockOverTarget
-	// Copies: speculative tasks get no second run.
+	// SpeculativeRuns: speculative tasks get no second run.
 	SpeculativeRuns
-	// Suspects: workers that fail all they get are used like others.
+	// FailingWorkers: workers that fail all they get are used like others.
 	FailingWorkers
 	// NoCapacityPause: a worker that refused a start for want of room gets the next
 	// at once.
 	NoCapacityPause
-	// Lessons: a new owner learns anew what images do to each other.
+	// StoredEstimates: a new owner learns anew what images do to each other.
 	StoredEstimates
 	mechanisms
 )
--- a/ownership/announce.go
+++ b/ownership/announce.go
@@ -9,7 +9,7 @@
 // of an owner to its successors.
 const renewalsPerReminder = 10
 
-// Owned tells of a shard's owner.
+// OwnerUpdate tells of a shard's owner.
 type OwnerUpdate struct {
 	Shard string `msgpack:"s"`
 	Epoch uint64 `msgpack:"e"`
--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -16,9 +16,9 @@
 	Share Share
 	// Until is when Share lapses, on this process's monotonic clock.
 	Until time.Time
-	// After is what may be used once Until has passed.
+	// ShareAfter is what may be used once Until has passed.
 	ShareAfter Share
-	// Ends is when After lapses too, unless the process shows by a newer
+	// AfterUntil is when After lapses too, unless the process shows by a newer
 	// grant that it was not paused; zero for never.
 	AfterUntil time.Time
 }
--- a/ownership/grants.go
+++ b/ownership/grants.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// View returns the newest snapshot for the traffic path.
+// Snapshot returns the newest snapshot for the traffic path.
 func (m *Machine) Snapshot() *Snapshot { return m.view }
 
 // publish makes a new snapshot if anything in it has changed.
--- a/ownership/message.go
+++ b/ownership/message.go
@@ -1,6 +1,6 @@
 package ownership
 
-// Held is a shard that a host believes to own, and since which epoch.
+// ShardEpoch is a shard that a host believes to own, and since which epoch.
 type ShardEpoch struct {
 	Shard string `msgpack:"s"`
 	Epoch uint64 `msgpack:"e"`
--- a/ownership/view.go
+++ b/ownership/view.go
@@ -1,6 +1,6 @@
 package ownership
 
-// View is an immutable snapshot of ownership for the traffic path.
+// Snapshot is an immutable snapshot of ownership for the traffic path.
 type Snapshot struct {
 	// Grants is what this host holds, by shard.
 	Grants map[string]Grant
--- a/placement/jobs.go
+++ b/placement/jobs.go
@@ -141,7 +141,7 @@
 	s.sizes.LearnRun(r.spec, took)
 }
 
-// Killed records that the worker's guard killed the run of a job for the
+// RecordOOMKill records that the worker's guard killed the run of a job for the
 // memory that it used. Call it before Release; later runs of the class get
 // more at once.
 func (s *Scheduler) RecordOOMKill(job string) {
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -29,7 +29,7 @@
 	// Release frees what a job occupies. With done, its run time and usage
 	// are learned from.
 	Release(now time.Time, job string, done bool)
-	// Killed records that the worker's guard killed a job's run for the
+	// RecordOOMKill records that the worker's guard killed a job's run for the
 	// memory that it used. Call it before Release.
 	RecordOOMKill(job string)
 	// Avoid keeps a job off a host that it failed on.
@@ -48,7 +48,7 @@
 	// Forecast foresees every event as far as this shard goes, by learned run
 	// times.
 	Forecast(now time.Time) []forecast.Report
-	// Why says why a job is pending or where it runs, for people.
+	// Explain says why a job is pending or where it runs, for people.
 	Explain(job string) string
 	// NeverFits reports whether no known host can ever hold the job, with
 	// the nearest host and what lacks.
--- a/placement/why.go
+++ b/placement/why.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Why says why a job is pending or where it runs, for people. It looks at
+// Explain says why a job is pending or where it runs, for people. It looks at
 // each host, so it is for questions, not for decisions.
 func (s *Scheduler) Explain(job string) string {
 	if r, running := s.runs[job]; running {
--- a/preempt/victim.go
+++ b/preempt/victim.go
@@ -8,7 +8,7 @@
 	ID int
 	// Reserved is the room that its end frees.
 	Reserved infra.Resources
-	// Loss is the work that its end throws away, in core-milliseconds: what
+	// LostWork is the work that its end throws away, in core-milliseconds: what
 	// it has done since it last saved.
 	LostWork int64
 }
--- a/queue/entry.go
+++ b/queue/entry.go
@@ -8,7 +8,7 @@
 	Priority int
 	// Restart marks long-running tasks, whose users notice each second.
 	Restart bool
-	// Lasting marks the first start of long-running tasks.
+	// LongRunning marks the first start of long-running tasks.
 	LongRunning bool
 	// MaxPerWorker bounds the step's tasks on one worker, 0 for no bound.
 	MaxPerWorker int
@@ -19,7 +19,7 @@
 	LatestUsefulStart time.Time
 	// Arrived is when the job was submitted or came due.
 	Arrived time.Time
-	// Work is what the rest of the step takes, in core-milliseconds.
+	// RemainingWork is what the rest of the step takes, in core-milliseconds.
 	RemainingWork int64
 	// ID breaks ties, so that the order is the same each time.
 	ID string
--- a/queue/order.go
+++ b/queue/order.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Hope says what a step's job can still reach.
+// Timeliness says what a step's job can still reach.
 type Timeliness uint8
 
 // From best to worst.
@@ -14,7 +14,7 @@
 	OnTime Timeliness = iota
 	// Late can still end while that is of some use.
 	Late
-	// Lost is past both; it is owed all the same.
+	// Expired is past both; it is owed all the same.
 	Expired
 )
 
--- a/quota/allotment.go
+++ b/quota/allotment.go
@@ -11,7 +11,7 @@
 	memoryMB VersionedBound
 }
 
-// Begin returns what a new owner holds, by the division as it read it after it
+// NewAllotment returns what a new owner holds, by the division as it read it after it
 // took over.
 func NewAllotment(version uint64, bound Amount) Allotment {
 	return Allotment{
--- a/quota/amount.go
+++ b/quota/amount.go
@@ -14,7 +14,7 @@
 	MemoryMB int64 `msgpack:"m"`
 }
 
-// Of turns the settings' quota, where zero is for none, into an Amount.
+// NewAmount turns the settings' quota, where zero is for none, into an Amount.
 func NewAmount(milliCPU, memoryMB int64) Amount {
 	a := Amount{MilliCPU: milliCPU, MemoryMB: memoryMB}
 	if milliCPU <= 0 {
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -1,6 +1,6 @@
 package quota
 
-// Holder is what one shard's owner keeps of one team's bound. Snapshots of
+// VersionedBound is what one shard's owner keeps of one team's bound. Snapshots of
 // reports are numbered; each is made once, for all.
 type VersionedBound struct {
 	held     int64
--- a/rank/worker.go
+++ b/rank/worker.go
@@ -13,16 +13,16 @@
 	UnusedMilliCPU int64
 	// Serving and Fillers count runs that serve users and that fill.
 	Serving, BestEffort int
-	// Strangers counts runs that serve users and are of another class than
+	// OtherClasses counts runs that serve users and are of another class than
 	// the task.
 	OtherClasses int
-	// Harm is how much the placement is expected to take from the slack of a
+	// Impact is how much the placement is expected to take from the slack of a
 	// serving task, its target over its tail.
 	Impact float64
-	// Wanted is the share of the fillers' work that only some workers suit and
+	// Demand is the share of the fillers' work that only some workers suit and
 	// that this one does, 0 to 1.
 	Demand float64
-	// Siblings counts runs of the same step.
+	// SameStep counts runs of the same step.
 	SameStep int
 	// DataLocal is set if the task's data is in the worker's rack, or it has
 	// none.
--- a/relay/demand.go
+++ b/relay/demand.go
@@ -33,9 +33,9 @@
 	mostPerZone = 64
 )
 
-// Demand follows how many relays a zone should have. The zero value has none.
+// Scaler follows how many relays a zone should have. The zero value has none.
 type Scaler struct {
-	// Least is the least number.
+	// Min is the least number.
 	Min int
 
 	perZone       int
@@ -45,7 +45,7 @@
 	orders int
 }
 
-// Begin begins with the relays that an owner before had.
+// Restore begins with the relays that an owner before had.
 func (d *Scaler) Restore(perZone int) { d.perZone = perZone }
 
 // Observe takes in the load of a second and returns the relays for each zone.
--- a/relay/table.go
+++ b/relay/table.go
@@ -28,7 +28,7 @@
 	return t
 }
 
-// Hosts returns the addresses of all relays, in order.
+// Addresses returns the addresses of all relays, in order.
 func (t *Table) Addresses() []string {
 	var all []string
 	for _, hosts := range t.zones {
@@ -40,7 +40,7 @@
 	return all
 }
 
-// For returns the relay of a worker: one of those in its zone, by rendezvous
+// RelayFor returns the relay of a worker: one of those in its zone, by rendezvous
 // hash, so that a relay that comes or goes moves only the workers that it gains
 // or had. Empty if its zone has none that may be used.
 func (t *Table) RelayFor(worker, zone string, usable func(address string) bool) string {
--- a/roster/preferred.go
+++ b/roster/preferred.go
@@ -7,7 +7,7 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Preferred returns the live entry hosts in the order in which they should own
+// PreferredOwners returns the live entry hosts in the order in which they should own
 // a shard: rendezvous hashing, so that the loss or the arrival of a host moves
 // only that host's part. For a shard of workers hosts in the workers' zone come
 // first, then those in their region, so that zones and regions that lose each
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -31,7 +31,7 @@
 // Known reports whether any list was taken in.
 func (r Roster) Known() bool { return r.byName != nil }
 
-// Doubting reports whether it keeps members that the newest list lacks.
+// HasUnconfirmedRemovals reports whether it keeps members that the newest list lacks.
 func (r Roster) HasUnconfirmedRemovals() bool { return r.doubts > 0 }
 
 // Revision returns the revision of the newest list taken in.
@@ -83,6 +83,6 @@
 // name.
 func (r Roster) Members(shard string) []infra.Member { return r.members[shard] }
 
-// Doubted returns the members that the newest list lacks and that are kept,
+// UnconfirmedRemovals returns the members that the newest list lacks and that are kept,
 // because too many vanished at once.
 func (r Roster) UnconfirmedRemovals() []string { return r.doubted }
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -20,7 +20,7 @@
 
 // Admission is the answer to whether a request may wait.
 type Admission struct {
-	// Wait is whether it may.
+	// Admitted is whether it may.
 	Admitted bool
 	// RetryAfter is what a refused caller is told.
 	RetryAfter time.Duration
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -1,6 +1,6 @@
 package routing
 
-// Budget is a token bucket that limits retries to a share of the recent
+// RetryBudget is a token bucket that limits retries to a share of the recent
 // requests.
 type RetryBudget struct {
 	ratio  float64
@@ -11,7 +11,7 @@
 // budgetBurst is how many retries may be saved up.
 const budgetBurst = 20
 
-// NewBudget returns a budget that allows ratio retries per request.
+// NewRetryBudget returns a budget that allows ratio retries per request.
 func NewRetryBudget(ratio float64) *RetryBudget {
 	return &RetryBudget{ratio: ratio, limit: budgetBurst}
 }
@@ -19,12 +19,12 @@
 // SetRatio changes the share of requests that may be retried.
 func (b *RetryBudget) SetRatio(ratio float64) { b.ratio = ratio }
 
-// Request counts one first attempt.
+// AddRequest counts one first attempt.
 func (b *RetryBudget) AddRequest() {
 	b.tokens = min(b.limit, b.tokens+b.ratio)
 }
 
-// Take spends one retry and reports whether there was one.
+// TakeRetry spends one retry and reports whether there was one.
 func (b *RetryBudget) TakeRetry() bool {
 	if b.tokens < 1 {
 		return false
@@ -33,5 +33,5 @@
 	return true
 }
 
-// Left returns how many retries may be made now.
+// Available returns how many retries may be made now.
 func (b *RetryBudget) Available() float64 { return b.tokens }
--- a/routing/peers.go
+++ b/routing/peers.go
@@ -47,14 +47,14 @@
 	d.at = now
 }
 
-// Correct sets one service's free slots as a peer's answer just gave them.
+// SetFree sets one service's free slots as a peer's answer just gave them.
 func (p *Peers) SetFree(peer, service string, free int) {
 	if d := p.all[peer]; d != nil {
 		d.free[service] = free
 	}
 }
 
-// Drop forgets a peer.
+// Remove forgets a peer.
 func (p *Peers) Remove(peer string) {
 	delete(p.all, peer)
 	p.names = slices.Sorted(maps.Keys(p.all))
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -34,7 +34,7 @@
 	return &Pool{cfg: cfg, byName: map[string]*backend{}, services: map[string]*group{}}
 }
 
-// Set replaces the list of endpoints. Endpoints that were in the list keep
+// SetEndpoints replaces the list of endpoints. Endpoints that were in the list keep
 // their slots in use and their estimates. Endpoints that join later than the
 // first list start slowly.
 func (p *Pool) SetEndpoints(now time.Time, endpoints []Endpoint) {
@@ -159,7 +159,7 @@
 	return b.inUse <= p.allowed(now, b, view)
 }
 
-// Written ends the slot's time in the write window. It may be called twice.
+// WriteDone ends the slot's time in the write window. It may be called twice.
 func (p *Pool) WriteDone(s *Slot) {
 	if !s.writing {
 		return
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -24,11 +24,11 @@
 // SetLimit changes how many tickets may wait. Those that wait already stay.
 func (q *Queue) SetLimit(limit int) { q.limit = limit }
 
-// Served takes in that a peer served a request of the queue's service, and how
+// ObservePeer takes in that a peer served a request of the queue's service, and how
 // long that took.
 func (q *Queue) ObservePeer(now time.Time, took time.Duration) { q.peers.served(now, took) }
 
-// Turnover returns how many requests leave the queue per second and how long
+// DrainRate returns how many requests leave the queue per second and how long
 // one takes, where this host's slots serve perSecond that take each: peers
 // serve some too. Without them a host whose few endpoints hang would refuse
 // what its peers could answer. A host without slots has no rate of its own.
@@ -53,7 +53,7 @@
 	t.element = q.tickets.PushBack(t)
 }
 
-// Return puts a popped ticket back in its place, the first, since what it was
+// Requeue puts a popped ticket back in its place, the first, since what it was
 // given came to nothing.
 func (q *Queue) Requeue(t *Ticket) {
 	t.Slot, t.Peer = nil, ""
@@ -71,7 +71,7 @@
 	return true
 }
 
-// Take takes out the oldest ticket whatever its time, or returns nil.
+// PopAny takes out the oldest ticket whatever its time, or returns nil.
 func (q *Queue) PopAny() *Ticket {
 	e := q.tickets.Front()
 	if e == nil {
--- a/routing/stats.go
+++ b/routing/stats.go
@@ -6,7 +6,7 @@
 	"github.com/fireflygate/fireflygate/ownership"
 )
 
-// Free returns the free slots by service. Services without endpoints here are
+// FreeByService returns the free slots by service. Services without endpoints here are
 // absent.
 func (p *Pool) FreeByService(now time.Time, view *ownership.Snapshot) map[string]int {
 	free := make(map[string]int, len(p.services))
--- a/runner/answer.go
+++ b/runner/answer.go
@@ -26,7 +26,7 @@
 	Invalid
 	// Unhealthy: the worker refused it for now and did nothing.
 	Unhealthy
-	// Reborn: another life of the worker answered; the one meant is over.
+	// Restarted: another life of the worker answered; the one meant is over.
 	Restarted
 )
 
--- a/runner/order.go
+++ b/runner/order.go
@@ -30,7 +30,7 @@
 	Token uint64
 }
 
-// Pace limits a run to a share of its processors.
+// CPULimit limits a run to a share of its processors.
 type CPULimit struct {
 	Task    workload.TaskID
 	Run     uint64
--- a/runner/report.go
+++ b/runner/report.go
@@ -37,11 +37,11 @@
 	return endNames[EndUnknown]
 }
 
-// Active is a run at work.
+// ActiveRun is a run at work.
 type ActiveRun struct {
 	Task workload.TaskID
 	Run  uint64
-	// Saved is its newest checkpoint, empty for none.
+	// Checkpoint is its newest checkpoint, empty for none.
 	Checkpoint string
 	// Percent is how far it has come; a long-running task serves at 100.
 	Percent int
@@ -50,14 +50,14 @@
 	Usage int64
 }
 
-// End is a run that is over.
+// RunEnd is a run that is over.
 type RunEnd struct {
 	// Number counts the ends of one life of a worker, from 1.
 	Number uint64
 	Task   workload.TaskID
 	Run    uint64
 	Kind   EndKind
-	// Saved is the newest checkpoint, empty for none.
+	// Checkpoint is the newest checkpoint, empty for none.
 	Checkpoint string
 }
 
--- a/runner/worker.go
+++ b/runner/worker.go
@@ -23,7 +23,7 @@
 	Draining bool `msgpack:"-"`
 	// LeavesIn is the least time left to a draining worker.
 	LeavesIn time.Duration `msgpack:"-"`
-	// Unsound is set if the list holds an entry with this ID that names no
+	// Malformed is set if the list holds an entry with this ID that names no
 	// worker to use; nothing but the ID is known then.
 	Malformed bool `msgpack:"-"`
 }
--- a/task/record.go
+++ b/task/record.go
@@ -33,7 +33,7 @@
 	Evictions int `msgpack:"ev,omitempty"`
 	// LostMS is the work done and lost, in milliseconds at full speed.
 	LostMS int64 `msgpack:"l,omitempty"`
-	// Learned is the size it reserves at the least once one proved small.
+	// LearnedFloor is the size it reserves at the least once one proved small.
 	LearnedFloor infra.Resources `msgpack:"g,omitempty"`
 	// Reason explains the last failure or the terminal state.
 	Reason string `msgpack:"r,omitempty"`
@@ -44,10 +44,10 @@
 // New returns the record of a job that was just submitted.
 func New(s Spec) Record { return Record{Spec: s} }
 
-// Run returns the run of the record's epoch.
+// RunID returns the run of the record's epoch.
 func (r Record) RunID() infra.RunID { return infra.RunID{Job: r.Spec.ID, Epoch: r.Epoch} }
 
-// Sized returns the spec with what was learned of the job's own size as its
+// SpecWithFloor returns the spec with what was learned of the job's own size as its
 // floor.
 func (r Record) SpecWithFloor() Spec {
 	s := r.Spec
@@ -55,7 +55,7 @@
 	return s
 }
 
-// Reserves returns what the run of the record's epoch reserves.
+// Reservation returns what the run of the record's epoch reserves.
 func (r Record) Reservation() infra.Resources {
 	if r.Reserved != (infra.Resources{}) {
 		return r.Reserved
--- a/tenure/keeper.go
+++ b/tenure/keeper.go
@@ -20,7 +20,7 @@
 // goroutine.
 type input func(now time.Time, m *ownership.Machine) []ownership.Action
 
-// Keeper holds this host's shards. Its methods are safe for concurrent use.
+// Driver holds this host's shards. Its methods are safe for concurrent use.
 type Driver struct {
 	cfg     Config
 	machine *ownership.Machine
@@ -99,7 +99,7 @@
 	k.post(func(now time.Time, m *ownership.Machine) []ownership.Action { return m.SetRoster(now, r) })
 }
 
-// View returns what this host holds, and who owns what, as last known.
+// Snapshot returns what this host holds, and who owns what, as last known.
 func (k *Driver) Snapshot() *ownership.Snapshot { return k.view.Load() }
 
 // Subscribe calls f, in the control goroutine, with each new view. It must
--- a/workload/step.go
+++ b/workload/step.go
@@ -43,7 +43,7 @@
 	// TailTarget bounds the tail of the response times of a long-running task
 	// that serves users of its own; 0 for none.
 	TailTarget time.Duration `msgpack:"t,omitempty"`
-	// Filler tasks take the processors that other tasks leave unused; their
+	// BestEffort tasks take the processors that other tasks leave unused; their
 	// processors aren't counted against a worker's capacity.
 	BestEffort bool `msgpack:"f,omitempty"`
 	// DisruptionBudget is how many tasks of a long-running step may be
