--- a/flow/backlog.go
+++ b/flow/backlog.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// Backlog says how long a start waits for those before it while an owner can't
-// give starts as fast as they come. The load it answers is more work than the
-// owner's host and relays can start, though workers have room: accepted all the
-// same it would wait longer each second, past its use.
+// Backlog estimates how long an accepted job waits for its first start while
+// the owner can't issue starts as fast as they arrive. It limits the queue when
+// the bottleneck is the owner's host or its relays and not the capacity of
+// workers.
 type Backlog struct {
-	// rate is the smoothed number of starts a second, 0 while it isn't known.
+	// rate is the smoothed number of starts per second, 0 if unknown.
 	rate float64
 }
 
 const (
-	// rateWeight is the weight of a new second in the rate.
+	// rateWeight is the weight of the latest second in rate.
 	rateWeight = 0.25
-	// longestBacklog is how long what is accepted may wait for its first start:
-	// about as long as a usual batch job runs.
-	longestBacklog = 10 * time.Second
-	// shortestReturn and longestReturn bound when callers are asked to come back.
-	shortestReturn, longestReturn = time.Second, 8 * time.Second
+	// maxBacklogWait bounds the expected wait for a job's first start; it is about
+	// the run time of a typical batch job.
+	maxBacklogWait = 10 * time.Second
+	// minRetryAfter and maxRetryAfter bound the delay that rejected callers are
+	// asked to wait.
+	minRetryAfter, maxRetryAfter = time.Second, 8 * time.Second
 )
 
-// Observe takes in the starts of a second, and whether most planning cycles in it
-// were cut short by those under way. Only then do they tell what can be given.
-func (b *Backlog) Observe(starts int, heldBack bool) {
+// Observe records the starts of one second and whether the limit on starts in
+// flight cut most planning cycles short. Only then does the number of starts
+// show the rate that can be sustained.
+func (b *Backlog) Observe(starts int, startLimitReached bool) {
 	switch {
-	case !heldBack:
+	case !startLimitReached:
 		b.rate = 0
 	case b.rate == 0:
 		b.rate = float64(starts)
@@ -34,15 +36,16 @@
 	}
 }
 
-// Refuse reports whether a job with so many starts before it should be refused,
-// and when its caller should come back: when what waits has fallen to what may.
-func (b *Backlog) Refuse(before int) (after time.Duration, refuse bool) {
+// Refuse reports whether to reject a job with startsAhead starts queued before
+// it, and the delay until its caller should retry, by which the expected wait
+// has dropped to the limit.
+func (b *Backlog) Refuse(startsAhead int) (retryAfter time.Duration, refuse bool) {
 	if b.rate < 1 {
 		return 0, false
 	}
-	wait := time.Duration(float64(before) / b.rate * float64(time.Second))
-	if wait <= longestBacklog {
+	wait := time.Duration(float64(startsAhead) / b.rate * float64(time.Second))
+	if wait <= maxBacklogWait {
 		return 0, false
 	}
-	return min(max(wait-longestBacklog, shortestReturn), longestReturn), true
+	return min(max(wait-maxBacklogWait, minRetryAfter), maxRetryAfter), true
 }
--- a/flow/backlog_test.go
+++ b/flow/backlog_test.go
@@ -7,43 +7,42 @@
 	"github.com/fireflygate/fireflygate/flow"
 )
 
-// TestBacklogRefusesWhatWouldWaitTooLong offers an owner that gives 200 starts a
-// second 300 of them for a minute, as on a host with a small link. What is
-// accepted waits for ten seconds at most, as much is accepted as can be started,
-// and callers are told to come back when there is a chance.
-func TestBacklogRefusesWhatWouldWaitTooLong(t *testing.T) {
+// TestBacklogBoundsWait offers 300 starts per second to an owner that can issue
+// 200. The queue stays within ten seconds of starts, the owner stays busy, and
+// rejected callers get a retry delay within its bounds.
+func TestBacklogBoundsWait(t *testing.T) {
 	var b flow.Backlog
 	const capacity, offered, job = 200, 300, 30
 	waiting, accepted := 0, 0
 	for second := range 60 {
 		for range offered / job {
-			after, refuse := b.Refuse(waiting)
+			retryAfter, refuse := b.Refuse(waiting)
 			if !refuse {
 				waiting += job
 				accepted += job
-			} else if after < time.Second || after > 8*time.Second {
-				t.Fatalf("second %d: come back after %v", second, after)
+			} else if retryAfter < time.Second || retryAfter > 8*time.Second {
+				t.Fatalf("second %d: retry after %v, want 1s to 8s", second, retryAfter)
 			}
 		}
-		given := min(waiting, capacity)
-		waiting -= given
-		b.Observe(given, waiting > 0)
-		if longest := 10*capacity + offered; waiting > longest {
-			t.Fatalf("second %d: %d starts wait, more than ten seconds of them", second, waiting)
+		started := min(waiting, capacity)
+		waiting -= started
+		b.Observe(started, waiting > 0)
+		if maxWaiting := 10*capacity + offered; waiting > maxWaiting {
+			t.Fatalf("second %d: %d starts are queued, more than ten seconds' worth", second, waiting)
 		}
 	}
 	if accepted < 59*capacity {
-		t.Errorf("%d starts accepted in a minute, of %d that can be given", accepted, 60*capacity)
+		t.Errorf("%d starts accepted in a minute, want nearly the %d that can be issued", accepted, 60*capacity)
 	}
 }
 
-// TestBacklogRefusesNothingWhileNothingIsHeldBack leaves jobs alone that wait
-// for room and not for their starts.
-func TestBacklogRefusesNothingWhileNothingIsHeldBack(t *testing.T) {
+// TestBacklogAcceptsBelowStartLimit accepts jobs that wait for worker capacity
+// while the limit on starts in flight isn't reached.
+func TestBacklogAcceptsBelowStartLimit(t *testing.T) {
 	var b flow.Backlog
 	b.Observe(50, true)
 	b.Observe(5, false)
-	if after, refuse := b.Refuse(100_000); refuse {
-		t.Errorf("refused for %v", after)
+	if retryAfter, refuse := b.Refuse(100_000); refuse {
+		t.Errorf("job rejected with a retry delay of %v, want it accepted", retryAfter)
 	}
 }
--- a/flow/doc.go
+++ b/flow/doc.go
@@ -1,9 +1,10 @@
-// Package flow bounds what an owner has under way with its workers by what it
-// measures. It is pure.
+// Package flow controls how much an owner has in flight with its workers, based
+// on measured round trips. It does no I/O and reads no clock.
 //
-// The load it answers is more orders and reports than the owner's processor or
-// link can carry at the moment. With fixed limits, all that is begun beyond that
-// is late, what is late counts as lost, and what is lost makes more work. So
-// time limits follow the round trips (Timeout), starts under way are bounded by
-// their delay (Limit), and reports are asked for less often (Gap).
+// An owner can have more orders and reports to exchange than its processor or
+// network link can handle. With fixed limits the excess is delayed, delayed
+// orders time out, and handling timeouts adds load. Therefore order timeouts
+// follow the round trip (Timeout), the round trip of starts bounds how many are
+// in flight (Limit), and workers are polled less often as it grows
+// (PollInterval).
 package flow
--- a/flow/flow_test.go
+++ b/flow/flow_test.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	floor   = 300 * time.Millisecond
-	ceiling = 2500 * time.Millisecond
+	minTimeout = 300 * time.Millisecond
+	maxTimeout = 2500 * time.Millisecond
 )
 
-// TestTimeoutFollowsRoundTrips waits for the floor while answers are quick, and
-// for longer than they take once they are slow.
+// TestTimeoutFollowsRoundTrips checks that the timeout stays at its minimum for
+// short round trips, exceeds longer ones and never exceeds its maximum.
 func TestTimeoutFollowsRoundTrips(t *testing.T) {
-	for took, want := range map[time.Duration][2]time.Duration{
-		5 * time.Millisecond:   {floor, floor},
+	for rtt, want := range map[time.Duration][2]time.Duration{
+		5 * time.Millisecond:   {minTimeout, minTimeout},
 		400 * time.Millisecond: {400 * time.Millisecond, time.Second},
-		4 * time.Second:        {ceiling, ceiling},
+		4 * time.Second:        {maxTimeout, maxTimeout},
 	} {
-		timeout := flow.Timeout{Min: floor, Max: ceiling}
+		timeout := flow.Timeout{Min: minTimeout, Max: maxTimeout}
 		for range 50 {
-			timeout.Answered(took)
+			timeout.Answered(rtt)
 		}
 		if got := timeout.Value(); got < want[0] || got > want[1] {
-			t.Errorf("waits %v for answers that take %v, want %v to %v", got, took, want[0], want[1])
+			t.Errorf("timeout is %v at a round trip of %v, want %v to %v", got, rtt, want[0], want[1])
 		}
 	}
 }
 
-// TestTimeoutTellsDelayFromLoss has a rack of workers never answer beside many
-// that do, which changes nothing, and then all answers come after the time to
-// wait: it has to grow beyond them, though none of them is ever measured.
-func TestTimeoutTellsDelayFromLoss(t *testing.T) {
-	timeout := flow.Timeout{Min: floor, Max: ceiling}
+// TestTimeoutDistinguishesDelayFromLoss checks that a minority of unresponsive
+// workers doesn't change the timeout, and that it grows past the round trip
+// when all answers arrive after it, though no such round trip is ever observed.
+func TestTimeoutDistinguishesDelayFromLoss(t *testing.T) {
+	timeout := flow.Timeout{Min: minTimeout, Max: maxTimeout}
 	for i := range 1000 {
 		timeout.Answered(10 * time.Millisecond)
 		if i%10 == 0 {
 			timeout.TimedOut()
 		}
 	}
-	if got := timeout.Value(); got != floor {
-		t.Errorf("waits %v while one order in eleven is lost, want %v", got, floor)
+	if got := timeout.Value(); got != minTimeout {
+		t.Errorf("timeout is %v while one order in eleven is lost, want %v", got, minTimeout)
 	}
 	const delay = 900 * time.Millisecond
 	for range 200 {
@@ -54,27 +54,26 @@
 		}
 	}
 	if got := timeout.Value(); got < delay {
-		t.Errorf("waits %v for answers that take %v", got, delay)
+		t.Errorf("timeout is %v at a round trip of %v, want at least that", got, delay)
 	}
 	for range 500 {
 		timeout.Answered(10 * time.Millisecond)
 	}
-	if got := timeout.Value(); got != floor {
-		t.Errorf("waits %v once answers are quick again, want %v", got, floor)
+	if got := timeout.Value(); got != minTimeout {
+		t.Errorf("timeout is %v after round trips became short again, want %v", got, minTimeout)
 	}
 }
 
-// TestLimitKeepsTheDelay offers a link that carries 200 orders a second more
-// work than that, and then less. Without a limit the delay would grow by a
-// second each second.
-func TestLimitKeepsTheDelay(t *testing.T) {
+// TestLimitBoundsDelay offers unlimited work to a link that carries 200 orders
+// per second: the round trip stays near the target and the link stays busy.
+func TestLimitBoundsDelay(t *testing.T) {
 	const (
-		perOrder = 5 * time.Millisecond // what the link takes for one
+		perOrder = 5 * time.Millisecond // time that the link needs for one order
 		target   = 100 * time.Millisecond
 	)
 	l := flow.NewLimit(target, 4, 512)
 	now := time.Unix(1000, 0)
-	var queue []time.Time // when each order under way was given
+	var queue []time.Time // when each order in flight was sent
 	served, late := 0, 0
 	for range 4000 { // 20 s
 		for l.Available() > 0 {
@@ -82,24 +81,25 @@
 			queue = append(queue, now)
 		}
 		now = now.Add(perOrder)
-		took := now.Sub(queue[0])
+		rtt := now.Sub(queue[0])
 		queue = queue[1:]
-		l.Answered(now, took)
+		l.Answered(now, rtt)
 		served++
-		if served > 1000 && took > 2*target {
+		if served > 1000 && rtt > 2*target {
 			late++
 		}
 	}
 	if late > 0 {
-		t.Errorf("%d of %d orders took over %v", late, served-1000, 2*target)
+		t.Errorf("%d of %d orders took longer than %v", late, served-1000, 2*target)
 	}
-	if room := l.Current(); room < 8 {
-		t.Errorf("%d may be under way, too few to keep the link busy", room)
+	if current := l.Current(); current < 8 {
+		t.Errorf("limit is %d, want at least 8 to keep the link busy", current)
 	}
 }
 
-// TestLimitGrowsBack lets more go out once answers are quick.
-func TestLimitGrowsBack(t *testing.T) {
+// TestLimitRecovers checks that the limit falls to its minimum while round
+// trips are long and rises to its maximum once they are short.
+func TestLimitRecovers(t *testing.T) {
 	l := flow.NewLimit(100*time.Millisecond, 4, 512)
 	now := time.Unix(1000, 0)
 	for range 50 {
@@ -108,7 +108,7 @@
 		l.Answered(now, time.Second)
 	}
 	if got := l.Current(); got != 4 {
-		t.Fatalf("%d may be under way while each takes a second, want the least", got)
+		t.Fatalf("limit is %d at a round trip of 1s, want the minimum of 4", got)
 	}
 	for range 30 {
 		n := l.Available()
@@ -121,12 +121,12 @@
 		}
 	}
 	if got := l.Current(); got != 512 {
-		t.Errorf("%d may be under way after 30 quick round trips, want the most", got)
+		t.Errorf("limit is %d after 30 short round trips, want the maximum of 512", got)
 	}
 }
 
-// TestLimitCountsEachOnce ends orders in all ways and in any order.
-func TestLimitCountsEachOnce(t *testing.T) {
+// TestLimitInFlightCount mixes Acquire, Release and Answered at random.
+func TestLimitInFlightCount(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	l := flow.NewLimit(100*time.Millisecond, 4, 64)
 	now, open := time.Unix(1000, 0), 0
@@ -144,26 +144,26 @@
 			open--
 		}
 		if l.InFlight() != open {
-			t.Fatalf("%d under way, want %d", l.InFlight(), open)
+			t.Fatalf("%d in flight, want %d", l.InFlight(), open)
 		}
 		if c := l.Current(); c < 4 || c > 64 {
-			t.Fatalf("%d may be under way, want 4 to 64", c)
+			t.Fatalf("limit is %d, want 4 to 64", c)
 		}
 	}
 }
 
-// TestGap asks at once while all is calm, less often the longer orders take, and
-// never leaves a worker alone for long beside its lease.
-func TestGap(t *testing.T) {
+// TestPollInterval checks that workers are polled again at once while round
+// trips are short, and less often as they grow, up to a bound below the lease.
+func TestPollInterval(t *testing.T) {
 	last := time.Duration(-1)
-	for _, smoothed := range []time.Duration{0, 20 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 10 * time.Second} {
-		gap := flow.PollInterval(smoothed)
-		if gap < last || gap > 2*time.Second {
-			t.Errorf("left alone for %v at a round trip of %v, %v before", gap, smoothed, last)
+	for _, smoothedRTT := range []time.Duration{0, 20 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 10 * time.Second} {
+		interval := flow.PollInterval(smoothedRTT)
+		if interval < last || interval > 2*time.Second {
+			t.Errorf("poll interval is %v at a round trip of %v, after %v at a shorter one", interval, smoothedRTT, last)
 		}
-		last = gap
+		last = interval
 	}
 	if got := flow.PollInterval(20 * time.Millisecond); got != 0 {
-		t.Errorf("left alone for %v while all is calm", got)
+		t.Errorf("poll interval is %v at a round trip of 20ms, want 0", got)
 	}
 }
--- a/flow/limit.go
+++ b/flow/limit.go
@@ -2,79 +2,78 @@
 
 import "time"
 
-// Limit bounds how many orders are under way at a time by how long they take:
-// it grows while answers come sooner than Target and shrinks once they come
-// later (additive increase, multiplicative decrease). What isn't begun beyond
-// it can still be ordered by urgency, and spoils no worker's room.
+// Limit bounds the number of orders in flight by their round trip (additive
+// increase, multiplicative decrease): it grows while the smoothed round trip is
+// below Target and shrinks while it is above. Orders beyond the limit stay with
+// the caller, which can still reorder them by urgency.
 type Limit struct {
-	// Target is the round trip beyond which more under way only waits longer.
+	// Target is the round trip above which a higher limit adds only delay.
 	Target time.Duration
-	// Least and Most bound the limit.
+	// Min and Max bound the limit.
 	Min, Max int
 
 	limit    float64
-	underWay int
-	// smoothed is the smoothed round trip: a single slow worker says nothing of
-	// how many may be under way.
-	smoothed time.Duration
-	// shrunkAt is when the limit was last made smaller.
-	shrunkAt time.Time
+	inFlight int
+	// smoothedRTT is smoothed so that a single slow worker doesn't lower the
+	// limit.
+	smoothedRTT time.Duration
+	// decreasedAt is the time of the last decrease.
+	decreasedAt time.Time
 }
 
 const (
-	// leastShrink and mostShrink bound what remains of the limit when answers
-	// come too late: the share of the target in the round trip.
-	leastShrink, mostShrink = 0.3, 0.8
-	// fastShare is the share of the target below which the limit grows by
-	// fastGrowth for each answer, so that it doubles in a round trip.
-	fastShare, fastGrowth = 0.25, 1.0
+	// minDecreaseFactor and maxDecreaseFactor bound the factor of a decrease,
+	// which is the ratio of the target to the round trip.
+	minDecreaseFactor, maxDecreaseFactor = 0.3, 0.8
+	// Below fastGrowthShare of the target the limit grows by fastIncrease per
+	// answer, and so doubles within one round trip.
+	fastGrowthShare, fastIncrease = 0.25, 1.0
 )
 
-// beginWith is the limit before anything is measured: what a small link carries
-// in a fraction of a second.
-const beginWith = 64
+// initialLimit is the limit before the first round trip is known.
+const initialLimit = 64
 
-// NewLimit returns a limit.
-func NewLimit(target time.Duration, least, most int) *Limit {
-	return &Limit{Target: target, Min: least, Max: most, limit: float64(min(max(beginWith, least), most))}
+// NewLimit returns a limit that stays within lower and upper.
+func NewLimit(target time.Duration, lower, upper int) *Limit {
+	return &Limit{Target: target, Min: lower, Max: upper, limit: float64(min(max(initialLimit, lower), upper))}
 }
 
-// Room returns how many more may be begun.
-func (l *Limit) Available() int { return max(int(l.limit)-l.underWay, 0) }
+// Available returns how many more orders may be sent.
+func (l *Limit) Available() int { return max(int(l.limit)-l.inFlight, 0) }
 
-// InFlight returns how many are under way, Current how many may be.
-func (l *Limit) InFlight() int { return l.underWay }
+// InFlight returns the number of orders in flight.
+func (l *Limit) InFlight() int { return l.inFlight }
 
-// Current returns how many may be under way.
+// Current returns the limit on orders in flight.
 func (l *Limit) Current() int { return int(l.limit) }
 
-// Begin takes in that an order is given.
-func (l *Limit) Acquire() { l.underWay++ }
+// Acquire records that an order is sent.
+func (l *Limit) Acquire() { l.inFlight++ }
 
-// Answered takes in that an order was answered.
-func (l *Limit) Answered(now time.Time, took time.Duration) {
-	used := float64(l.underWay) >= l.limit/2
-	l.underWay--
-	if l.smoothed == 0 {
-		l.smoothed = took
+// Answered records that an order was answered after the round trip rtt.
+func (l *Limit) Answered(now time.Time, rtt time.Duration) {
+	wellUsed := float64(l.inFlight) >= l.limit/2
+	l.inFlight--
+	if l.smoothedRTT == 0 {
+		l.smoothedRTT = rtt
 	}
-	l.smoothed += time.Duration(smoothedWeight * float64(took-l.smoothed))
+	l.smoothedRTT += time.Duration(smoothedRTTWeight * float64(rtt-l.smoothedRTT))
 	switch {
-	case l.smoothed > l.Target:
-		// Those under way now were given before the limit shrank: they are
-		// late as well and say nothing new.
-		if now.Sub(l.shrunkAt) >= l.smoothed {
-			remains := min(max(float64(l.Target)/float64(l.smoothed), leastShrink), mostShrink)
-			l.limit, l.shrunkAt = max(l.limit*remains, float64(l.Min)), now
+	case l.smoothedRTT > l.Target:
+		// Orders now in flight were sent under the previous limit; their delay is no
+		// reason to decrease it again.
+		if now.Sub(l.decreasedAt) >= l.smoothedRTT {
+			factor := min(max(float64(l.Target)/float64(l.smoothedRTT), minDecreaseFactor), maxDecreaseFactor)
+			l.limit, l.decreasedAt = max(l.limit*factor, float64(l.Min)), now
 		}
-	case !used:
-	case l.smoothed < time.Duration(fastShare*float64(l.Target)):
-		l.limit = min(l.limit+fastGrowth, float64(l.Max))
+	case !wellUsed:
+	case l.smoothedRTT < time.Duration(fastGrowthShare*float64(l.Target)):
+		l.limit = min(l.limit+fastIncrease, float64(l.Max))
 	default:
 		l.limit = min(l.limit+1/l.limit, float64(l.Max))
 	}
 }
 
-// Gone takes in that an order is over of which nothing was measured: it wasn't
-// sent, or got no answer.
-func (l *Limit) Release() { l.underWay-- }
+// Release records the end of an order without a round trip: it wasn't sent or
+// got no answer.
+func (l *Limit) Release() { l.inFlight-- }
--- a/flow/timeout.go
+++ b/flow/timeout.go
@@ -2,65 +2,65 @@
 
 import "time"
 
-// Timeout follows how long answers take and says how long to wait for one: the
-// smoothed round trip and four mean deviations, as RFC 6298 has it for segments.
-// It is for all of an owner's workers together, since what delays many of them
-// is the owner's own processor or link.
+// Timeout derives how long to wait for an answer from observed round trips: the
+// smoothed round trip plus four mean deviations, as in RFC 6298. One Timeout
+// covers all workers of an owner, because delays that affect many of them arise
+// in the owner's processor or network link.
 type Timeout struct {
-	// Floor and Ceiling bound the time to wait.
+	// Min and Max bound the timeout.
 	Min, Max time.Duration
 
-	smoothed, deviation time.Duration
-	// missed is the share of the last orders that got no answer in time.
-	missed float64
-	// factor is by how much the time to wait is longer while many get none.
-	factor float64
+	smoothedRTT, deviation time.Duration
+	// timeoutShare is the smoothed share of orders that timed out.
+	timeoutShare float64
+	// backoff multiplies the timeout while many orders time out; it is at least 1
+	// once set.
+	backoff float64
 }
 
 const (
-	// smoothedWeight and deviationWeight are the weights of a new round trip,
+	// smoothedRTTWeight and deviationWeight are the weights of a new round trip,
 	// from RFC 6298.
-	smoothedWeight, deviationWeight = 1.0 / 8, 1.0 / 4
-	// deviations is how many mean deviations are waited beyond the mean.
-	deviations = 4
-	// missedWeight is the weight of a new order in the share that gets no
-	// answer: some dozens of orders decide.
-	missedWeight = 1.0 / 64
-	// missedMany is the share from which the time to wait doubles: those that
-	// are missed would have been the longest round trips. Single workers or
-	// racks that are gone stay below it.
-	missedMany = 0.25
-	// factorDecay is how the factor falls with each answer.
-	factorDecay = 0.99
+	smoothedRTTWeight, deviationWeight = 1.0 / 8, 1.0 / 4
+	// deviationFactor is the number of mean deviations added to the smoothed round
+	// trip.
+	deviationFactor = 4
+	// timeoutWeight is the weight of a new order in timeoutShare.
+	timeoutWeight = 1.0 / 64
+	// timeoutThreshold is the value of timeoutShare from which the timeout
+	// doubles. The failure of single workers or racks stays below it.
+	timeoutThreshold = 0.25
+	// backoffDecay multiplies backoff at each answer.
+	backoffDecay = 0.99
 )
 
-// Answered takes in the round trip of an order.
-func (t *Timeout) Answered(took time.Duration) {
-	t.missed -= missedWeight * t.missed
-	t.factor = max(t.factor*factorDecay, 1)
-	if t.smoothed == 0 {
-		t.smoothed, t.deviation = took, took/2
+// Answered records the round trip of an answered order.
+func (t *Timeout) Answered(rtt time.Duration) {
+	t.timeoutShare -= timeoutWeight * t.timeoutShare
+	t.backoff = max(t.backoff*backoffDecay, 1)
+	if t.smoothedRTT == 0 {
+		t.smoothedRTT, t.deviation = rtt, rtt/2
 		return
 	}
-	off := max(took-t.smoothed, t.smoothed-took)
-	t.deviation += time.Duration(deviationWeight * float64(off-t.deviation))
-	t.smoothed += time.Duration(smoothedWeight * float64(took-t.smoothed))
+	diff := max(rtt-t.smoothedRTT, t.smoothedRTT-rtt)
+	t.deviation += time.Duration(deviationWeight * float64(diff-t.deviation))
+	t.smoothedRTT += time.Duration(smoothedRTTWeight * float64(rtt-t.smoothedRTT))
 }
 
-// Missed takes in that an order got no answer in time.
+// TimedOut records an order without an answer within the timeout.
 func (t *Timeout) TimedOut() {
-	t.missed += missedWeight * (1 - t.missed)
-	if t.missed >= missedMany {
-		t.factor = max(t.factor, 1) * 2
-		t.missed /= 2 // the next doubling takes as much evidence again
+	t.timeoutShare += timeoutWeight * (1 - t.timeoutShare)
+	if t.timeoutShare >= timeoutThreshold {
+		t.backoff = max(t.backoff, 1) * 2
+		t.timeoutShare /= 2 // require as many further timeouts for the next doubling
 	}
 }
 
 // Value returns how long to wait for an answer.
 func (t *Timeout) Value() time.Duration {
-	wait := time.Duration(max(t.factor, 1) * float64(max(t.smoothed+deviations*t.deviation, t.Min)))
+	wait := time.Duration(max(t.backoff, 1) * float64(max(t.smoothedRTT+deviationFactor*t.deviation, t.Min)))
 	return min(wait, t.Max)
 }
 
-// Smoothed returns the smoothed round trip, 0 before the first.
-func (t *Timeout) SmoothedRTT() time.Duration { return t.smoothed }
+// SmoothedRTT returns the smoothed round trip, 0 before the first answer.
+func (t *Timeout) SmoothedRTT() time.Duration { return t.smoothedRTT }
--- a/flow/traffic.go
+++ b/flow/traffic.go
@@ -5,110 +5,112 @@
 	"time"
 )
 
-// The bounds of what an owner has under way with its workers.
+// Limits on orders in flight.
 const (
-	// MinTimeout and MaxTimeout bound the wait for a worker's answer to an order,
-	// beyond what a look asks it to wait. The least is a hundred times what a
-	// sound worker takes: what became of an order without an answer is asked at
-	// once, so it costs little. The most leaves a run whose start got no answer
-	// its turn elsewhere within callers' patience.
+	// MinTimeout and MaxTimeout bound the wait for a worker's answer, in addition
+	// to the time that a poll asks the worker to hold it. A timeout is cheap,
+	// since the outcome of the order is polled at once. MaxTimeout is short enough
+	// for the task to be started elsewhere before its caller's timeout.
 	MinTimeout = 300 * time.Millisecond
 	MaxTimeout = 2500 * time.Millisecond
-	// startDelay is the round trip of starts beyond which fewer are under way,
-	// a third of MinTimeout.
-	startDelay = 100 * time.Millisecond
-	// leastStarts and mostStarts bound how many starts are under way.
-	leastStarts, mostStarts = 8, 1024
-	// measuredFor is how long a measured round trip says something of the delay.
-	measuredFor = time.Second
+	// startRTTTarget is the round trip of starts above which their number in
+	// flight is reduced.
+	startRTTTarget = 100 * time.Millisecond
+	// minStartLimit and maxStartLimit bound the limit on starts in flight.
+	minStartLimit, maxStartLimit = 8, 1024
+	// rttValidity is how long an observed round trip remains representative.
+	rttValidity = time.Second
 )
 
-// Way is an order's way to a worker and back.
+// RoundTrip is the outcome of sending one order to a worker.
 type RoundTrip struct {
-	// Took is how long it took; zero if it wasn't sent.
+	// Duration is the time to the answer or the timeout, 0 if the order wasn't
+	// sent.
 	Duration time.Duration
-	// Late is set if there was no answer within the wait.
+	// TimedOut is set if no answer arrived within the timeout.
 	TimedOut bool
 }
 
-// Traffic is what an owner has under way with its workers, and how long that
-// takes.
+// Traffic limits and measures an owner's orders to its workers. It isn't safe
+// for concurrent use.
 type Traffic struct {
 	timeout    Timeout
 	starts     *Limit
-	measuredAt time.Time
+	observedAt time.Time
 }
 
-// NewTraffic returns the traffic of an owner that has sent nothing.
+// NewTraffic returns the Traffic of an owner that has sent no orders.
 func NewTraffic() *Traffic {
 	return &Traffic{
-		timeout: Timeout{Min: MinTimeout, Max: MaxTimeout}, starts: NewLimit(startDelay, leastStarts, mostStarts),
+		timeout: Timeout{Min: MinTimeout, Max: MaxTimeout}, starts: NewLimit(startRTTTarget, minStartLimit, maxStartLimit),
 	}
 }
 
-// Wait returns how long to wait for the answer to an order.
+// Timeout returns how long to wait for the answer to an order.
 func (t *Traffic) Timeout() time.Duration { return t.timeout.Value() }
 
-// Measured takes in the way of an order that the worker answered at once, or
-// that got no answer in time.
-func (t *Traffic) Observe(now time.Time, w RoundTrip) {
-	if w.TimedOut {
+// Observe records the round trip of an order that the worker answered without
+// holding the answer, or that timed out.
+func (t *Traffic) Observe(now time.Time, rt RoundTrip) {
+	if rt.TimedOut {
 		t.timeout.TimedOut()
 		return
 	}
-	t.measuredAt = now
-	t.timeout.Answered(w.Duration)
+	t.observedAt = now
+	t.timeout.Answered(rt.Duration)
 }
 
-// AvailableStarts returns how many more starts may be given.
+// AvailableStarts returns how many more starts may be sent.
 func (t *Traffic) AvailableStarts() int { return t.starts.Available() }
 
-// batchShare is the share of the starts under way that are answered before more
-// are chosen, where starts had to wait for them: a choice costs about as much for
-// one start as for a dozen.
-const batchShare = 1.0 / 3
+// planThreshold is the share of the start limit that must be free before
+// planning continues after the limit was reached. A planning cycle costs about
+// as much for one start as for a dozen.
+const planThreshold = 1.0 / 3
 
-// CanPlanStarts reports whether enough starts are answered to choose more.
+// CanPlanStarts reports whether enough of the start limit is free to plan
+// again.
 func (t *Traffic) CanPlanStarts() bool {
-	return float64(t.starts.Available()) >= batchShare*float64(t.starts.Current())
+	return float64(t.starts.Available()) >= planThreshold*float64(t.starts.Current())
 }
 
-// StartIssued takes in that a start is given.
+// StartIssued records that a start is sent or queued for sending.
 func (t *Traffic) StartIssued() { t.starts.Acquire() }
 
-// StartFinished takes in that a start was answered, got no answer, or wasn't sent.
-func (t *Traffic) StartFinished(now time.Time, w RoundTrip) {
-	if w.Duration == 0 || w.TimedOut {
+// StartFinished records that a start was answered, timed out or wasn't sent.
+func (t *Traffic) StartFinished(now time.Time, rt RoundTrip) {
+	if rt.Duration == 0 || rt.TimedOut {
 		t.starts.Release()
 		return
 	}
-	t.starts.Answered(now, w.Duration)
+	t.starts.Answered(now, rt.Duration)
 }
 
-// RoundTrip returns the smoothed round trip, 0 if none was measured lately.
+// RoundTrip returns the smoothed round trip, 0 if none was observed recently.
 func (t *Traffic) RoundTrip(now time.Time) time.Duration {
-	if now.Sub(t.measuredAt) > measuredFor {
+	if now.Sub(t.observedAt) > rttValidity {
 		return 0
 	}
 	return t.timeout.SmoothedRTT()
 }
 
-// PollInterval returns how long a worker that has just reported is left alone.
+// PollInterval returns the pause between a worker's report and the next poll.
 func (t *Traffic) PollInterval(now time.Time) time.Duration {
 	return PollInterval(t.RoundTrip(now))
 }
 
-// State is what a Traffic has measured and allows, for logs.
+// State is a snapshot of a Traffic for logs and metrics.
 type State struct {
-	// Wait is how long answers are waited for, Smoothed the smoothed round trip.
+	// Timeout is the current order timeout, SmoothedRTT the smoothed round trip.
 	Timeout, SmoothedRTT time.Duration
-	// Starts are under way, StartLimit may be.
+	// StartsInFlight is the number of starts in flight, StartLimit the limit on
+	// it.
 	StartsInFlight, StartLimit int
-	// PollInterval is how long a worker that has just reported is left alone.
+	// PollInterval is the pause between a worker's report and the next poll.
 	PollInterval time.Duration
 }
 
-// State returns what is measured and allowed now.
+// State returns the current measurements and limits.
 func (t *Traffic) State(now time.Time) State {
 	return State{
 		Timeout: t.Timeout(), SmoothedRTT: t.RoundTrip(now), StartsInFlight: t.starts.InFlight(), StartLimit: t.starts.Current(),
