--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,10 +1,10 @@
-// Package relay decides which entry hosts carry an owner's orders to which
-// workers. It is pure.
+// Package relay selects the entry hosts that relay an owner's orders to
+// workers. It does no I/O.
 //
-// The load it answers is one owner of more workers than its processor, link or
-// descriptors can keep sessions with. The owner goes on deciding alone, so what
-// it decides stays whole; the connections, the HTTP calls and their decoding go
-// to hosts in the workers' own availability zones, and what is left between
-// owner and relay is one connection with short messages. A relay keeps nothing
-// that has to last: an order it loses is like one whose answer got lost.
+// A domain can have more workers than its owner's processor, network link or
+// file descriptors can serve. Relays take over the connections to workers, the
+// HTTP calls and their decoding, each for workers in its own availability zone;
+// the owner exchanges short messages with a relay over one connection. All
+// scheduling decisions remain with the owner. Relays hold no durable state:
+// losing an order at a relay is like losing the worker's answer.
 package relay
--- a/relay/host.go
+++ b/relay/host.go
@@ -1,10 +1,10 @@
 package relay
 
-// Host is an entry host that may carry orders.
+// Host is an entry host that can relay orders.
 type Host struct {
-	// Address is where peers reach it.
+	// Address is where peers connect to the host.
 	Address string
 	Zone    string
-	// Cores are its processors.
+	// Cores is the number of its processors.
 	Cores float64
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -9,7 +9,7 @@
 	"github.com/fireflygate/fireflygate/relay"
 )
 
-// hosts returns n hosts in each of the zones, every third of them strong.
+// hosts returns n hosts in each zone; every third one has more processors.
 func hosts(n int, zones ...string) []relay.Host {
 	var all []relay.Host
 	for _, z := range zones {
@@ -24,15 +24,15 @@
 	return all
 }
 
-// usable allows every host.
+// usable accepts every host.
 func usable(string) bool { return true }
 
-// TestTableSpreadsWorkers gives each relay of a zone its share of the workers
-// there, the strong hosts first, and none those of another zone.
+// TestTableSpreadsWorkers checks that the hosts with most processors become
+// relays, share the workers of their zone evenly and get none of other zones.
 func TestTableSpreadsWorkers(t *testing.T) {
 	table := relay.NewTable(hosts(9, "a", "b"), 3)
 	if got, want := table.Addresses(), []string{"a-0", "a-3", "a-6", "b-0", "b-3", "b-6"}; !slices.Equal(got, want) {
-		t.Fatalf("relays %v, want the strong hosts %v", got, want)
+		t.Fatalf("relays are %v, want the hosts with most processors: %v", got, want)
 	}
 	share := map[string]int{}
 	for i := range 900 {
@@ -40,67 +40,69 @@
 	}
 	for _, address := range []string{"a-0", "a-3", "a-6"} {
 		if n := share[address]; n < 200 || n > 400 {
-			t.Errorf("%s carries %d of 900 workers, want about a third", address, n)
+			t.Errorf("%s relays orders for %d of 900 workers, want about a third", address, n)
 		}
 	}
 	if got := table.RelayFor("w", "c", usable); got != "" {
-		t.Errorf("a worker of a zone without hosts goes through %s", got)
+		t.Errorf("relay of a worker in a zone without hosts is %s, want none", got)
 	}
 }
 
-// TestTableMovesFew moves only the workers of a relay that is lost or avoided.
-func TestTableMovesFew(t *testing.T) {
+// TestTableMovesOnlyAffectedWorkers checks that removing or avoiding a relay
+// moves only its own workers.
+func TestTableMovesOnlyAffectedWorkers(t *testing.T) {
 	all := hosts(9, "a")
 	before, after := relay.NewTable(all, 9), relay.NewTable(all[:8], 9)
 	for i := range 500 {
 		w := fmt.Sprint("w", i)
-		was := before.RelayFor(w, "a", usable)
-		if is := after.RelayFor(w, "a", usable); is != was && was != "a-8" {
-			t.Errorf("%s moved from %s to %s", w, was, is)
+		old := before.RelayFor(w, "a", usable)
+		if got := after.RelayFor(w, "a", usable); got != old && old != "a-8" {
+			t.Errorf("%s moved from %s to %s", w, old, got)
 		}
-		if is := before.RelayFor(w, "a", func(a string) bool { return a != "a-8" }); is != after.RelayFor(w, "a", usable) {
-			t.Errorf("%s goes through %s if a-8 is avoided, %s if it is gone", w, is, after.RelayFor(w, "a", usable))
+		if got := before.RelayFor(w, "a", func(a string) bool { return a != "a-8" }); got != after.RelayFor(w, "a", usable) {
+			t.Errorf("relay of %s is %s if a-8 is avoided, %s if it is removed", w, got, after.RelayFor(w, "a", usable))
 		}
 	}
 }
 
-// TestDemandFollowsLoad keeps a small domain without relays, asks for more while
-// the owner is pressed, and gives them up once its load is gone, not before.
-func TestDemandFollowsLoad(t *testing.T) {
+// TestScalerFollowsLoad checks that a small domain gets no relays, an
+// overloaded owner gets more, and relays are removed only after the load has
+// dropped.
+func TestScalerFollowsLoad(t *testing.T) {
 	const ms = time.Millisecond
 	var small relay.Scaler
 	for i := range 100 {
 		if n := small.Observe(relay.Load{Workers: 48, Orders: 300, RoundTrip: 5 * ms, HeldBack: i%10 == 0}); n != 0 {
-			t.Fatalf("%d relays for a small domain with a burst now and then", n)
+			t.Fatalf("%d relays per zone for a small domain with short bursts, want 0", n)
 		}
 	}
-	var next relay.Scaler
-	next.Restore(4)
-	if n := next.Observe(relay.Load{Workers: 48, Orders: 300}); n != 4 {
-		t.Errorf("%d relays a zone after a change of owner, want the 4 there were", n)
+	var successor relay.Scaler
+	successor.Restore(4)
+	if n := successor.Observe(relay.Load{Workers: 48, Orders: 300}); n != 4 {
+		t.Errorf("%d relays per zone after a change of owner, want the previous owner's 4", n)
 	}
 	var large relay.Scaler
 	if n := large.Observe(relay.Load{Workers: 890, RoundTrip: 5 * ms}); n != 1 {
-		t.Errorf("%d relays a zone for 890 workers at once, want 1", n)
+		t.Errorf("%d relays per zone for 890 workers, want 1 immediately", n)
 	}
-	var d relay.Scaler
+	var loaded relay.Scaler
 	n := 0
 	for range 8 {
-		n = d.Observe(relay.Load{Workers: 144, Orders: 400, RoundTrip: 100 * ms})
+		n = loaded.Observe(relay.Load{Workers: 144, Orders: 400, RoundTrip: 100 * ms})
 	}
 	if n != 8 {
-		t.Errorf("%d relays a zone after 8 s of pressure, want 8", n)
+		t.Errorf("%d relays per zone after 8 s of overload, want 8", n)
 	}
 	for range 60 {
-		n = d.Observe(relay.Load{Workers: 144, Orders: 400, RoundTrip: 10 * ms})
+		n = loaded.Observe(relay.Load{Workers: 144, Orders: 400, RoundTrip: 10 * ms})
 	}
 	if n != 8 {
-		t.Errorf("%d relays a zone under the same load, want 8 still", n)
+		t.Errorf("%d relays per zone under the same number of orders, want still 8", n)
 	}
 	for range 200 {
-		n = d.Observe(relay.Load{Workers: 144, Orders: 5, RoundTrip: 10 * ms})
+		n = loaded.Observe(relay.Load{Workers: 144, Orders: 5, RoundTrip: 10 * ms})
 	}
 	if n != 0 {
-		t.Errorf("%d relays a zone after the load has gone", n)
+		t.Errorf("%d relays per zone after the load dropped, want 0", n)
 	}
 }
--- a/relay/table.go
+++ b/relay/table.go
@@ -7,13 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table says which host carries the orders to a worker.
+// Table maps workers to the relays of their availability zones.
 type Table struct {
-	// zones holds the relays of each availability zone.
+	// zones holds the relays by availability zone.
 	zones map[string][]Host
 }
 
-// NewTable selects the strongest hosts of each zone, at most perZone of them.
+// NewTable selects up to perZone hosts per zone, those with most processors
+// first.
 func NewTable(hosts []Host, perZone int) *Table {
 	t := &Table{zones: map[string][]Host{}}
 	for _, h := range hosts {
@@ -28,7 +29,7 @@
 	return t
 }
 
-// Hosts returns the addresses of all relays, in order.
+// Addresses returns the sorted addresses of all relays.
 func (t *Table) Addresses() []string {
 	var all []string
 	for _, hosts := range t.zones {
@@ -40,17 +41,17 @@
 	return all
 }
 
-// For returns the relay of a worker: one of those in its zone, by rendezvous
-// hash, so that a relay that comes or goes moves only the workers that it gains
-// or had. Empty if its zone has none that may be used.
+// RelayFor returns the address of a worker's relay, empty if its zone has no
+// usable one. Rendezvous hashing keeps the other workers in place when a relay
+// is added or removed.
 func (t *Table) RelayFor(worker, zone string, usable func(address string) bool) string {
-	best, most := "", uint64(0)
+	best, highest := "", uint64(0)
 	for _, h := range t.zones[zone] {
 		if !usable(h.Address) {
 			continue
 		}
-		if n := xxhash.Sum64String(worker + "@" + h.Address); best == "" || n > most {
-			best, most = h.Address, n
+		if hash := xxhash.Sum64String(worker + "@" + h.Address); best == "" || hash > highest {
+			best, highest = h.Address, hash
 		}
 	}
 	return best
