--- a/election/take.go
+++ b/election/acquire.go
@@ -8,7 +8,8 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Read returns the owner's row and its version, 0 if there is none.
+// Read returns the owner's row and its version, or version 0 if there is no
+// row.
 func Read(ctx context.Context, table infra.Table) (Record, uint64, error) {
 	rows, err := table.Get(ctx, OwnerKey)
 	if err != nil {
@@ -21,10 +22,10 @@
 	return r, rows[0].Version, err
 }
 
-// Take makes self the next owner, if the row still has the version seen. It
-// returns ErrDeposed if somebody else was faster.
-func Acquire(ctx context.Context, table infra.Table, self, seen Record, version uint64) (*Committer, error) {
-	self.Epoch, self.Seq, self.Resigned = seen.Epoch+1, 0, false
+// Acquire makes self the next owner if the row still has the given version. It
+// returns ErrDeposed if another host was faster.
+func Acquire(ctx context.Context, table infra.Table, self, previous Record, version uint64) (*Committer, error) {
+	self.Epoch, self.Seq, self.Resigned = previous.Epoch+1, 0, false
 	c := NewCommitter(table, self, version)
 	if err := c.Commit(ctx, nil); err != nil {
 		return nil, err
--- a/election/committer.go
+++ b/election/committer.go
@@ -10,39 +10,38 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// ErrDeposed means that another host owns the domain.
+// ErrDeposed is returned when another host owns the domain.
 var ErrDeposed = errors.New("election: another host owns the domain")
 
 const (
-	// firstTimeout bounds the first try of a commit; a sound table service
-	// answers in some 10 ms.
-	firstTimeout = 700 * time.Millisecond
-	// lastTimeout bounds later tries, each of which may take twice as long as
-	// the one before, for a service that answers 50 times slower.
-	lastTimeout = 3 * time.Second
-	// retryPause is the wait after a refusal.
-	retryPause = 100 * time.Millisecond
+	// initialCommitTimeout bounds the first attempt of a commit.
+	initialCommitTimeout = 700 * time.Millisecond
+	// maxCommitTimeout bounds later attempts; each may take twice as long as the
+	// previous one, so that commits succeed on a slow table service.
+	maxCommitTimeout = 3 * time.Second
+	// retryDelay is the delay after a refused or immediately failed attempt.
+	retryDelay = 100 * time.Millisecond
 )
 
-// Committer writes on behalf of an owner, one commit after another. It is safe
-// for concurrent use.
+// Committer commits an owner's writes one after another. It is safe for
+// concurrent use.
 type Committer struct {
 	mu      sync.Mutex
 	table   infra.Table
 	record  Record
 	version uint64
-	// Pause waits before a try after a refusal; tests replace it.
+	// Sleep waits after a refused or immediately failed attempt; tests replace it.
 	Sleep func(ctx context.Context, d time.Duration)
 }
 
-// NewCommitter returns the committer of an ownership whose row has the given
-// version.
+// NewCommitter returns a Committer for the ownership record, whose row has the
+// given version.
 func NewCommitter(table infra.Table, record Record, version uint64) *Committer {
-	return &Committer{table: table, record: record, version: version, Sleep: pause}
+	return &Committer{table: table, record: record, version: version, Sleep: sleep}
 }
 
-// pause waits for d or the end of the context.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -51,36 +50,37 @@
 	}
 }
 
-// Record returns the owner's row as last written.
+// Record returns the owner's row, including changes not committed yet.
 func (c *Committer) Record() Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.record
 }
 
-// Version returns the version of the owner's row as last written.
+// Version returns the version of the owner's row after the last known commit.
 func (c *Committer) Version() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.version
 }
 
-// Measure has the next commits say that the strongest host has so many
-// processors.
+// SetCores sets the number of processors of the strongest host that later
+// commits record.
 func (c *Committer) SetCores(cores float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.record.Cores = cores
 }
 
-// HandOver has the next commits say that the owner stops for a stronger host.
+// MarkHandedOver makes later commits record that the owner is handing the
+// domain over to a stronger host.
 func (c *Committer) MarkHandedOver() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.record.HandedOver = true
 }
 
-// Resign writes that the owner has stopped.
+// Resign commits that the owner has stopped.
 func (c *Committer) Resign(ctx context.Context) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,8 +88,8 @@
 	return c.commit(ctx, nil)
 }
 
-// Refresh commits the owner's row alone, unless a commit is under way or the
-// owner has resigned. It reports whether it tried.
+// Refresh commits the owner's row alone, unless another commit is in flight or
+// the owner has resigned. It reports whether it tried.
 func (c *Committer) Refresh(ctx context.Context) (bool, error) {
 	if !c.mu.TryLock() {
 		return false, nil
@@ -101,17 +101,17 @@
 	return true, c.commit(ctx, nil)
 }
 
-// Commit applies the writes together with the owner's row, and tries until
-// the outcome is known: nil when applied, ErrDeposed when another host owns
-// the domain, so that they never will be, or the context's error when the
-// outcome is open.
+// Commit applies writes together with the owner's row and retries until the
+// outcome is known. It returns nil if they were applied, ErrDeposed if another
+// host owns the domain and they never will be, and the context's error if the
+// outcome is unknown.
 func (c *Committer) Commit(ctx context.Context, writes []infra.Write) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.commit(ctx, writes)
 }
 
-// commit is Commit for a caller that holds the lock.
+// commit implements Commit; c.mu must be held.
 func (c *Committer) commit(ctx context.Context, writes []infra.Write) error {
 	c.record.Seq++
 	value, err := c.record.Encode()
@@ -119,28 +119,28 @@
 		return err
 	}
 	all := append([]infra.Write{{Key: OwnerKey, Value: value}}, writes...)
-	timeout := firstTimeout
+	timeout := initialCommitTimeout
 	for {
 		tx := infra.Transaction{Conditions: []infra.Condition{{Key: OwnerKey, Version: c.version}}, Writes: all}
-		try, cancel := context.WithTimeout(ctx, timeout)
-		res := c.table.Commit(try, tx)
-		failedAtOnce := try.Err() == nil
+		attempt, cancel := context.WithTimeout(ctx, timeout)
+		res := c.table.Commit(attempt, tx)
+		failedFast := attempt.Err() == nil
 		cancel()
 		switch res.Status {
 		case infra.CommitApplied:
 			c.version = res.Version
 			return nil
 		case infra.CommitConflict:
-			applied, err := c.conflict(res.Conflicts)
+			applied, err := c.resolveConflict(res.Conflicts)
 			if applied || err != nil {
 				return err
 			}
 		case infra.CommitNotApplied:
-			c.Sleep(ctx, retryPause)
+			c.Sleep(ctx, retryDelay)
 		case infra.CommitUnknown:
-			timeout = min(2*timeout, lastTimeout)
-			if failedAtOnce { // without a pause a store was called up to 1,490 times within a second
-				c.Sleep(ctx, retryPause)
+			timeout = min(2*timeout, maxCommitTimeout)
+			if failedFast { // e.g. connection refused
+				c.Sleep(ctx, retryDelay)
 			}
 		}
 		if err := ctx.Err(); err != nil {
@@ -149,10 +149,10 @@
 	}
 }
 
-// conflict takes in the owner's row as it is now: this very commit, applied
-// by an earlier try; the commit before, whose version wasn't known; or that
-// of another owner.
-func (c *Committer) conflict(rows []infra.Row) (applied bool, err error) {
+// resolveConflict inspects the owner's row after a conflict. The row may hold
+// this commit, applied by an earlier attempt; this owner's previous commit,
+// whose version was unknown; or the commit of another owner.
+func (c *Committer) resolveConflict(rows []infra.Row) (applied bool, err error) {
 	for _, row := range rows {
 		if row.Key != OwnerKey || row.Version == 0 {
 			continue
@@ -167,5 +167,5 @@
 		c.version = row.Version
 		return found.Seq == c.record.Seq, nil
 	}
-	return false, errors.Wrap(ErrDeposed, "owner row is gone")
+	return false, errors.Wrap(ErrDeposed, "owner row not found")
 }
--- a/election/committer_test.go
+++ b/election/committer_test.go
@@ -12,14 +12,14 @@
 	"github.com/fireflygate/fireflygate/internal/memtable"
 )
 
-// scripted is a table whose commits are first decided by a script.
-type scripted struct {
+// scriptedTable is a table whose first commits get their results from a script.
+type scriptedTable struct {
 	infra.Table
 	script []func(infra.Transaction) (infra.CommitResult, bool)
 }
 
 // Commit implements infra.Table.
-func (s *scripted) Commit(ctx context.Context, tx infra.Transaction) infra.CommitResult {
+func (s *scriptedTable) Commit(ctx context.Context, tx infra.Transaction) infra.CommitResult {
 	if len(s.script) > 0 {
 		f := s.script[0]
 		s.script = s.script[1:]
@@ -30,28 +30,28 @@
 	return s.Table.Commit(ctx, tx)
 }
 
-// The ways in which a commit may go.
-func (s *scripted) lost(infra.Transaction) (infra.CommitResult, bool) {
+// Scripted results of a commit.
+func (s *scriptedTable) dropRequest(infra.Transaction) (infra.CommitResult, bool) {
 	return infra.CommitResult{Status: infra.CommitUnknown}, true
 }
 
-func (s *scripted) lostAnswer(tx infra.Transaction) (infra.CommitResult, bool) {
+func (s *scriptedTable) dropAnswer(tx infra.Transaction) (infra.CommitResult, bool) {
 	s.Table.Commit(context.Background(), tx)
 	return infra.CommitResult{Status: infra.CommitUnknown}, true
 }
 
-func (s *scripted) refused(infra.Transaction) (infra.CommitResult, bool) {
+func (s *scriptedTable) refuse(infra.Transaction) (infra.CommitResult, bool) {
 	return infra.CommitResult{Status: infra.CommitNotApplied}, true
 }
 
-// newOwner takes an empty domain.
+// newOwner makes host the next owner of the domain.
 func newOwner(t *testing.T, table infra.Table, host string) *election.Committer {
 	t.Helper()
-	seen, version, err := election.Read(context.Background(), table)
+	previous, version, err := election.Read(context.Background(), table)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := election.Acquire(context.Background(), table, election.Record{Host: host, Incarnation: host}, seen, version)
+	c, err := election.Acquire(context.Background(), table, election.Record{Host: host, Incarnation: host}, previous, version)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	return c
 }
 
-// value reads a row.
+// value returns the value of a row.
 func value(t *testing.T, table infra.Table, key string) string {
 	t.Helper()
 	rows, err := table.Get(context.Background(), key)
@@ -69,21 +69,21 @@
 	return string(rows[0].Value)
 }
 
-// write is one write of a test.
+// write returns a single write.
 func write(key, v string) []infra.Write { return []infra.Write{{Key: key, Value: []byte(v)}} }
 
-// TestCommitSettlesLostAnswers applies each commit exactly once, whether the
-// first try was applied without an answer, lost or refused.
-func TestCommitSettlesLostAnswers(t *testing.T) {
-	for name, way := range map[string]func(*scripted) func(infra.Transaction) (infra.CommitResult, bool){
-		"applied, answer lost": func(s *scripted) func(infra.Transaction) (infra.CommitResult, bool) { return s.lostAnswer },
-		"lost":                 func(s *scripted) func(infra.Transaction) (infra.CommitResult, bool) { return s.lost },
-		"refused":              func(s *scripted) func(infra.Transaction) (infra.CommitResult, bool) { return s.refused },
+// TestCommitAppliesOnce checks that retries apply a commit exactly once if
+// earlier attempts were applied without an answer, lost or rejected.
+func TestCommitAppliesOnce(t *testing.T) {
+	for name, outcome := range map[string]func(*scriptedTable) func(infra.Transaction) (infra.CommitResult, bool){
+		"applied, answer lost": func(s *scriptedTable) func(infra.Transaction) (infra.CommitResult, bool) { return s.dropAnswer },
+		"request lost":         func(s *scriptedTable) func(infra.Transaction) (infra.CommitResult, bool) { return s.dropRequest },
+		"refused":              func(s *scriptedTable) func(infra.Transaction) (infra.CommitResult, bool) { return s.refuse },
 	} {
 		t.Run(name, func(t *testing.T) {
-			table := &scripted{Table: memtable.New()}
+			table := &scriptedTable{Table: memtable.New()}
 			c := newOwner(t, table, "a")
-			table.script = append(table.script, way(table), way(table))
+			table.script = append(table.script, outcome(table), outcome(table))
 			for i, v := range []string{"one", "two"} {
 				if err := c.Commit(context.Background(), write("k", v)); err != nil {
 					t.Fatalf("commit %d: %v", i, err)
@@ -96,14 +96,14 @@
 	}
 }
 
-// TestLateCommitChangesNothing applies a lost transaction long after newer
-// ones of the same owner.
-func TestLateCommitChangesNothing(t *testing.T) {
-	table := &scripted{Table: memtable.New()}
+// TestDelayedCommitIsRejected checks that a delayed transaction can't overwrite
+// a newer one of the same owner.
+func TestDelayedCommitIsRejected(t *testing.T) {
+	table := &scriptedTable{Table: memtable.New()}
 	c := newOwner(t, table, "a")
-	var late infra.Transaction
+	var delayed infra.Transaction
 	table.script = append(table.script, func(tx infra.Transaction) (infra.CommitResult, bool) {
-		late = tx
+		delayed = tx
 		return infra.CommitResult{Status: infra.CommitUnknown}, true
 	})
 	if err := c.Commit(context.Background(), write("k", "old")); err != nil {
@@ -112,21 +112,22 @@
 	if err := c.Commit(context.Background(), write("k", "new")); err != nil {
 		t.Fatal(err)
 	}
-	if res := table.Table.Commit(context.Background(), late); res.Status != infra.CommitConflict {
-		t.Errorf("late transaction: %v, want a conflict", res.Status)
+	if res := table.Table.Commit(context.Background(), delayed); res.Status != infra.CommitConflict {
+		t.Errorf("delayed transaction: %v, want a conflict", res.Status)
 	}
 	if got := value(t, table, "k"); got != "new" {
 		t.Errorf("row holds %q, want the newer value", got)
 	}
 }
 
-// TestDeposedOwnerWritesNothing fences an owner once another has taken over.
-func TestDeposedOwnerWritesNothing(t *testing.T) {
+// TestDeposedOwnerCannotCommit checks that an owner is fenced once another host
+// has taken over.
+func TestDeposedOwnerCannotCommit(t *testing.T) {
 	table := memtable.New()
 	a := newOwner(t, table, "a")
 	b := newOwner(t, table, "b")
 	if a.Record().Epoch >= b.Record().Epoch {
-		t.Fatalf("epochs %d and %d don't rise", a.Record().Epoch, b.Record().Epoch)
+		t.Fatalf("epochs %d and %d don't increase", a.Record().Epoch, b.Record().Epoch)
 	}
 	if err := a.Commit(context.Background(), write("k", "a")); !errors.Is(err, election.ErrDeposed) {
 		t.Fatalf("got %v, want ErrDeposed", err)
@@ -139,31 +140,32 @@
 	}
 }
 
-// TestOnlyOneTakes lets two hosts that saw the same row race for it.
-func TestOnlyOneTakes(t *testing.T) {
+// TestConcurrentAcquire checks that only one of two hosts that read the same
+// row acquires the domain.
+func TestConcurrentAcquire(t *testing.T) {
 	table := memtable.New()
 	ctx := context.Background()
-	seen, version, err := election.Read(ctx, table)
+	previous, version, err := election.Read(ctx, table)
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := 0
+	acquired := 0
 	for _, host := range []string{"a", "b"} {
-		_, err := election.Acquire(ctx, table, election.Record{Host: host, Incarnation: host}, seen, version)
+		_, err := election.Acquire(ctx, table, election.Record{Host: host, Incarnation: host}, previous, version)
 		switch {
 		case err == nil:
-			taken++
+			acquired++
 		case !errors.Is(err, election.ErrDeposed):
 			t.Errorf("%s: %v, want ErrDeposed", host, err)
 		}
 	}
-	if taken != 1 {
-		t.Errorf("%d hosts own the domain, want 1", taken)
+	if acquired != 1 {
+		t.Errorf("%d hosts acquired the domain, want 1", acquired)
 	}
 }
 
-// TestResignedRow lets a successor know that it need not wait.
-func TestResignedRow(t *testing.T) {
+// TestResignMarksRow checks that a resignation is recorded in the owner's row.
+func TestResignMarksRow(t *testing.T) {
 	table := memtable.New()
 	a := newOwner(t, table, "a")
 	if err := a.Resign(context.Background()); err != nil {
@@ -171,22 +173,22 @@
 	}
 	r, _, err := election.Read(context.Background(), table)
 	if err != nil || !r.Resigned {
-		t.Errorf("row is %+v, %v; want it resigned", r, err)
+		t.Errorf("owner row is %+v, error %v; want it marked as resigned", r, err)
 	}
 }
 
-// TestCommitPausesAfterFailingAtOnce pauses before a try is repeated that
-// failed at once, as with a store that refuses connections.
-func TestCommitPausesAfterFailingAtOnce(t *testing.T) {
-	table := &scripted{Table: memtable.New()}
+// TestCommitDelaysRetryAfterFastFailure guards against a busy loop on a table
+// service that fails immediately, for example by refusing connections.
+func TestCommitDelaysRetryAfterFastFailure(t *testing.T) {
+	table := &scriptedTable{Table: memtable.New()}
 	c := newOwner(t, table, "a")
-	pauses := 0
-	c.Sleep = func(context.Context, time.Duration) { pauses++ }
-	table.script = append(table.script, table.lost, table.lost)
+	sleeps := 0
+	c.Sleep = func(context.Context, time.Duration) { sleeps++ }
+	table.script = append(table.script, table.dropRequest, table.dropRequest)
 	if err := c.Commit(context.Background(), write("k", "v")); err != nil {
 		t.Fatal(err)
 	}
-	if pauses != 2 {
-		t.Errorf("paused %d times, want once after each of 2 failures", pauses)
+	if sleeps != 2 {
+		t.Errorf("%d delays, want one after each of 2 failures", sleeps)
 	}
 }
--- a/election/doc.go
+++ b/election/doc.go
@@ -1,6 +1,6 @@
-// Package election decides which entry host owns a scheduling domain. The
-// owner is named by one row of the table service, which every commit of the
-// owner replaces under the condition that nobody else has: so the row is
-// lease, heartbeat and fence in one, and a transaction that is applied late
-// or twice changes nothing.
+// Package election decides which entry host owns a scheduling domain. One row
+// of the table service names the owner. Every commit of the owner replaces that
+// row, on condition that its version is unchanged. The row therefore serves as
+// lease, heartbeat and fence, and a transaction that is applied late or
+// repeatedly has no effect.
 package election
--- a/election/handover.go
+++ b/election/handover.go
@@ -3,51 +3,46 @@
 import "time"
 
 const (
-	// clearlyStronger is how many times the processors of an owner's host
-	// another must have for the domain to move. An owner of 490 workers uses
-	// 0.45 of a processor, so one of 0.19 falls behind; hosts that differ by less
-	// than half aren't worth the half second that a hand-over took.
-	clearlyStronger = 2
-	// stayFor is how long an owner stays before it hands the domain over: about
-	// as long as a weak one needs to read the state and learn of the workers, so
-	// that a moment without strong hosts doesn't cost two take-overs at once.
-	stayFor = 2 * time.Second
-	// readyFor is how long the stronger host must have been there: three of its
-	// questions, so that one that starts and fails again doesn't get the domain.
-	// With one second instead of two, a weak owner of 490 workers gave the domain
-	// up half a second to a second sooner after an outage.
-	readyFor = time.Second
-	// retryAfter is how long an owner stays whose predecessor handed the domain
-	// over for a stronger host, which didn't take it: it may be cut off from the
-	// table service, and outages there last up to some ten seconds.
-	retryAfter = 30 * time.Second
+	// minCoreRatio is the least ratio of another host's processors to the owner's
+	// for a handover; smaller gains don't justify the interruption.
+	minCoreRatio = 2
+	// minOwnership is the least time an owner keeps the domain, so that a short
+	// absence of strong hosts doesn't cause two takeovers in a row. It is about
+	// the time that a weak owner needs to load the state and poll the workers.
+	minOwnership = 2 * time.Second
+	// minCandidateAge is the least time for which the stronger host must have been
+	// available, so that a host that keeps failing doesn't get the domain.
+	minCandidateAge = time.Second
+	// handoverRetryDelay replaces minOwnership after a handover that no stronger
+	// host accepted. It exceeds common outages of the table service.
+	handoverRetryDelay = 30 * time.Second
 )
 
-// Standing is how an owner's host compares with the other hosts.
+// HandoverState is the input to the decision whether to hand the domain over.
 type HandoverState struct {
-	// Cores are the processors of the owner's host, 0 if it doesn't know.
+	// Cores is the number of processors of the owner's host, 0 if unknown.
 	Cores float64
-	// Best are those of the strongest other host that can take the domain, 0 if
-	// there is none, and BestSeenFor how long it has been there.
+	// BestCores is the number of processors of the strongest other host that can
+	// own the domain, 0 if there is none; BestSeenFor is how long it has been
+	// available.
 	BestCores   float64
 	BestSeenFor time.Duration
-	// Owned is for how long the host has owned the domain.
+	// OwnedFor is how long the host has owned the domain.
 	OwnedFor time.Duration
-	// CommitAge is the age of its last commit.
+	// CommitAge is the age of the owner's last commit.
 	CommitAge time.Duration
-	// Missed is set if the owner before handed the domain over for a stronger
-	// host than this.
+	// PredecessorHandedOver is set if the previous owner handed the domain over
+	// for a host with more processors than this one.
 	PredecessorHandedOver bool
 }
 
-// ShouldHandOver reports whether the owner should hand the domain over. A weak host
-// that took it while the strong ones were away kept it otherwise until it
-// died. Nothing moves while the table service is away.
+// ShouldHandOver reports whether the owner should hand the domain over to a
+// stronger host. It doesn't while the table service is unavailable.
 func (s *HandoverState) ShouldHandOver() bool {
-	stay := stayFor
+	minOwned := minOwnership
 	if s.PredecessorHandedOver {
-		stay = retryAfter
+		minOwned = handoverRetryDelay
 	}
-	return s.Cores > 0 && s.BestCores >= clearlyStronger*s.Cores && s.BestSeenFor >= readyFor &&
-		s.OwnedFor >= stay && s.CommitAge <= StaleAfter
+	return s.Cores > 0 && s.BestCores >= minCoreRatio*s.Cores && s.BestSeenFor >= minCandidateAge &&
+		s.OwnedFor >= minOwned && s.CommitAge <= StaleAfter
 }
--- a/election/handover_test.go
+++ b/election/handover_test.go
@@ -7,26 +7,26 @@
 	"github.com/fireflygate/fireflygate/election"
 )
 
-// TestHandsOver moves the domain from a weak host to a clearly stronger one
-// that is there for good, and at no other time.
-func TestHandsOver(t *testing.T) {
+// TestShouldHandOver checks that a weak host hands the domain over only to a
+// much stronger one that is stable.
+func TestShouldHandOver(t *testing.T) {
 	weak := election.HandoverState{Cores: 0.2, BestCores: 0.8, BestSeenFor: 5 * time.Second, OwnedFor: 5 * time.Second}
 	for _, c := range []struct {
 		name   string
 		change func(*election.HandoverState)
 		want   bool
 	}{
-		{"a strong host is there", func(*election.HandoverState) {}, true},
+		{"a strong host is available", func(*election.HandoverState) {}, true},
 		{"no other host can take it", func(s *election.HandoverState) { s.BestCores = 0 }, false},
-		{"hosts are alike", func(s *election.HandoverState) { s.BestCores = s.Cores }, false},
-		{"the other is a little stronger", func(s *election.HandoverState) { s.BestCores = 0.3 }, false},
+		{"hosts have equal processors", func(s *election.HandoverState) { s.BestCores = s.Cores }, false},
+		{"the other host is slightly stronger", func(s *election.HandoverState) { s.BestCores = 0.3 }, false},
 		{"the owner is the strongest", func(s *election.HandoverState) { s.Cores = 1 }, false},
 		{"the owner's processors are unknown", func(s *election.HandoverState) { s.Cores = 0 }, false},
-		{"the strong host has just come", func(s *election.HandoverState) { s.BestSeenFor = 500 * time.Millisecond }, false},
+		{"the strong host has just joined", func(s *election.HandoverState) { s.BestSeenFor = 500 * time.Millisecond }, false},
 		{"the owner has just taken over", func(s *election.HandoverState) { s.OwnedFor = time.Second }, false},
-		{"the store is away", func(s *election.HandoverState) { s.CommitAge = time.Second }, false},
-		{"nobody strong took it lately", func(s *election.HandoverState) { s.PredecessorHandedOver = true }, false},
-		{"nobody strong took it long ago", func(s *election.HandoverState) { s.PredecessorHandedOver, s.OwnedFor = true, time.Minute }, true},
+		{"the table service is unavailable", func(s *election.HandoverState) { s.CommitAge = time.Second }, false},
+		{"recent handover not accepted", func(s *election.HandoverState) { s.PredecessorHandedOver = true }, false},
+		{"earlier handover not accepted", func(s *election.HandoverState) { s.PredecessorHandedOver, s.OwnedFor = true, time.Minute }, true},
 	} {
 		s := weak
 		c.change(&s)
--- a/election/record.go
+++ b/election/record.go
@@ -13,34 +13,33 @@
 	// Host is the owner's name, Address its address for peers.
 	Host    string `msgpack:"h"`
 	Address string `msgpack:"a"`
-	// Incarnation names the life of the owner's process.
+	// Incarnation identifies the owner's process.
 	Incarnation string `msgpack:"i"`
-	// Epoch rises with each owner.
+	// Epoch increases with each change of owner.
 	Epoch uint64 `msgpack:"e"`
 	// Seq counts the owner's commits.
 	Seq uint64 `msgpack:"s"`
-	// Cores are the processors of the strongest host that can own the domain,
-	// as far as the owner knows; hosts with fewer leave it to others for a
-	// while.
+	// Cores is the number of processors of the strongest host known to the owner;
+	// hosts with fewer wait longer before a takeover (see TakeoverDelay).
 	Cores float64 `msgpack:"c,omitempty"`
-	// HandedOver is set by an owner that stops for a stronger host.
+	// HandedOver is set by an owner that hands the domain over to a stronger host.
 	HandedOver bool `msgpack:"o,omitempty"`
 	// Resigned is set by an owner that has stopped.
 	Resigned bool `msgpack:"r,omitempty"`
 }
 
-// Same reports whether both name the same ownership.
+// SameOwnership reports whether both rows describe the same ownership.
 func (r *Record) SameOwnership(o *Record) bool {
 	return r.Epoch == o.Epoch && r.Incarnation == o.Incarnation
 }
 
-// Encode returns the row's value.
+// Encode returns the row's stored value.
 func (r *Record) Encode() ([]byte, error) {
 	value, err := msgpack.Marshal(r)
 	return value, errors.Wrap(err, "encode owner row")
 }
 
-// Decode reads a row's value.
+// Decode decodes the stored value of the owner's row.
 func Decode(value []byte) (Record, error) {
 	var r Record
 	err := msgpack.Unmarshal(value, &r)
