--- a/runner/answer.go
+++ b/runner/answer.go
@@ -2,31 +2,33 @@
 
 import "log/slog"
 
-// Status says what became of an order.
+// Status is the result of an order.
 type Status uint8
 
-// The results of an order. The zero value claims nothing.
+// The results of an order.
 const (
-	// Unknown: no answer; the order may have been carried out, or may still
-	// be seconds later.
+	// Unknown: no answer. The order may have been carried out, or may still be
+	// carried out seconds later.
 	Unknown Status = iota
-	// Done: carried out, now or before.
+	// Done: carried out by this order or by an earlier copy of it.
 	Done
-	// Fenced: the worker has seen a higher token.
+	// Fenced: the worker has seen a higher fencing token.
 	Fenced
-	// Superseded: the run isn't higher than one stopped or ended there.
+	// Superseded: a run of the task with the same or a higher number was
+	// stopped or has ended on the worker.
 	Superseded
-	// LeaseExpired: the lease that the order carried is over.
+	// LeaseExpired: the order's lease had expired when it arrived.
 	LeaseExpired
-	// NoCapacity: the worker's guard refused it.
+	// NoCapacity: the worker lacks the capacity.
 	NoCapacity
-	// NoPermit: the policy service's ticket is missing or over.
+	// NoPermit: the policy service's ticket is missing or has expired.
 	NoPermit
-	// Invalid: the worker can't read the order.
+	// Invalid: the worker can't parse the order.
 	Invalid
-	// Unhealthy: the worker refused it for now and did nothing.
+	// Unhealthy: the worker refuses orders for now; nothing was done.
 	Unhealthy
-	// Reborn: another life of the worker answered; the one meant is over.
+	// Restarted: a later incarnation of the worker answered. All runs of the
+	// incarnation addressed have ended.
 	Restarted
 )
 
@@ -34,7 +36,7 @@
 	"unknown", "done", "fenced", "superseded", "too late", "no room", "no permit", "invalid", "unhealthy", "reborn",
 }
 
-// String returns the status as logs show it.
+// String returns the status's name in logs.
 func (s Status) String() string {
 	if int(s) < len(statusNames) {
 		return statusNames[s]
@@ -45,9 +47,10 @@
 // Answer is a worker's answer to an order.
 type Answer struct {
 	Status Status
-	// ClockMS is the worker's steady clock, 0 if the answer told none.
+	// ClockMS is the worker's monotonic clock in milliseconds; 0 if the answer
+	// has none.
 	ClockMS int64
-	// Err tells why the status is Unknown or Invalid.
+	// Err is the cause if the status is Unknown or Invalid.
 	Err error
 }
 
--- a/runner/client.go
+++ b/runner/client.go
@@ -2,10 +2,10 @@
 
 import "context"
 
-// Client carries orders to workers. Implementations are safe for concurrent
+// Client sends orders to workers. Implementations are safe for concurrent
 // use and honour the context's deadline.
 type Client interface {
-	// Start, Stop and Pace give an order.
+	// Start, Stop and SetCPULimit send an order and return its result.
 	Start(ctx context.Context, w Worker, o Start) Answer
 	Stop(ctx context.Context, w Worker, o Stop) Answer
 	SetCPULimit(ctx context.Context, w Worker, o CPULimit) Answer
--- a/runner/order.go
+++ b/runner/order.go
@@ -7,30 +7,32 @@
 // Start orders a worker to start a run of a task.
 type Start struct {
 	Task workload.TaskID
-	// Run numbers the task's starts; it rises.
+	// Run is the number of this start of the task; it increases with each.
 	Run uint64
-	// Payload is the job's.
+	// Payload is the job's payload.
 	Payload string
-	// LeaseUntil is when all that runs there ends unless renewed, in
-	// milliseconds of the worker's clock.
+	// LeaseUntil is when the worker's lease expires and all its runs end
+	// unless it is renewed, in milliseconds of the worker's clock.
 	LeaseUntil int64
 	// Token is the fencing token.
 	Token uint64
-	// Checkpoint is what the run resumes from; empty for the beginning.
+	// Checkpoint is the checkpoint to resume from; empty to run from the
+	// beginning.
 	Checkpoint string
-	// Permit is the policy service's ticket for this worker and step.
+	// Permit is the policy service's ticket for this worker and step, if the
+	// queue needs one.
 	Permit string
 }
 
-// Stop orders a worker to stop a run. A run that hasn't come yet is refused
-// when it comes.
+// Stop orders a worker to stop a run. If the run's start arrives later, the
+// worker refuses it.
 type Stop struct {
 	Task  workload.TaskID
 	Run   uint64
 	Token uint64
 }
 
-// Pace limits a run to a share of its processors.
+// CPULimit orders a worker to limit a run to a percentage of its processors.
 type CPULimit struct {
 	Task    workload.TaskID
 	Run     uint64
@@ -38,15 +40,17 @@
 	Token   uint64
 }
 
-// Renewal renews the lease of all that runs on a worker, acknowledges ends
-// and asks for its report.
+// Renewal renews the lease of all runs on a worker, acknowledges reported ends
+// and requests the worker's report.
 type Renewal struct {
 	Token uint64
-	// Acknowledged is the number of the last end that is durable; the worker
-	// forgets ends up to it.
+	// Acknowledged is the number of the last end that is durable. The worker
+	// drops ends up to and including it.
 	Acknowledged uint64
-	// LeaseUntil is in milliseconds of the worker's clock; 0 renews nothing.
+	// LeaseUntil is the new expiry in milliseconds of the worker's clock; 0
+	// leaves the lease as it is.
 	LeaseUntil int64
-	// WaitMS is how long the worker may hold its answer for an end to come.
+	// WaitMS is how long the worker may delay its answer until a run ends, in
+	// milliseconds.
 	WaitMS int64
 }
--- a/runner/policy.go
+++ b/runner/policy.go
@@ -9,15 +9,15 @@
 
 // Policy is the service that decides which workers may run a step.
 type Policy interface {
-	// Permits asks for a step and some workers; those left out of the answer
-	// may not run it. It answers one call of a host after another.
+	// Permits returns tickets for those of the workers that may run the step.
+	// The service handles one call of a host at a time.
 	Permits(ctx context.Context, step workload.StepID, workers []string) (Permits, error)
 }
 
 // Permits is the policy service's answer.
 type Permits struct {
-	// Tickets holds, by worker, what a start there must carry.
+	// Tickets holds, by worker ID, the permit that a start there must include.
 	Tickets map[string]string
-	// Valid is how long they hold, from the answer.
+	// Valid is how long the tickets are valid after the answer.
 	Valid time.Duration
 }
--- a/runner/report.go
+++ b/runner/report.go
@@ -6,30 +6,31 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// EndKind says how a run ended.
+// EndKind is the way in which a run ended.
 type EndKind uint8
 
 // The ways in which runs end.
 const (
-	// EndUnknown is an end that this version doesn't know; it counts as lost.
+	// EndUnknown: a kind that this version doesn't know. The run's work is
+	// treated as lost.
 	EndUnknown EndKind = iota
-	// EndDone finished its work.
+	// EndDone: the run completed its work.
 	EndDone
-	// EndFailed failed through its own fault or the worker's.
+	// EndFailed: the run failed by itself or because of its worker.
 	EndFailed
-	// EndStopped was stopped by an order.
+	// EndStopped: the run was stopped by an order.
 	EndStopped
-	// EndExpired ended with its lease.
+	// EndExpired: the worker's lease expired.
 	EndExpired
-	// EndGangBroken ended because another member of its gang did.
+	// EndGangBroken: another member of the gang ended.
 	EndGangBroken
-	// EndGangTimeout waited in vain for the rest of its gang.
+	// EndGangTimeout: other members of the gang didn't start in time.
 	EndGangTimeout
 )
 
 var endNames = [...]string{"unknown", "done", "failed", "stopped", "expired", "broken", "alone"}
 
-// String returns the kind as logs show it.
+// String returns the kind's name in logs.
 func (k EndKind) String() string {
 	if int(k) < len(endNames) {
 		return endNames[k]
@@ -37,40 +38,41 @@
 	return endNames[EndUnknown]
 }
 
-// Active is a run at work.
+// ActiveRun is the report on a run that hasn't ended.
 type ActiveRun struct {
 	Task workload.TaskID
 	Run  uint64
-	// Saved is its newest checkpoint, empty for none.
+	// Checkpoint is the newest checkpoint; empty for none.
 	Checkpoint string
-	// Percent is how far it has come; a long-running task serves at 100.
+	// Percent is the progress of the run. A long-running task is ready to
+	// serve at 100.
 	Percent int
-	// Usage is, over the last half second, the tail of response times in
-	// milliseconds for a task that serves, thousandths of a core for others.
+	// Usage covers the last half second: the tail latency in milliseconds for
+	// a serving task, the CPU usage in thousandths of a core for others.
 	Usage int64
 }
 
-// End is a run that is over.
+// RunEnd is the report on a run that has ended.
 type RunEnd struct {
-	// Number counts the ends of one life of a worker, from 1.
+	// Number counts the ends of one incarnation of a worker, from 1.
 	Number uint64
 	Task   workload.TaskID
 	Run    uint64
 	Kind   EndKind
-	// Saved is the newest checkpoint, empty for none.
+	// Checkpoint is the newest checkpoint; empty for none.
 	Checkpoint string
 }
 
 // Report is a worker's answer to a renewal.
 type Report struct {
-	// ClockMS is the worker's own steady clock.
+	// ClockMS is the worker's monotonic clock in milliseconds.
 	ClockMS int64
 	Active  []ActiveRun
-	// Ends that aren't acknowledged, oldest first, at most MaxEnds.
+	// Ends are those not yet acknowledged, oldest first, at most MaxEnds.
 	Ends []RunEnd
 }
 
-// MaxEnds is the largest number of ends in one report, from the worker's
+// MaxEnds is the largest number of ends in one report, as set by the worker
 // protocol.
 const MaxEnds = 500
 
--- a/runner/worker.go
+++ b/runner/worker.go
@@ -6,30 +6,31 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Worker is one life of a worker process, as the membership list shows it.
+// Worker is one incarnation of a worker process, as the membership list
+// describes it.
 type Worker struct {
-	// ID names this life; a restarted worker has another.
+	// ID identifies the incarnation; a restarted worker has a new ID.
 	ID string `msgpack:"i"`
-	// Address is IP:port for orders.
+	// Address is the IP:port that orders are sent to.
 	Address string `msgpack:"a"`
-	// Pool is the set of workers that it belongs to.
+	// Pool is the name of the worker's pool.
 	Pool string `msgpack:"p,omitempty"`
 	Zone string `msgpack:"z,omitempty"`
-	// Labels hold its kind and its rack.
+	// Labels include the worker's hardware kind and its rack.
 	Labels []string `msgpack:"l,omitempty"`
-	// Capacity is what it holds in all.
+	// Capacity is the worker's total capacity.
 	Capacity infra.Resources `msgpack:"c"`
 	// Draining workers leave soon and get no new tasks.
 	Draining bool `msgpack:"-"`
-	// LeavesIn is the least time left to a draining worker.
+	// LeavesIn is the minimum time until a draining worker leaves.
 	LeavesIn time.Duration `msgpack:"-"`
-	// Unsound is set if the list holds an entry with this ID that names no
-	// worker to use; nothing but the ID is known then.
+	// Malformed is set if the list's entry for this ID can't be used; only the
+	// ID is valid then.
 	Malformed bool `msgpack:"-"`
 }
 
-// HasLabel reports whether the worker carries the label; every worker carries
-// the empty one.
+// HasLabel reports whether the worker has the label. Every worker has the
+// empty label.
 func (w *Worker) HasLabel(label string) bool {
 	if label == "" {
 		return true
--- a/task/doc.go
+++ b/task/doc.go
@@ -1,3 +1,3 @@
-// Package task holds a task's life: what was asked for, its states, its run
-// epochs and the legal transitions between them. It is pure.
+// Package task implements the state machine of a batch job: its spec, states,
+// run epochs and the legal transitions. It performs no I/O.
 package task
--- a/task/record.go
+++ b/task/record.go
@@ -6,56 +6,57 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Record is what the table keeps of a job. The methods that change it return
-// a new record and leave the receiver as it is.
+// Record is the stored state of a job. Transition methods return a new record
+// and don't modify the receiver.
 type Record struct {
 	Spec  Spec  `msgpack:"s"`
 	State State `msgpack:"st"`
-	// Epoch numbers the runs; 0 before the first start. It rises by one with
-	// each start and an epoch has at most one run.
+	// Epoch is the number of the latest run; 0 before the first start. Each
+	// start increments it, so an epoch has at most one run.
 	Epoch uint64 `msgpack:"e,omitempty"`
-	// Worker is the host of the run of Epoch, while the state is active.
+	// Worker is the worker of the run of Epoch while the state is active.
 	Worker string `msgpack:"w,omitempty"`
-	// Reserved is what the run of Epoch reserves on Worker, while the state is
-	// active. It may differ from what the job declares.
+	// Reserved is the reservation of that run on Worker while the state is
+	// active. It may differ from the declared size.
 	Reserved infra.Resources `msgpack:"rv,omitempty"`
-	// Checkpoint names the progress that the next start, or the current run,
-	// resumes from.
+	// Checkpoint is the checkpoint that the current run, or else the next
+	// start, resumes from.
 	Checkpoint string `msgpack:"cp,omitempty"`
-	// DoneMS is the work that Checkpoint holds, in milliseconds at full
-	// speed, or all the work once done.
+	// DoneMS is the work saved in Checkpoint, in milliseconds at full speed,
+	// or all the work once done.
 	DoneMS int64 `msgpack:"d,omitempty"`
 	// Failures are the distinct workers that the job failed on.
 	Failures []string `msgpack:"f,omitempty"`
-	// Kills is how often a worker's guard killed it.
+	// Kills is the number of runs that a worker's guard killed.
 	Kills int `msgpack:"k,omitempty"`
-	// Evictions is how often it was stopped to make room.
+	// Evictions is the number of runs stopped to free capacity.
 	Evictions int `msgpack:"ev,omitempty"`
-	// LostMS is the work done and lost, in milliseconds at full speed.
+	// LostMS is the work done but not saved, in milliseconds at full speed.
 	LostMS int64 `msgpack:"l,omitempty"`
-	// Learned is the size it reserves at the least once one proved small.
+	// LearnedFloor is the minimum size to reserve after a run was killed for
+	// exceeding its reservation.
 	LearnedFloor infra.Resources `msgpack:"g,omitempty"`
 	// Reason explains the last failure or the terminal state.
 	Reason string `msgpack:"r,omitempty"`
-	// FinishedUnixMS is when it became terminal, in Unix milliseconds.
+	// FinishedUnixMS is when the job became terminal, in Unix milliseconds.
 	FinishedUnixMS int64 `msgpack:"t,omitempty"`
 }
 
-// New returns the record of a job that was just submitted.
+// New returns the record of a newly submitted job.
 func New(s Spec) Record { return Record{Spec: s} }
 
-// Run returns the run of the record's epoch.
+// RunID returns the ID of the run of the record's epoch.
 func (r Record) RunID() infra.RunID { return infra.RunID{Job: r.Spec.ID, Epoch: r.Epoch} }
 
-// Sized returns the spec with what was learned of the job's own size as its
-// floor.
+// SpecWithFloor returns the spec with LearnedFloor as its Floor.
 func (r Record) SpecWithFloor() Spec {
 	s := r.Spec
 	s.Floor = r.LearnedFloor
 	return s
 }
 
-// Reserves returns what the run of the record's epoch reserves.
+// Reservation returns the resources that the run of the record's epoch
+// reserves: Reserved, or the declared size raised to LearnedFloor.
 func (r Record) Reservation() infra.Resources {
 	if r.Reserved != (infra.Resources{}) {
 		return r.Reserved
@@ -65,9 +66,9 @@
 	return size
 }
 
-// over ends the record's run, counting what it did beyond the checkpoint, up
-// to doneMS, as lost.
-func (r Record) over(doneMS int64) Record {
+// endRun clears the run and adds the work done since the checkpoint, up to
+// doneMS, to LostMS.
+func (r Record) endRun(doneMS int64) Record {
 	r.LostMS += max(0, doneMS-r.DoneMS)
 	r.Worker = ""
 	r.Reserved = infra.Resources{}
@@ -84,7 +85,7 @@
 	return r
 }
 
-// withFailure adds the worker to the failures, once.
+// withFailure adds the worker to Failures unless it is there.
 func (r Record) withFailure(worker string) Record {
 	if slices.Contains(r.Failures, worker) {
 		return r
--- a/task/life.go
+++ b/task/record_transitions.go
@@ -2,14 +2,15 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// growth of the memory reserved after the guard killed a run, in quarters.
+// Factor by which the reserved memory grows after the worker's guard killed a
+// run.
 const (
 	growthNumerator   = 6
 	growthDenominator = 4
 )
 
-// Start begins the run of the next epoch on worker, where it reserves what is
-// given; zero stands for the declared size. Legal when pending.
+// Start begins the run of the next epoch on worker with the given reservation;
+// zero reserves the declared size. Legal when pending.
 func (r Record) Start(worker string, reserved infra.Resources) (Record, Transition) {
 	if r.State != Pending {
 		return r, Illegal
@@ -22,9 +23,9 @@
 	return r, Applied
 }
 
-// Confirmed notes that the worker runs the epoch. Legal when starting.
+// Confirmed records that the worker runs the epoch. Legal when starting.
 func (r Record) Confirmed(epoch uint64) (Record, Transition) {
-	if t := r.check(epoch); t != Applied {
+	if t := r.checkRun(epoch); t != Applied {
 		return r, t
 	}
 	if r.State != Starting {
@@ -34,10 +35,10 @@
 	return r, Applied
 }
 
-// Finished notes that the run of the epoch completed its work. Legal when
-// active; completion beats a cancellation.
+// Finished records that the run of the epoch completed its work. Legal when
+// active; completion takes precedence over a cancellation.
 func (r Record) Finished(epoch uint64, doneMS, nowMS int64) (Record, Transition) {
-	if t := r.check(epoch); t != Applied {
+	if t := r.checkRun(epoch); t != Applied {
 		return r, t
 	}
 	r.DoneMS = max(r.DoneMS, doneMS)
@@ -45,37 +46,38 @@
 	return r.finish(Done, "", nowMS), Applied
 }
 
-// Failed notes that the run failed by itself. The job is queued again, or
-// parked once it failed on maxFailures distinct workers.
+// Failed records that the run failed by itself. The job is queued again, or
+// parked once it has failed on maxFailures distinct workers.
 func (r Record) Failed(epoch uint64, reason string, doneMS int64, maxFailures int, nowMS int64) (Record, Transition) {
-	if t := r.check(epoch); t != Applied {
+	if t := r.checkRun(epoch); t != Applied {
 		return r, t
 	}
 	r = r.withFailure(r.Worker)
 	if r.State != Stopping && len(r.Failures) >= maxFailures {
-		return r.over(doneMS).finish(Parked, reason, nowMS), Applied
+		return r.endRun(doneMS).finish(Parked, reason, nowMS), Applied
 	}
-	return r.again(doneMS, reason, nowMS), Applied
+	return r.requeue(doneMS, reason, nowMS), Applied
 }
 
-// Killed notes that the worker's guard killed the run. The job is queued again
-// with a larger size, or parked after maxKills.
+// Killed records that the worker's guard killed the run. The job is queued
+// again with a larger memory floor, or parked after maxKills kills.
 func (r Record) Killed(epoch uint64, reason string, doneMS int64, maxKills int, nowMS int64) (Record, Transition) {
-	if t := r.check(epoch); t != Applied {
+	if t := r.checkRun(epoch); t != Applied {
 		return r, t
 	}
 	r.Kills++
 	r.LearnedFloor.MemoryMB = r.Reservation().MemoryMB * growthNumerator / growthDenominator
 	if r.State != Stopping && r.Kills >= maxKills {
-		return r.over(doneMS).finish(Parked, reason, nowMS), Applied
+		return r.endRun(doneMS).finish(Parked, reason, nowMS), Applied
 	}
-	return r.again(doneMS, reason, nowMS), Applied
+	return r.requeue(doneMS, reason, nowMS), Applied
 }
 
-// Stopped notes that the run was stopped by an order, with its progress in
-// checkpoint if that is not empty. The job is queued again, from there.
+// Stopped records that the run was stopped by an order, with its progress in
+// checkpoint unless that is empty. The job is queued again and resumes from
+// its latest checkpoint.
 func (r Record) Stopped(epoch uint64, checkpoint string, doneMS, nowMS int64) (Record, Transition) {
-	if t := r.check(epoch); t != Applied {
+	if t := r.checkRun(epoch); t != Applied {
 		return r, t
 	}
 	if r.State != Stopping {
@@ -85,27 +87,28 @@
 		r.Checkpoint = checkpoint
 		r.DoneMS = max(r.DoneMS, doneMS)
 	}
-	return r.again(doneMS, "evicted", nowMS), Applied
+	return r.requeue(doneMS, "evicted", nowMS), Applied
 }
 
-// Refused notes that the worker refused the start: the epoch never ran.
+// Refused records that the worker refused the start: the epoch never ran.
 func (r Record) Refused(epoch uint64, reason string, nowMS int64) (Record, Transition) {
-	if t := r.check(epoch); t != Applied {
+	if t := r.checkRun(epoch); t != Applied {
 		return r, t
 	}
-	return r.again(0, reason, nowMS), Applied
+	return r.requeue(0, reason, nowMS), Applied
 }
 
-// LeaseExpired notes that the run is surely over without a report. It resumes
-// from the last checkpoint.
+// LeaseExpired records that the run must have ended, without a report of how.
+// The job resumes from its latest checkpoint.
 func (r Record) LeaseExpired(epoch uint64, doneMS, nowMS int64) (Record, Transition) {
-	if t := r.check(epoch); t != Applied {
+	if t := r.checkRun(epoch); t != Applied {
 		return r, t
 	}
-	return r.again(doneMS, "lease lapsed", nowMS), Applied
+	return r.requeue(doneMS, "lease lapsed", nowMS), Applied
 }
 
-// CancelRequested ends a job that has no run and marks one that may have.
+// CancelRequested cancels a job that has no run, and makes one that may have a
+// run Stopping.
 func (r Record) CancelRequested(nowMS int64) (Record, Transition) {
 	switch r.State {
 	case Pending, Parked:
@@ -120,7 +123,8 @@
 	}
 }
 
-// ParkedWith parks a pending job that can never run. Legal when pending.
+// ParkedWith parks a job that can never run, for the given reason. Legal when
+// pending.
 func (r Record) ParkedWith(reason string, nowMS int64) (Record, Transition) {
 	if r.State != Pending {
 		return r, Illegal
@@ -128,8 +132,9 @@
 	return r.finish(Parked, reason, nowMS), Applied
 }
 
-// check reports whether a word on the run of epoch is about the record's run.
-func (r Record) check(epoch uint64) Transition {
+// checkRun returns Applied if a report on the run of epoch concerns the
+// record's active run.
+func (r Record) checkRun(epoch uint64) Transition {
 	if epoch != r.Epoch {
 		return StaleEpoch
 	}
@@ -139,9 +144,10 @@
 	return Applied
 }
 
-// again queues the job for its next epoch, or ends it if it was cancelled.
-func (r Record) again(doneMS int64, reason string, nowMS int64) Record {
-	r = r.over(doneMS)
+// requeue ends the run and makes the job pending, or cancelled if it was
+// stopping.
+func (r Record) requeue(doneMS int64, reason string, nowMS int64) Record {
+	r = r.endRun(doneMS)
 	if r.State == Stopping {
 		return r.finish(Cancelled, "cancelled", nowMS)
 	}
--- a/task/seed_test.go
+++ b/task/seed_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// The machines of rapid start from one seed, so that every run has the same
-// verdict; -rapid.seed tries another.
+// Rapid state machines use a fixed seed so that results are reproducible;
+// -rapid.seed selects another.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/task/spec.go
+++ b/task/spec.go
@@ -5,38 +5,39 @@
 // QoS is a quality-of-service class.
 type QoS string
 
-// The classes.
+// Quality-of-service classes.
 const (
 	Batch           QoS = "batch"
 	LatencyCritical QoS = "latency_critical"
 )
 
-// Spec is what a team asks to be run.
+// Spec is the description of a job as submitted by a team.
 type Spec struct {
-	// ID identifies the job; it is given at submission.
+	// ID identifies the job; it is assigned at submission.
 	ID string `msgpack:"id"`
 	// Key is the team's idempotency key.
 	Key string `msgpack:"k"`
-	// Team pays with its quota.
+	// Team is the team whose quota the job counts against.
 	Team string `msgpack:"t"`
-	// Class is what sizes, run times and interference are learned by.
+	// Class groups jobs for the estimates of size, run time and interference.
 	Class string `msgpack:"c"`
 	QoS   QoS    `msgpack:"q"`
-	// Urgent work starts at once and may preempt.
+	// Urgent jobs start at once and may preempt others.
 	Urgent bool `msgpack:"u,omitempty"`
-	// Resources is the declared size, often far off.
+	// Resources is the declared size; actual usage may differ widely.
 	Resources infra.Resources `msgpack:"r"`
-	// Floor is what is reserved at the least, once a run was killed for using
-	// more than was reserved. It is not submitted; see Record.Sized.
+	// Floor is the minimum reservation after a run was killed for exceeding
+	// its reservation. It is not submitted; see Record.SpecWithFloor.
 	Floor infra.Resources `msgpack:"fl,omitempty"`
-	// RunMS is the declared run time in milliseconds; 0 for a standing job.
+	// RunMS is the declared run time in milliseconds; 0 if the job runs until
+	// it is cancelled.
 	RunMS int64 `msgpack:"d,omitempty"`
-	// DueUnixMS is when it must be done, in Unix milliseconds; 0 for never.
+	// DueUnixMS is the deadline in Unix milliseconds; 0 for none.
 	DueUnixMS int64 `msgpack:"due,omitempty"`
-	// Event is the named start that it is due by, if any.
+	// Event is the event by whose start the job is due; empty for none.
 	Event string `msgpack:"ev,omitempty"`
-	// Zones restricts where it may run; empty for anywhere.
+	// Zones are the availability zones that the job may run in; empty for any.
 	Zones []string `msgpack:"z,omitempty"`
-	// SubmittedUnixMS is when it was submitted, in Unix milliseconds.
+	// SubmittedUnixMS is when the job was submitted, in Unix milliseconds.
 	SubmittedUnixMS int64 `msgpack:"at"`
 }
--- a/task/state.go
+++ b/task/state.go
@@ -1,28 +1,29 @@
 package task
 
-// State is where a job stands in its life.
+// State is the state of a job.
 type State uint8
 
-// The states. Done, Cancelled and Parked are terminal, but that a parked job
-// may still be cancelled.
+// The states of a job. Done, Cancelled and Parked are terminal, except that a
+// parked job may still be cancelled.
 const (
 	// Pending: waiting to be placed.
 	Pending State = iota
-	// Starting: the start is durable, the worker has not confirmed it.
+	// Starting: the start is durable but not confirmed by the worker.
 	Starting
-	// Running: the worker reported the run.
+	// Running: the worker has reported the run.
 	Running
 	// Stopping: cancelled while a run may exist; waiting for its end.
 	Stopping
-	// Done: finished its work.
+	// Done: completed its work.
 	Done
 	// Cancelled: ended on request.
 	Cancelled
-	// Parked: failed on too many distinct workers.
+	// Parked: failed on too many workers, was killed too often, or fits no
+	// host.
 	Parked
 )
 
-// String returns the state as it is written in logs and JSON.
+// String returns the state's name in logs and JSON.
 func (s State) String() string {
 	switch s {
 	case Pending:
@@ -44,8 +45,8 @@
 	}
 }
 
-// Terminal reports whether nothing more happens to the job by itself.
+// Terminal reports whether the job never runs again.
 func (s State) Terminal() bool { return s == Done || s == Cancelled || s == Parked }
 
-// Active reports whether a run of the job's epoch may exist on its worker.
+// Active reports whether a run of the record's epoch may exist on its worker.
 func (s State) Active() bool { return s == Starting || s == Running || s == Stopping }
--- a/task/transition.go
+++ b/task/transition.go
@@ -1,16 +1,16 @@
 package task
 
-// Transition says what became of an attempted change of state.
+// Transition is the result of an attempted state change.
 type Transition uint8
 
-// The results of a transition. The zero value is Illegal.
+// The results of a transition. The record changes only if it was applied.
 const (
-	// Illegal: the state does not allow the change; the record is as before.
+	// Illegal: the state does not allow the change.
 	Illegal Transition = iota
-	// Applied: the record returned is the new one.
+	// Applied: the returned record is the new one.
 	Applied
-	// Unchanged: the job is already where the change would take it.
+	// Unchanged: the job is already in the target state.
 	Unchanged
-	// StaleEpoch: the change is about another run than the record's.
+	// StaleEpoch: the report concerns a run other than the record's.
 	StaleEpoch
 )
--- a/workload/doc.go
+++ b/workload/doc.go
@@ -1,3 +1,4 @@
-// Package workload defines the jobs that callers submit: steps of tasks with
-// dependencies, the needs of each task, and the names of tasks. It is pure.
+// Package workload defines the jobs that callers submit: steps of tasks, their
+// dependencies and resource requests, and the identifiers of steps and tasks.
+// It performs no I/O.
 package workload
--- a/workload/job.go
+++ b/workload/job.go
@@ -6,47 +6,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds of a job that is accepted.
+// Limits that Validate enforces.
 const (
-	// MaxSteps bounds the steps of one job.
+	// MaxSteps is the largest number of steps of one job.
 	MaxSteps = 64
-	// MaxTasks bounds the tasks of one job over all its steps, so that the
-	// record of its progress fits one row of the table service.
+	// MaxTasks is the largest number of tasks of one job over all steps and
+	// occurrences. It keeps the job's progress within one row of the table.
 	MaxTasks = 20_000
-	// MaxRepeats bounds the occurrences of one job.
+	// MaxRepeats is the largest number of occurrences of one job.
 	MaxRepeats = 10_000
 )
 
-// Job is what a caller submits: steps of tasks, run once or repeatedly.
+// Job is a set of steps that a caller submits, run once or repeatedly.
 type Job struct {
-	// ID is chosen by the caller; the same ID is the same job.
+	// ID is the caller's idempotency key.
 	ID string `msgpack:"i"`
 	// Queue is the queue that the job was submitted to.
 	Queue string `msgpack:"q"`
-	// Payload is handed to each task as it is.
+	// Payload is passed unchanged to each task.
 	Payload string `msgpack:"p"`
-	// Steps are the parts of the job, each started when those it depends on
-	// are done.
+	// Steps are in dependency order: a step depends only on earlier ones.
 	Steps []Step `msgpack:"s"`
-	// Repeats is how many times the steps run; 0 means once, at once.
+	// Repeats is the number of scheduled occurrences; 0 runs the steps once,
+	// immediately.
 	Repeats int `msgpack:"r,omitempty"`
-	// FirstDue is the time of day at which occurrence 0 is due, in
-	// milliseconds since 1970.
+	// FirstDue is when occurrence 0 is due, in Unix milliseconds.
 	FirstDue int64 `msgpack:"f,omitempty"`
-	// Interval is the time between two occurrences.
+	// Interval is the time between consecutive occurrences.
 	Interval time.Duration `msgpack:"n,omitempty"`
-	// Submitted is when the entry host had read the request, in milliseconds
-	// since 1970 by its time of day.
+	// Submitted is when the entry host received the request, in Unix
+	// milliseconds.
 	Submitted int64 `msgpack:"t"`
 }
 
-// Occurrences returns how many times the steps run, at least one.
+// Occurrences returns the number of times the steps run, at least one.
 func (j *Job) Occurrences() int { return max(j.Repeats, 1) }
 
 // Timed reports whether the job's occurrences have due times.
 func (j *Job) Timed() bool { return j.Repeats > 0 }
 
-// Validate reports the first reason why the job can't be run as written.
+// Validate returns an error for the first limit or dependency rule that the
+// job violates.
 func (j *Job) Validate() error {
 	if j.ID == "" {
 		return errors.New("job has no ID")
@@ -70,14 +70,14 @@
 	return nil
 }
 
-// CriticalPath returns, for each step, the estimated time from its start to
-// the end of the longest chain of steps that begins with it.
+// CriticalPath returns, for each step, the estimated duration of the longest
+// chain of dependent steps that starts with it.
 func (j *Job) CriticalPath() []time.Duration {
 	path := make([]time.Duration, len(j.Steps))
 	for i := len(j.Steps) - 1; i >= 0; i-- {
 		path[i] += j.Steps[i].Estimate
-		for _, before := range j.Steps[i].After {
-			path[before] = max(path[before], path[i])
+		for _, dependency := range j.Steps[i].After {
+			path[dependency] = max(path[dependency], path[i])
 		}
 	}
 	return path
--- a/workload/queue.go
+++ b/workload/queue.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// Queue is a class of jobs with one policy, as configuration sets it.
+// Queue is a class of jobs that share one scheduling policy.
 type Queue struct {
-	// Name identifies the queue across versions of the configuration.
+	// Name identifies the queue across configuration versions.
 	Name string
 	// Pool is the set of workers that run the queue's tasks.
 	Pool string
-	// Priority orders queues; 0 comes first and may preempt higher numbers.
+	// Priority orders queues; 0 is the highest. A queue may preempt those of
+	// lower priority.
 	Priority int
-	// MaxAttempts is how many runs of a task may fail before its job fails.
+	// MaxAttempts is the number of failed runs of a task after which its job
+	// fails.
 	MaxAttempts int
-	// Stretch and Target set the latency objective: Stretch times the job's
-	// critical path, and Target more.
+	// Stretch and Target define the latency objective of a job: Stretch times
+	// its critical path plus Target.
 	Stretch float64
 	Target  time.Duration
-	// NeedsPermit means that the policy service decides which workers may run
+	// NeedsPermit is set if the policy service decides which workers may run
 	// a step of this queue.
 	NeedsPermit bool
 }
--- a/workload/state.go
+++ b/workload/state.go
@@ -1,6 +1,6 @@
 package workload
 
-// State is what callers are told of a job.
+// State is the state of a job as reported to callers.
 type State uint8
 
 // The states of a job. The last three are final.
@@ -12,10 +12,10 @@
 	Cancelled
 )
 
-// Final reports whether the state never changes again.
+// Final reports whether the state is terminal.
 func (s State) Final() bool { return s >= Complete }
 
-// String returns the state as logs show it.
+// String returns the state's name in logs.
 func (s State) String() string {
 	switch s {
 	case Queued:
--- a/workload/step.go
+++ b/workload/step.go
@@ -8,50 +8,50 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Step is a set of like tasks of a job.
+// Step is a set of identical tasks of a job.
 type Step struct {
-	// Tasks is how many tasks the step has.
+	// Tasks is the number of tasks.
 	Tasks int `msgpack:"n"`
-	// Needs is what each task requests.
+	// Needs is the resource request of each task.
 	Needs infra.Resources `msgpack:"r"`
-	// Estimate is the caller's rough estimate of one task's run time.
+	// Estimate is the caller's estimate of one task's run time.
 	Estimate time.Duration `msgpack:"e,omitempty"`
-	// After lists earlier steps whose tasks must all be done first.
+	// After lists the indexes of earlier steps that must be done first.
 	After []int `msgpack:"a,omitempty"`
 	// Checkpointing tasks save their progress and can resume from it.
 	Checkpointing bool `msgpack:"c,omitempty"`
-	// Gang tasks work only together and end together.
+	// Gang tasks run only all at once: if one ends early, all do.
 	Gang bool `msgpack:"g,omitempty"`
-	// SameRack tasks of a gang run several times longer when spread over
+	// SameRack is set if a gang runs several times slower when spread over
 	// racks.
 	SameRack bool `msgpack:"k,omitempty"`
-	// Label must be among a worker's labels; empty for any worker.
+	// Label restricts the tasks to workers that have it; empty for any.
 	Label string `msgpack:"l,omitempty"`
-	// DataRack is the rack that holds the tasks' data; elsewhere they run
-	// several times longer. Empty for none.
+	// DataRack is the rack that holds the tasks' data; on other racks they run
+	// several times slower. Empty for none.
 	DataRack string `msgpack:"d,omitempty"`
-	// MaxPerWorker bounds the tasks of one occurrence on one worker; 0 for no
-	// bound.
+	// MaxPerWorker limits the tasks of one occurrence on one worker; 0 for no
+	// limit.
 	MaxPerWorker int `msgpack:"m,omitempty"`
-	// Speculative tasks may have copies that run in parallel.
+	// Speculative tasks may run as duplicate copies in parallel.
 	Speculative bool `msgpack:"s,omitempty"`
 	// LongRunning tasks run until the job is cancelled and are restarted
-	// however they end.
+	// whenever they end.
 	LongRunning bool `msgpack:"u,omitempty"`
-	// Image names what the tasks run; tasks of an image behave alike.
+	// Image is the program that the tasks run. Estimates are kept by image.
 	Image string `msgpack:"i,omitempty"`
-	// TailTarget bounds the tail of the response times of a long-running task
-	// that serves users of its own; 0 for none.
+	// TailTarget is the tail latency objective of a long-running task that
+	// serves users; 0 for none.
 	TailTarget time.Duration `msgpack:"t,omitempty"`
-	// Filler tasks take the processors that other tasks leave unused; their
-	// processors aren't counted against a worker's capacity.
+	// BestEffort tasks use idle processors and reserve none of a worker's CPU
+	// capacity.
 	BestEffort bool `msgpack:"f,omitempty"`
-	// DisruptionBudget is how many tasks of a long-running step may be
-	// unavailable at once through the scheduler's own orders; -1 for no bound.
+	// DisruptionBudget is the number of tasks of a long-running step that the
+	// scheduler may make unavailable at once; -1 for no limit.
 	DisruptionBudget int `msgpack:"b,omitempty"`
 }
 
-// Reserved returns what a task of the step takes from a worker's capacity.
+// Reserved returns the part of a worker's capacity that one task reserves.
 func (s *Step) Reserved() infra.Resources {
 	r := s.Needs
 	if s.BestEffort {
@@ -60,23 +60,23 @@
 	return r
 }
 
-// Serving reports whether the step's tasks serve users under a tail target.
+// Serving reports whether the step's tasks have a tail latency objective.
 func (s *Step) Serving() bool { return s.TailTarget > 0 }
 
-// validate checks the step at the given position in its job.
+// validate checks the step, which is at the given index in its job.
 func (s *Step) validate(position int) error {
 	if s.Tasks <= 0 {
 		return errors.Newf("%d tasks, want at least 1", s.Tasks)
 	}
 	if s.Needs.MilliCPU < 0 || s.Needs.MemoryMB < 0 || s.Needs.Accelerators < 0 {
-		return errors.New("negative needs")
+		return errors.New("negative resource request")
 	}
 	if s.Estimate < 0 || s.MaxPerWorker < 0 {
-		return errors.New("negative estimate or bound per worker")
+		return errors.New("negative estimate or limit per worker")
 	}
-	for _, before := range s.After {
-		if before < 0 || before >= position {
-			return errors.Newf("depends on step %d, want an earlier one", before)
+	for _, dependency := range s.After {
+		if dependency < 0 || dependency >= position {
+			return errors.Newf("depends on step %d, want an earlier step", dependency)
 		}
 	}
 	return nil
--- a/workload/stepid.go
+++ b/workload/stepid.go
@@ -5,14 +5,14 @@
 	"log/slog"
 )
 
-// StepID names one step of one occurrence of a job.
+// StepID identifies one step of one occurrence of a job.
 type StepID struct {
 	Job        string
 	Occurrence int
 	Step       int
 }
 
-// String returns the name as logs show it.
+// String returns the ID as job.occurrence.step.
 func (s StepID) String() string { return fmt.Sprintf("%s.%d.%d", s.Job, s.Occurrence, s.Step) }
 
 // LogValue implements slog.LogValuer.
--- a/workload/taskid.go
+++ b/workload/taskid.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-// TaskID names one task of one occurrence of a job.
+// TaskID identifies one task of one occurrence of a job.
 type TaskID struct {
 	Job        string
 	Occurrence int
@@ -13,7 +13,7 @@
 	Index      int
 }
 
-// String returns the name as logs show it.
+// String returns the ID as job.occurrence.step.index.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
