--- a/quota/allotment.go
+++ b/quota/allotment.go
@@ -2,17 +2,17 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// Allotment is what one shard's owner keeps of one team: the part of the
-// team's quota that it may reserve. Versions are those of the team's division
-// in the table. The zero value holds nothing.
+// Allotment is the part of one team's quota that one shard may reserve, as
+// kept by the shard's owner. Versions are those of the team's division in the
+// table. The zero value allows nothing.
 type Allotment struct {
 	quota    Amount
 	milliCPU VersionedBound
 	memoryMB VersionedBound
 }
 
-// Begin returns what a new owner holds, by the division as it read it after it
-// took over.
+// NewAllotment returns the allotment of a new owner, given the version of the
+// division and the shard's bound that it read after it took over.
 func NewAllotment(version uint64, bound Amount) Allotment {
 	return Allotment{
 		milliCPU: VersionedBound{held: max(bound.MilliCPU, 0), reported: version},
@@ -20,10 +20,11 @@
 	}
 }
 
-// SetQuota tells which resources are bounded at all.
+// SetQuota sets the team's quota, which determines the resources that are
+// limited at all.
 func (a *Allotment) SetQuota(q Amount) { a.quota = q }
 
-// Held is what may be reserved.
+// Held returns the amount that the team may reserve in the shard.
 func (a *Allotment) Held() Amount {
 	held := Amount{MilliCPU: a.milliCPU.Held(), MemoryMB: a.memoryMB.Held()}
 	if a.quota.MilliCPU < 0 {
@@ -35,9 +36,9 @@
 	return held
 }
 
-// Apply takes in the bound of a version of the division. One that is older than
-// the last report says nothing: it may give what was given up since, or less
-// than what is used by now.
+// Apply sets the bound given by a version of the division. A version older than
+// the last report is ignored: its bound may include an amount given up since,
+// or be less than the amount now in use.
 func (a *Allotment) Apply(version uint64, bound Amount) {
 	if version < a.milliCPU.reported {
 		return
@@ -46,7 +47,7 @@
 	a.memoryMB.Apply(version, max(bound.MemoryMB, 0))
 }
 
-// Lower gives up what is held above target and not used.
+// Lower gives up the amount held above target, as far as it is unused.
 func (a *Allotment) Lower(target Amount, used infra.Resources) {
 	if target.MilliCPU >= 0 {
 		a.milliCPU.Lower(max(target.MilliCPU, used.MilliCPU))
@@ -56,8 +57,8 @@
 	}
 }
 
-// Report returns what is held, for a division that replaces version. From then
-// on version and those before it raise nothing here.
+// Report returns the amount held, for a division that replaces version. From
+// then on, version and earlier versions can't raise the allotment.
 func (a *Allotment) Report(version uint64) Amount {
 	a.milliCPU.Report(version + 1)
 	a.memoryMB.Report(version + 1)
--- a/quota/amount.go
+++ b/quota/amount.go
@@ -2,10 +2,10 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// Unlimited is the amount of a resource without a quota.
+// Unlimited is the amount of a resource that has no quota.
 const Unlimited = -1
 
-// Amount is a bound on a team's reservations. A negative field is unlimited;
+// Amount is a limit on a team's reservations. A negative field means unlimited;
 // zero allows nothing.
 type Amount struct {
 	// MilliCPU is in thousandths of a core.
@@ -14,7 +14,8 @@
 	MemoryMB int64 `msgpack:"m"`
 }
 
-// Of turns the settings' quota, where zero is for none, into an Amount.
+// NewAmount returns the Amount of a quota in the settings, where zero means
+// unlimited.
 func NewAmount(milliCPU, memoryMB int64) Amount {
 	a := Amount{MilliCPU: milliCPU, MemoryMB: memoryMB}
 	if milliCPU <= 0 {
@@ -26,10 +27,10 @@
 	return a
 }
 
-// Bounded reports whether any resource is bounded.
+// Bounded reports whether any resource is limited.
 func (a Amount) Bounded() bool { return a.MilliCPU >= 0 || a.MemoryMB >= 0 }
 
-// Allows reports whether a team that uses used may use more besides.
+// Allows reports whether used plus more is within the amount.
 func (a Amount) Allows(used, more infra.Resources) bool {
 	if a.MilliCPU >= 0 && used.MilliCPU+more.MilliCPU > a.MilliCPU {
 		return false
--- a/quota/divide.go
+++ b/quota/divide.go
@@ -2,17 +2,17 @@
 
 import "math/bits"
 
-// deadBand is the part of the quota, one in this many, by which a bound may
-// be off its target before it is lowered: small moves of demand move nothing.
+// deadBand is the divisor of the quota that gives the largest deviation of a
+// bound from its target at which it is not lowered. It keeps bounds stable
+// under small changes of demand.
 const deadBand = 64
 
-// Divide returns each shard's new bound, computed from one common snapshot of
-// reports. It is a pure function, so that owners that hold the same snapshot
-// agree without asking each other.
+// Divide returns the new bound of each shard, computed from one consistent set
+// of reports. It is deterministic.
 //
-// A bound is raised only by what nobody holds, while a lowered one still
-// counts in full until its owner reports it. So the sum of what is held never
-// exceeds the quota, whichever owners have applied the result.
+// Bounds are raised only by amounts that no shard holds; a lowered bound counts
+// in full until the shard's owner reports the lower one. The sum held therefore
+// never exceeds the quota, whichever owners have applied the result.
 func Divide(quota int64, shards []Shard) []int64 {
 	targets := divideTargets(quota, shards)
 	pool := quota
@@ -22,13 +22,13 @@
 		raises += max(targets[i]-s.Held, 0)
 	}
 	pool = max(pool, 0)
-	tight := isTight(quota, pool, shards)
+	tight := isContended(quota, pool, shards)
 	bounds := make([]int64, len(shards))
 	for i, s := range shards {
 		raise := targets[i] - s.Held
 		switch {
 		case raise <= 0:
-			bounds[i] = lowered(s, targets[i], quota, band(quota, len(shards), tight), tight)
+			bounds[i] = reduceBound(s, targets[i], quota, band(quota, len(shards), tight), tight)
 		case raises <= pool:
 			bounds[i] = targets[i]
 		default:
@@ -38,19 +38,19 @@
 	return bounds
 }
 
-// isTight reports whether more of the demand goes unmet than the dead band is
-// worth, for want of what other shards hold and don't need.
-func isTight(quota, pool int64, shards []Shard) bool {
+// isContended reports whether the demand that exceeds the shards' bounds, less
+// the pool that no shard holds, is larger than the dead band.
+func isContended(quota, pool int64, shards []Shard) bool {
 	unmet := -pool
 	for _, s := range shards {
-		unmet += max(s.want()-s.Held, 0)
+		unmet += max(s.wanted()-s.Held, 0)
 	}
 	return unmet > quota/deadBand
 }
 
-// band is by how much one bound may be off its target. While demand goes unmet
-// all shards together may be off by what otherwise one may: with many shards the
-// bands of the idle ones would add up to the whole quota.
+// band returns the largest deviation from its target at which a bound is not
+// lowered. Under contention all shards share one dead band, because those of
+// many idle shards could add up to the whole quota.
 func band(quota int64, shards int, tight bool) int64 {
 	if tight {
 		return quota / deadBand / int64(shards)
@@ -58,13 +58,14 @@
 	return quota / deadBand
 }
 
-// lowered moves half of the way down to the target, or all of it where little is
-// left and others need it, and not at all within the band unless the shard is
-// idle and others need it; but never keeps more than the quota.
-func lowered(s Shard, target, quota, band int64, tight bool) int64 {
+// reduceBound returns the shard's bound lowered towards its target, and never
+// more than the quota. It removes half of the surplus, or under contention all
+// of a surplus within the dead band. A surplus within band stays, unless the
+// shard is idle under contention.
+func reduceBound(s Shard, target, quota, band int64, tight bool) int64 {
 	surplus := s.Held - target
 	switch {
-	case surplus <= band && (!tight || s.want() > 0):
+	case surplus <= band && (!tight || s.wanted() > 0):
 		surplus = 0
 	case !tight || surplus > quota/deadBand:
 		surplus = surplus / 2
@@ -72,9 +73,9 @@
 	return min(s.Held-surplus, quota)
 }
 
-// divideTargets divides the quota: first what is used, then demand, to all
-// the same until it is met, then the rest by capacity, so that new demand
-// finds something at once.
+// divideTargets returns the target of each shard. It covers usage first, then
+// demand in equal shares, and divides the rest in proportion to capacity so
+// that new demand can be met without waiting for a division.
 func divideTargets(quota int64, shards []Shard) []int64 {
 	targets := make([]int64, len(shards))
 	used := int64(0)
@@ -90,18 +91,18 @@
 	for i, s := range shards {
 		targets[i] = s.Used
 	}
-	left := fill(quota-used, shards, targets)
-	spread(left, shards, targets)
+	left := meetDemand(quota-used, shards, targets)
+	spreadByCapacity(left, shards, targets)
 	return targets
 }
 
-// fill raises targets towards what shards want, all by the same, and returns
-// what is left.
-func fill(left int64, shards []Shard, targets []int64) int64 {
+// meetDemand raises the targets of shards with unmet demand by equal amounts
+// until the demand is met or left is used up, and returns the remainder.
+func meetDemand(left int64, shards []Shard, targets []int64) int64 {
 	for left > 0 {
 		open, least := int64(0), int64(0)
 		for i, s := range shards {
-			missing := s.want() - targets[i]
+			missing := s.wanted() - targets[i]
 			if missing <= 0 {
 				continue
 			}
@@ -118,7 +119,7 @@
 			return left
 		}
 		for i, s := range shards {
-			if s.want() > targets[i] {
+			if s.wanted() > targets[i] {
 				targets[i] += each
 				left -= each
 			}
@@ -127,8 +128,8 @@
 	return left
 }
 
-// spread adds what is left by capacity.
-func spread(left int64, shards []Shard, targets []int64) {
+// spreadByCapacity adds left to the targets in proportion to capacity.
+func spreadByCapacity(left int64, shards []Shard, targets []int64) {
 	capacity := int64(0)
 	for _, s := range shards {
 		capacity += s.Capacity
@@ -141,8 +142,8 @@
 	}
 }
 
-// portion is amount * part / whole, rounded down, without overflow. Part is
-// at most whole.
+// portion returns amount * part / whole, rounded down, without overflow. Part
+// must be at most whole.
 func portion(amount, part, whole int64) int64 {
 	if amount <= 0 || part <= 0 || whole <= 0 {
 		return 0
--- a/quota/divide_test.go
+++ b/quota/divide_test.go
@@ -21,27 +21,27 @@
 			[]int64{30, 60},
 		},
 		{
-			"demand before spare", 90,
+			"demand before spare capacity", 90,
 			[]Shard{{Capacity: 100, Demand: 100}, {Capacity: 100}},
 			[]int64{90, 0},
 		},
 		{
-			"scarce demand is met alike", 90,
+			"unmet demand is shared equally", 90,
 			[]Shard{{Capacity: 100, Demand: 100}, {Capacity: 100, Demand: 10}, {Capacity: 100, Demand: 100}},
 			[]int64{40, 10, 40},
 		},
 		{
-			"what others hold is not given away", 100,
+			"amounts held by others are not reassigned", 100,
 			[]Shard{{Capacity: 100, Held: 100}, {Capacity: 100, Demand: 100}},
 			[]int64{50, 0},
 		},
 		{
-			"what is used is not taken", 100,
+			"amounts in use are kept", 100,
 			[]Shard{{Capacity: 100, Used: 60, Held: 60}, {Capacity: 100, Demand: 100}},
 			[]int64{60, 40},
 		},
 		{
-			"small moves are left alone", 6400,
+			"small changes are ignored", 6400,
 			[]Shard{{Capacity: 6400, Used: 3000, Held: 3080}, {Capacity: 6400, Used: 3000, Demand: 400, Held: 3320}},
 			[]int64{3080, 3320},
 		},
@@ -55,44 +55,44 @@
 	}
 }
 
-// owner is a shard's owner in the test below: it reports and applies late, or
-// not at all.
-type owner struct {
+// ownerModel simulates a shard's owner, which may report and apply results late
+// or not at all.
+type ownerModel struct {
 	holder VersionedBound
 	used   int64
 	demand int64
 }
 
-func (o *owner) work(rng *rand.Rand) {
+func (o *ownerModel) step(rng *rand.Rand) {
 	o.demand = rng.Int64N(2000)
 	if rng.IntN(3) == 0 {
 		o.used -= rng.Int64N(o.used + 1)
 	}
-	if room := o.holder.Held() - o.used; room > 0 {
-		o.used += min(o.demand, room)
+	if free := o.holder.Held() - o.used; free > 0 {
+		o.used += min(o.demand, free)
 	}
 }
 
-// result is a snapshot's outcome, which each owner may learn of at any time.
-type result struct {
+// snapshotResult is the result of a snapshot; owners may receive it at any time.
+type snapshotResult struct {
 	number uint64
 	bounds []int64
 }
 
-// TestSumNeverExceedsQuota lets owners miss snapshots, report late and apply
-// old results, and checks after each step what all hold together.
+// TestSumNeverExceedsQuota checks the sum of the bounds held while owners miss
+// snapshots, report late and apply old results.
 func TestSumNeverExceedsQuota(t *testing.T) {
 	const quota = 5000
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		owners := make([]owner, 2+rng.IntN(8))
+		owners := make([]ownerModel, 2+rng.IntN(8))
 		latest := make([]Shard, len(owners))
-		var results []result
+		var results []snapshotResult
 		for number := uint64(1); number <= 100; number++ {
 			for i := range owners {
 				if rng.IntN(4) == 0 {
-					// Its report is missing: it may hold what the
-					// last snapshot gave it.
+					// Without a report, it may hold the bound of the
+					// last snapshot.
 					if len(results) > 0 {
 						latest[i].Held = max(latest[i].Held, results[len(results)-1].bounds[i])
 					}
@@ -101,31 +101,31 @@
 				o := &owners[i]
 				latest[i] = Shard{Capacity: 3000, Used: o.used, Demand: o.demand, Held: o.holder.Report(number)}
 			}
-			results = append(results, result{number, Divide(quota, latest)})
+			results = append(results, snapshotResult{number, Divide(quota, latest)})
 			for range 2 * len(owners) {
 				i := rng.IntN(len(owners))
 				r := results[len(results)-1-rng.IntN(min(3, len(results)))]
 				owners[i].holder.Apply(r.number, r.bounds[i])
-				owners[i].work(rng)
+				owners[i].step(rng)
 				requireWithinQuota(t, seed, quota, owners)
 			}
 		}
 	}
 }
 
-func requireWithinQuota(t *testing.T, seed uint64, quota int64, owners []owner) {
+func requireWithinQuota(t *testing.T, seed uint64, quota int64, owners []ownerModel) {
 	t.Helper()
 	held := int64(0)
 	for i := range owners {
 		held += owners[i].holder.Held()
 	}
 	if held > quota {
-		t.Fatalf("seed %d: %d held of a quota of %d", seed, held, quota)
+		t.Fatalf("seed %d: bounds add up to %d, quota is %d", seed, held, quota)
 	}
 }
 
-// TestBoundsFollowDemand checks that a quota reaches the shard that needs it
-// within a few snapshots, and then rests.
+// TestBoundsFollowDemand checks that a quota moves to the shard with demand
+// within a few snapshots.
 func TestBoundsFollowDemand(t *testing.T) {
 	shards := []Shard{{Capacity: 1000, Held: 500}, {Capacity: 1000, Held: 500, Demand: 1000}}
 	snapshots := 0
@@ -134,18 +134,18 @@
 			shards[i].Held = bound
 		}
 		if snapshots++; snapshots > 8 {
-			t.Fatalf("after %d snapshots only %d", snapshots, shards[1].Held)
+			t.Fatalf("after %d snapshots the shard with demand holds %d, want 900", snapshots, shards[1].Held)
 		}
 	}
 }
 
-// TestIdleShardsDoNotHoldTheQuota has one of many shards need all of a quota
-// that lies spread over them.
+// TestIdleShardsDoNotHoldTheQuota checks that one shard with demand gets the
+// quota held by many idle ones.
 func TestIdleShardsDoNotHoldTheQuota(t *testing.T) {
-	const quota, many = 60_000, 600
-	shards := make([]Shard, many)
+	const quota, shardCount = 60_000, 600
+	shards := make([]Shard, shardCount)
 	for i := range shards {
-		shards[i] = Shard{Capacity: quota, Held: quota / many}
+		shards[i] = Shard{Capacity: quota, Held: quota / shardCount}
 	}
 	shards[0].Demand = quota
 	for range 8 {
@@ -154,7 +154,7 @@
 		}
 	}
 	if shards[0].Held < quota*9/10 {
-		t.Errorf("after 8 snapshots %d of %d", shards[0].Held, quota)
+		t.Errorf("after 8 snapshots the shard with demand holds %d, want 9/10 of %d", shards[0].Held, quota)
 	}
 }
 
@@ -173,7 +173,7 @@
 	}
 	for _, tt := range tests {
 		if got := tt.amount.Allows(used, more); got != tt.want {
-			t.Errorf("%+v allows: %v", tt.amount, got)
+			t.Errorf("%+v.Allows = %v, want %v", tt.amount, got, tt.want)
 		}
 	}
 }
--- a/quota/division.go
+++ b/quota/division.go
@@ -7,22 +7,23 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Division is the table's word on one team: what each shard may hold of its
-// quota. No owner holds more than its shard's bound.
+// Division is the stored division of one team's quota among shards. An owner
+// never holds more than its shard's bound.
 type Division struct {
 	Bounds map[string]Amount `msgpack:"b"`
 }
 
-// Next returns the division that follows from the reports of owners, and what
-// each shard is to come down to. A shard that did not report keeps its bound
-// and is taken to use all of it.
+// Next returns the next division, given the owners' reports, and the target that
+// each shard is to lower its allotment to. A shard without a report keeps its
+// bound, all of which counts as used.
 //
-// A bound comes down only to what its owner reports to hold, and goes up only
-// by what then no bound covers; so the sum stays within the quota.
+// A bound is lowered only to the amount that its owner reports as held, and
+// raised only by amounts that no bound covers then, so the sum of the bounds
+// stays within the quota.
 func (d Division) Next(q Amount, reports map[string]Report) (next Division, targets map[string]Amount) {
 	names := d.shards(reports)
-	milliCPU := d.column(q.MilliCPU, names, reports, milliCPUOf)
-	memoryMB := d.column(q.MemoryMB, names, reports, memoryMBOf)
+	milliCPU := d.divideResource(q.MilliCPU, names, reports, milliCPUAccessor)
+	memoryMB := d.divideResource(q.MemoryMB, names, reports, memoryMBAccessor)
 	next = Division{Bounds: make(map[string]Amount, len(names))}
 	targets = make(map[string]Amount, len(names))
 	for i, name := range names {
@@ -32,15 +33,15 @@
 	return next, targets
 }
 
-// Equal reports whether both give each shard the same.
+// Equal reports whether both divisions have the same bounds.
 func (d Division) Equal(o Division) bool { return maps.Equal(d.Bounds, o.Bounds) }
 
-// Lowered returns the shards that get less in next, in order.
+// Lowered returns the sorted names of the shards with a lower bound in next.
 func (d Division) Lowered(next Division) []string {
 	var out []string
-	for name, was := range d.Bounds {
-		is := next.Bounds[name]
-		if lower(is.MilliCPU, was.MilliCPU) || lower(is.MemoryMB, was.MemoryMB) {
+	for name, before := range d.Bounds {
+		after := next.Bounds[name]
+		if isLower(after.MilliCPU, before.MilliCPU) || isLower(after.MemoryMB, before.MemoryMB) {
 			out = append(out, name)
 		}
 	}
@@ -48,9 +49,9 @@
 	return out
 }
 
-func lower(is, was int64) bool { return is >= 0 && is < was }
+func isLower(after, before int64) bool { return after >= 0 && after < before }
 
-// shards returns the names of all shards that have a bound or a report.
+// shards returns the sorted names of the shards with a bound or a report.
 func (d Division) shards(reports map[string]Report) []string {
 	names := slices.Collect(maps.Keys(d.Bounds))
 	for name := range reports {
@@ -62,30 +63,30 @@
 	return names
 }
 
-// column is the division of one resource.
-type column struct {
+// resourceDivision is the division of one resource, in the order of shard names.
+type resourceDivision struct {
 	bounds  []int64
 	targets []int64
 }
 
-// resource reads one resource of each kind of amount.
-type resource struct {
+// resourceAccessor reads one resource from amounts and from resource vectors.
+type resourceAccessor struct {
 	amount func(Amount) int64
 	of     func(infra.Resources) int64
 }
 
 var (
-	milliCPUOf = resource{
+	milliCPUAccessor = resourceAccessor{
 		amount: func(a Amount) int64 { return a.MilliCPU },
 		of:     func(r infra.Resources) int64 { return r.MilliCPU },
 	}
-	memoryMBOf = resource{
+	memoryMBAccessor = resourceAccessor{
 		amount: func(a Amount) int64 { return a.MemoryMB },
 		of:     func(r infra.Resources) int64 { return r.MemoryMB },
 	}
 )
 
-func (d Division) column(quota int64, names []string, reports map[string]Report, get resource) column {
+func (d Division) divideResource(quota int64, names []string, reports map[string]Report, get resourceAccessor) resourceDivision {
 	shards := make([]Shard, len(names))
 	for i, name := range names {
 		r, reported := reports[name]
@@ -102,16 +103,16 @@
 	if quota < 0 {
 		return unlimited(len(names))
 	}
-	c := column{bounds: make([]int64, len(names)), targets: Divide(quota, shards)}
+	c := resourceDivision{bounds: make([]int64, len(names)), targets: Divide(quota, shards)}
 	for i, s := range shards {
 		c.bounds[i] = max(s.Held, c.targets[i])
 	}
 	return c
 }
 
-// unlimited is the column of a resource without a quota.
-func unlimited(n int) column {
-	c := column{bounds: make([]int64, n)}
+// unlimited returns the division of a resource without a quota among n shards.
+func unlimited(n int) resourceDivision {
+	c := resourceDivision{bounds: make([]int64, n)}
 	for i := range c.bounds {
 		c.bounds[i] = Unlimited
 	}
--- a/quota/division_test.go
+++ b/quota/division_test.go
@@ -14,7 +14,7 @@
 	divisionSeeds = 150
 )
 
-// modelShard is one shard in the model: what its present owner keeps.
+// modelShard is one shard with the state of its current owner.
 type modelShard struct {
 	fence     int
 	allotment Allotment
@@ -22,40 +22,41 @@
 	demand    int64
 }
 
-func (s *modelShard) work(rng *rand.Rand) {
+func (s *modelShard) step(rng *rand.Rand) {
 	s.demand = rng.Int64N(2000)
 	if rng.IntN(3) == 0 {
 		s.used -= rng.Int64N(s.used + 1)
 	}
-	if room := s.allotment.Held().MilliCPU - s.used; room > 0 {
-		s.used += min(s.demand, room)
+	if free := s.allotment.Held().MilliCPU - s.used; free > 0 {
+		s.used += min(s.demand, free)
 	}
 }
 
-// tell is a word to an owner about one version of the division.
-type tell struct {
+// boundMessage informs an owner of one version of the division.
+type boundMessage struct {
 	version uint64
 	bound   Amount
 	target  Amount
 }
 
-// model is a table with one division, the shards, and words that were under
-// way; each of these may arrive again at any time.
+// model simulates a table with one division, the shards, and the messages sent
+// so far, each of which may be delivered again at any time.
 type model struct {
 	rng      *rand.Rand
 	version  uint64
 	division Division
 	shards   []modelShard
-	late     []tell
-	lateTo   []int
-	// noFence divides without regard to changes of owner.
-	noFence bool
+	sent     []boundMessage
+	sentTo   []int
+	// ignoreFences commits divisions even if a shard's owner has changed.
+	ignoreFences bool
 }
 
 func (m *model) name(i int) string { return fmt.Sprint("s", i) }
 
-// deliver has a word reach the shard's present owner and returns its report.
-func (m *model) deliver(i int, w tell) Report {
+// deliver delivers a message to the shard's current owner and returns its
+// report.
+func (m *model) deliver(i int, w boundMessage) Report {
 	s := &m.shards[i]
 	used := infra.Resources{MilliCPU: s.used}
 	s.allotment.Apply(w.version, w.bound)
@@ -66,8 +67,9 @@
 	}
 }
 
-// round is one division by a host that may see others do the same meanwhile.
-func (m *model) round(targets map[string]Amount, meanwhile func()) map[string]Amount {
+// round divides the quota once. It calls concurrent between reading the
+// division and committing the next one.
+func (m *model) round(targets map[string]Amount, concurrent func()) map[string]Amount {
 	version, row := m.version, m.division
 	reports, fences := map[string]Report{}, map[string]int{}
 	for i := range m.shards {
@@ -78,16 +80,16 @@
 		if !ok {
 			target = NewAmount(0, 0)
 		}
-		w := tell{version, row.Bounds[m.name(i)], target}
-		m.late, m.lateTo = append(m.late, w), append(m.lateTo, i)
+		w := boundMessage{version, row.Bounds[m.name(i)], target}
+		m.sent, m.sentTo = append(m.sent, w), append(m.sentTo, i)
 		reports[m.name(i)], fences[m.name(i)] = m.deliver(i, w), m.shards[i].fence
 	}
 	next, targets := row.Next(Amount{MilliCPU: modelQuota, MemoryMB: Unlimited}, reports)
-	meanwhile()
+	concurrent()
 	valid := m.version == version
 	for _, name := range row.Lowered(next) {
 		for i := range m.shards {
-			valid = valid && (m.noFence || m.name(i) != name || m.shards[i].fence == fences[name])
+			valid = valid && (m.ignoreFences || m.name(i) != name || m.shards[i].fence == fences[name])
 		}
 	}
 	if valid && !next.Equal(row) {
@@ -97,8 +99,8 @@
 	return targets
 }
 
-// fault has owners change, work go on and old words arrive.
-func (m *model) fault() {
+// injectFaults changes owners, delivers old messages and lets shards work.
+func (m *model) injectFaults() {
 	for range len(m.shards) {
 		i := m.rng.IntN(len(m.shards))
 		switch m.rng.IntN(4) {
@@ -107,18 +109,18 @@
 			m.shards[i].allotment = NewAllotment(m.version, m.division.Bounds[m.name(i)])
 			m.shards[i].allotment.SetQuota(Amount{MilliCPU: modelQuota, MemoryMB: Unlimited})
 		case 1:
-			if n := len(m.late); n > 0 {
+			if n := len(m.sent); n > 0 {
 				k := n - 1 - m.rng.IntN(min(n, 20))
-				m.deliver(m.lateTo[k], m.late[k])
+				m.deliver(m.sentTo[k], m.sent[k])
 			}
 		default:
-			m.shards[i].work(m.rng)
+			m.shards[i].step(m.rng)
 		}
 	}
 }
 
-// most is the largest sum of what was reserved or held at any time.
-func (m *model) run(seed uint64) (most int64) {
+// run returns the largest sum of the amounts reserved or held at any time.
+func (m *model) run(seed uint64) (peak int64) {
 	m.rng = rand.New(rand.NewPCG(seed, 0))
 	m.version = 1
 	m.shards = make([]modelShard, 2+m.rng.IntN(8))
@@ -128,41 +130,41 @@
 	var a, b map[string]Amount
 	for range 100 {
 		a = m.round(a, func() {
-			m.fault()
+			m.injectFaults()
 			if m.rng.IntN(3) == 0 {
-				b = m.round(b, m.fault)
+				b = m.round(b, m.injectFaults)
 			}
 		})
-		m.fault()
+		m.injectFaults()
 		sum := int64(0)
 		for i := range m.shards {
 			sum += max(m.shards[i].used, m.shards[i].allotment.Held().MilliCPU)
 		}
-		most = max(most, sum)
+		peak = max(peak, sum)
 	}
-	return most
+	return peak
 }
 
-// TestDivisionNeverExceedsQuota has two hosts divide at once while owners
-// change and words arrive late and twice. Without the condition on the shards'
-// owners the same runs exceed the quota.
+// TestDivisionNeverExceedsQuota checks the quota while two hosts divide
+// concurrently, owners change and messages are delayed and duplicated. The same
+// runs exceed the quota if commits ignore changes of owner.
 func TestDivisionNeverExceedsQuota(t *testing.T) {
 	exceeded, full := 0, 0
 	for seed := range uint64(divisionSeeds) {
-		most := (&model{}).run(seed)
-		if most > modelQuota {
-			t.Fatalf("seed %d: %d of a quota of %d", seed, most, modelQuota)
+		peak := (&model{}).run(seed)
+		if peak > modelQuota {
+			t.Fatalf("seed %d: %d reserved or held, quota is %d", seed, peak, modelQuota)
 		}
-		if most > modelQuota*9/10 {
+		if peak > modelQuota*9/10 {
 			full++
 		}
-		if (&model{noFence: true}).run(seed) > modelQuota {
+		if (&model{ignoreFences: true}).run(seed) > modelQuota {
 			exceeded++
 		}
 	}
-	t.Logf("%d of %d runs pressed the quota; %d exceeded it without the condition on owners", full, divisionSeeds, exceeded)
+	t.Logf("%d of %d runs came close to the quota; %d exceeded it without the condition on owners", full, divisionSeeds, exceeded)
 	if exceeded == 0 || full == 0 {
-		t.Error("the check proves nothing")
+		t.Error("no run came close to the quota, or none exceeded it without the condition on owners: the test can't detect a violation")
 	}
 }
 
@@ -171,16 +173,16 @@
 	q := Amount{MilliCPU: 1000, MemoryMB: Unlimited}
 	next, _ := d.Next(q, map[string]Report{"s": {Capacity: infra.Resources{MilliCPU: 1, MemoryMB: 1}}})
 	if want := map[string]Amount{"s": {MilliCPU: 1000, MemoryMB: Unlimited}}; !maps.Equal(next.Bounds, want) {
-		t.Errorf("%+v, want %+v", next.Bounds, want)
+		t.Errorf("bounds %+v, want %+v", next.Bounds, want)
 	}
 	var a Allotment
 	a.SetQuota(q)
 	a.Apply(1, next.Bounds["s"])
 	if a.Held() != next.Bounds["s"] {
-		t.Errorf("held %+v", a.Held())
+		t.Errorf("held %+v, want %+v", a.Held(), next.Bounds["s"])
 	}
 	a.SetQuota(Amount{MilliCPU: 1000, MemoryMB: 1000})
 	if got := a.Held().MemoryMB; got != 0 {
-		t.Errorf("%d MB held of a new quota that was not divided yet", got)
+		t.Errorf("%d MB held of a new quota that is not divided yet, want 0", got)
 	}
 }
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,3 +1,4 @@
-// Package quota divides a team's quota among the shards of workers, so that
-// each owner decides alone and the sum never exceeds the quota. It is pure.
+// Package quota divides a team's quota among worker shards, so that each
+// shard's owner decides locally and the sum of reservations never exceeds the
+// quota. It performs no I/O.
 package quota
--- a/quota/report.go
+++ b/quota/report.go
@@ -2,15 +2,15 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// Report is what a shard's owner says of one team there.
+// Report is the report of a shard's owner on one team.
 type Report struct {
-	// Capacity is what the shard's hosts hold in all.
+	// Capacity is the total capacity of the shard's workers.
 	Capacity infra.Resources `msgpack:"c"`
-	// Used is what the team reserves there.
+	// Used is the team's reservations in the shard.
 	Used infra.Resources `msgpack:"u"`
-	// Demand is what its pending jobs ask for besides.
+	// Demand is the sum of the requests of the team's pending jobs.
 	Demand infra.Resources `msgpack:"d"`
-	// Held is the bound that the owner keeps to from now on, until it learns
-	// of a newer division.
+	// Held is the bound that the owner enforces until it receives a newer
+	// division.
 	Held Amount `msgpack:"h"`
 }
--- a/quota/shard.go
+++ b/quota/shard.go
@@ -3,17 +3,17 @@
 // Shard is one shard's report on one team and one resource, in the
 // resource's unit.
 type Shard struct {
-	// Capacity is what the shard's hosts hold in all.
+	// Capacity is the total capacity of the shard's workers.
 	Capacity int64
-	// Used is what the team reserves there.
+	// Used is the team's reservations in the shard.
 	Used int64
-	// Demand is what its pending jobs ask for besides.
+	// Demand is the sum of the requests of the team's pending jobs.
 	Demand int64
-	// Held is the bound that the shard's owner keeps to now.
+	// Held is the bound that the shard's owner enforces.
 	Held int64
 }
 
-// want is what the shard could use at once.
-func (s Shard) want() int64 {
+// wanted returns the amount that the shard could use now.
+func (s Shard) wanted() int64 {
 	return max(s.Used, min(s.Used+s.Demand, s.Capacity))
 }
--- a/quota/holder.go
+++ b/quota/versioned_bound.go
@@ -1,27 +1,27 @@
 package quota
 
-// Holder is what one shard's owner keeps of one team's bound. Snapshots of
-// reports are numbered; each is made once, for all.
+// VersionedBound is one shard's bound on one resource of a team. Snapshots of
+// reports are numbered in increasing order.
 type VersionedBound struct {
 	held     int64
 	reported uint64
 }
 
-// Held is the bound in force.
+// Held returns the current bound.
 func (h *VersionedBound) Held() int64 { return h.held }
 
-// Lower gives up what is held above a bound.
+// Lower reduces the held bound to at most bound.
 func (h *VersionedBound) Lower(bound int64) { h.held = min(h.held, bound) }
 
-// Report returns the bound to report for a snapshot. From then on the results
-// of older snapshots are void, as they would raise what was reported.
+// Report returns the bound to report for a snapshot. From then on, results of
+// older snapshots can't raise the bound above the reported one.
 func (h *VersionedBound) Report(snapshot uint64) int64 {
 	h.reported = max(h.reported, snapshot)
 	return h.held
 }
 
-// Apply takes in the result of a snapshot and reports whether it counts. A
-// result that lowers the bound always does.
+// Apply sets the bound to the result of a snapshot and reports whether it did.
+// Results older than the last report are applied only if they lower the bound.
 func (h *VersionedBound) Apply(snapshot uint64, bound int64) bool {
 	if snapshot < h.reported && bound > h.held {
 		return false
--- a/roster/build.go
+++ b/roster/build.go
@@ -8,16 +8,17 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// RemovalConfirmations is how many lists in a row must lack a member before its absence
-// is believed, when more than half of the members of its kind vanished at
-// once. A broken or half-read list would otherwise end the work of a whole
-// site; a list that lacks up to half is believed at once, so that the loss of
-// an availability zone is. Absences that leave no member of a kind are never
-// believed. Everything else that such a list says is taken as it stands.
+// RemovalConfirmations is the number of consecutive lists that must lack a
+// member before it is removed, if more than half of the members of its kind
+// are missing at once. This guards against truncated lists; smaller removals,
+// such as the loss of an availability zone, apply immediately. A list without
+// any member of a kind never removes the members of that kind. Additions and
+// changes always apply.
 const RemovalConfirmations = 20
 
-// Build returns the roster after one more list was read. A list older than the
-// previous one is passed over. The zero previous Roster believes any list.
+// Build returns the roster that results from applying list to previous. A list
+// with an older revision is ignored. If previous is the zero Roster, any list
+// is accepted in full.
 func Build(previous Roster, list infra.MemberList, lease settings.Lease) Roster {
 	if previous.Known() && list.Revision < previous.revision {
 		return previous
@@ -26,52 +27,52 @@
 	for _, m := range list.Members {
 		r.byName[m.Name] = m
 	}
-	r.keepDoubted(previous)
-	r.group(lease)
-	r.prefer(previous)
+	r.keepUnconfirmed(previous)
+	r.groupMembers(lease)
+	r.computePreferred(previous)
 	return r
 }
 
-// keepDoubted adds the members whose absence is not believed.
-func (r *Roster) keepDoubted(previous Roster) {
+// keepUnconfirmed adds the members whose removal is not confirmed.
+func (r *Roster) keepUnconfirmed(previous Roster) {
 	for _, kind := range []infra.MemberKind{infra.EntryHost, infra.Endpoint, infra.Worker} {
-		gone, before := r.vanished(previous, kind)
-		if 2*len(gone) <= before {
+		removed, total := r.missing(previous, kind)
+		if 2*len(removed) <= total {
 			continue
 		}
-		if len(gone) < before && previous.doubts+1 >= RemovalConfirmations {
+		if len(removed) < total && previous.unconfirmedReads+1 >= RemovalConfirmations {
 			continue
 		}
-		for _, m := range gone {
+		for _, m := range removed {
 			r.byName[m.Name] = m
-			r.doubted = append(r.doubted, m.Name)
+			r.unconfirmed = append(r.unconfirmed, m.Name)
 		}
 	}
-	slices.Sort(r.doubted)
-	if len(r.doubted) > 0 {
-		r.doubts = previous.doubts + 1
+	slices.Sort(r.unconfirmed)
+	if len(r.unconfirmed) > 0 {
+		r.unconfirmedReads = previous.unconfirmedReads + 1
 	}
 }
 
-// vanished returns the members of a kind that the previous roster has and this
-// one lacks, and how many the previous one has.
-func (r *Roster) vanished(previous Roster, kind infra.MemberKind) ([]infra.Member, int) {
-	var gone []infra.Member
-	before := 0
+// missing returns the members of a kind that are in previous but not in r, and
+// the total number of that kind in previous.
+func (r *Roster) missing(previous Roster, kind infra.MemberKind) ([]infra.Member, int) {
+	var removed []infra.Member
+	total := 0
 	for name, m := range previous.byName {
 		if m.Kind != kind {
 			continue
 		}
-		before++
+		total++
 		if _, ok := r.byName[name]; !ok {
-			gone = append(gone, m)
+			removed = append(removed, m)
 		}
 	}
-	return gone, before
+	return removed, total
 }
 
-// group sorts the members by kind, service and shard.
-func (r *Roster) group(lease settings.Lease) {
+// groupMembers builds the sorted lists of members by kind, service and shard.
+func (r *Roster) groupMembers(lease settings.Lease) {
 	r.endpoints = map[string][]infra.Member{}
 	r.members = map[string][]infra.Member{}
 	for _, m := range r.byName {
@@ -105,7 +106,6 @@
 	}
 }
 
-// sortByName sorts members by name.
 func sortByName(members []infra.Member) {
 	slices.SortFunc(members, func(a, b infra.Member) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/roster/doc.go
+++ b/roster/doc.go
@@ -1,4 +1,4 @@
-// Package roster holds the members of the platform's list as last known, and
-// divides endpoints and workers into shards. It is pure: each new list gives a
-// new Roster, and a Roster never changes.
+// Package roster holds the latest known members of the platform's membership
+// list and assigns endpoints and workers to shards. A Roster is immutable: each
+// new list produces a new one. The package performs no I/O.
 package roster
--- a/roster/preferred.go
+++ b/roster/preferred.go
@@ -7,11 +7,12 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Preferred returns the live entry hosts in the order in which they should own
-// a shard: rendezvous hashing, so that the loss or the arrival of a host moves
-// only that host's part. For a shard of workers hosts in the workers' zone come
-// first, then those in their region, so that zones and regions that lose each
-// other leave runs with an owner that reaches them. It works for any shard name.
+// PreferredOwners returns the live entry hosts in order of preference as owner
+// of a shard, which may have any name. The order is by rendezvous hashing, so
+// that adding or removing a host moves only the shards of that host. For a
+// shard of workers, hosts in the workers' zone come first, then those in their
+// region, so that a network partition between zones or regions separates few
+// runs from their owners.
 func (r Roster) PreferredOwners(shard string) []string {
 	if order, ok := r.preferred[shard]; ok {
 		return order
@@ -19,12 +20,12 @@
 	return rendezvous(shard, r.liveHosts)
 }
 
-// Successors returns up to n live entry hosts that should succeed owner: in
-// the order of preference, hosts in zones of their own first, so that one
-// availability zone's loss leaves a successor.
+// Successors returns up to n live entry hosts to succeed owner, in order of
+// preference. The first host of each other availability zone comes before the
+// rest, so that a successor survives the loss of one zone.
 func (r Roster) Successors(shard, owner string, n int) []string {
 	zones := map[string]bool{r.byName[owner].Zone: true}
-	var apart, rest []string
+	var otherZones, rest []string
 	for _, h := range r.PreferredOwners(shard) {
 		zone := r.byName[h].Zone
 		switch {
@@ -33,42 +34,42 @@
 			rest = append(rest, h)
 		default:
 			zones[zone] = true
-			apart = append(apart, h)
+			otherZones = append(otherZones, h)
 		}
 	}
-	order := append(apart, rest...)
+	order := append(otherZones, rest...)
 	return order[:min(n, len(order))]
 }
 
-// prefer works the order of every shard out, or takes it from the previous
-// roster when neither the hosts nor the shard are new.
-func (r *Roster) prefer(previous Roster) {
+// computePreferred computes the preferred owners of every shard, reusing those
+// of the previous roster if the live hosts are the same.
+func (r *Roster) computePreferred(previous Roster) {
 	r.preferred = make(map[string][]string, len(r.shards))
 	same := slices.Equal(r.liveHosts, previous.liveHosts)
 	for _, shard := range r.shards {
 		order, ok := previous.preferred[shard]
 		if !same || !ok {
 			order = rendezvous(shard, r.liveHosts)
-			r.nearFirst(shard, order)
+			r.sortByDistance(shard, order)
 		}
 		r.preferred[shard] = order
 	}
 }
 
-// nearFirst moves the hosts near the workers of a shard to the front of their
-// order. Endpoint shards span zones and have no place.
-func (r *Roster) nearFirst(shard string, order []string) {
+// sortByDistance stably sorts the hosts by their distance to the workers of a
+// shard. Endpoint shards span zones and keep their order.
+func (r *Roster) sortByDistance(shard string, order []string) {
 	members := r.members[shard]
 	if IsEndpointShard(shard) || len(members) == 0 {
 		return
 	}
-	place := members[0]
+	member := members[0]
 	slices.SortStableFunc(order, func(a, b string) int {
-		return cmp.Compare(distance(place, r.byName[a]), distance(place, r.byName[b]))
+		return cmp.Compare(distance(member, r.byName[a]), distance(member, r.byName[b]))
 	})
 }
 
-// distance is 0 within a zone, 1 within a region and 2 beyond.
+// distance returns 0 within a zone, 1 within a region and 2 across regions.
 func distance(a, b infra.Member) int {
 	switch {
 	case a.Region != b.Region:
@@ -80,18 +81,18 @@
 	}
 }
 
-// rendezvous sorts hosts by their weight for a shard, highest first. The
-// library go-rendezvous gives only the first of this order.
+// rendezvous returns the hosts sorted by their hash weight for a shard, highest
+// first. The library go-rendezvous returns only the first host.
 func rendezvous(shard string, hosts []string) []string {
-	type weighed struct {
+	type weightedHost struct {
 		host   string
 		weight uint64
 	}
-	all := make([]weighed, len(hosts))
+	all := make([]weightedHost, len(hosts))
 	for i, h := range hosts {
-		all[i] = weighed{h, hashPair(h, shard)}
+		all[i] = weightedHost{h, hashPair(h, shard)}
 	}
-	slices.SortFunc(all, func(a, b weighed) int {
+	slices.SortFunc(all, func(a, b weightedHost) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.host, b.host))
 	})
 	order := make([]string, len(all))
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -6,35 +6,37 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Roster is the members as of one revision of the list. The zero Roster knows
-// nobody. Slices and maps that its methods return must not be changed.
+// Roster is the set of members as of one revision of the list. The zero Roster
+// is empty. Callers must not modify the slices that its methods return.
 type Roster struct {
 	revision uint64
-	// byName holds every member.
+	// byName holds all members.
 	byName map[string]infra.Member
 	// hosts, endpoints (by service) and workers are sorted by name.
 	hosts     []infra.Member
 	liveHosts []string
 	endpoints map[string][]infra.Member
 	workers   []infra.Member
-	// members are the endpoints or workers of each shard.
+	// members are the endpoints or workers of each shard, sorted by name.
 	members map[string][]infra.Member
 	shards  []string
 	// preferred is the order of live entry hosts for each shard.
 	preferred map[string][]string
-	// doubts counts the lists in a row whose drops were not believed.
-	doubts int
-	// doubted are the members kept though the newest list lacks them.
-	doubted []string
+	// unconfirmedReads is the number of consecutive lists with unconfirmed
+	// removals.
+	unconfirmedReads int
+	// unconfirmed are the members kept although the newest list lacks them.
+	unconfirmed []string
 }
 
-// Known reports whether any list was taken in.
+// Known reports whether the roster was built from a list.
 func (r Roster) Known() bool { return r.byName != nil }
 
-// Doubting reports whether it keeps members that the newest list lacks.
-func (r Roster) HasUnconfirmedRemovals() bool { return r.doubts > 0 }
+// HasUnconfirmedRemovals reports whether the roster keeps members that the
+// newest list lacks.
+func (r Roster) HasUnconfirmedRemovals() bool { return r.unconfirmedReads > 0 }
 
-// Revision returns the revision of the newest list taken in.
+// Revision returns the revision of the newest list.
 func (r Roster) Revision() uint64 { return r.revision }
 
 // Member returns a member by name.
@@ -54,16 +56,17 @@
 	return r.Listed(host) && r.byName[host].State == infra.Live
 }
 
-// EntryHosts returns every entry host, live and leaving, by name.
+// EntryHosts returns all entry hosts, live and leaving, sorted by name.
 func (r Roster) EntryHosts() []infra.Member { return r.hosts }
 
-// LiveHosts returns the names of the live entry hosts in order.
+// LiveHosts returns the sorted names of the live entry hosts.
 func (r Roster) LiveHosts() []string { return r.liveHosts }
 
-// Endpoints returns the endpoints of a service, live and leaving, by name.
+// Endpoints returns the endpoints of a service, live and leaving, sorted by
+// name.
 func (r Roster) Endpoints(service string) []infra.Member { return r.endpoints[service] }
 
-// Services returns the names of the services that have endpoints, in order.
+// Services returns the sorted names of the services that have endpoints.
 func (r Roster) Services() []string {
 	names := make([]string, 0, len(r.endpoints))
 	for s := range r.endpoints {
@@ -73,16 +76,16 @@
 	return names
 }
 
-// Workers returns every worker, live and leaving, by name.
+// Workers returns all workers, live and leaving, sorted by name.
 func (r Roster) Workers() []infra.Member { return r.workers }
 
-// Shards returns the names of the shards that have members, in order.
+// Shards returns the sorted names of the shards that have members.
 func (r Roster) Shards() []string { return r.shards }
 
-// Members returns the endpoints or workers of a shard, live and leaving, by
-// name.
+// Members returns the endpoints or workers of a shard, live and leaving, sorted
+// by name.
 func (r Roster) Members(shard string) []infra.Member { return r.members[shard] }
 
-// Doubted returns the members that the newest list lacks and that are kept,
-// because too many vanished at once.
-func (r Roster) UnconfirmedRemovals() []string { return r.doubted }
+// UnconfirmedRemovals returns the names of the members that the newest list
+// lacks but that are kept, because too many are missing at once.
+func (r Roster) UnconfirmedRemovals() []string { return r.unconfirmed }
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -9,7 +9,7 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// list makes a list of n hosts, endpoints and workers.
+// list returns a list of n entry hosts, n endpoints and n workers.
 func list(revision uint64, n int) infra.MemberList {
 	l := infra.MemberList{Revision: revision}
 	for i := range n {
@@ -24,7 +24,7 @@
 
 var lease = settings.Default().Lease
 
-func TestDivision(t *testing.T) {
+func TestShardsKeepRacksTogether(t *testing.T) {
 	r := Build(Roster{}, list(1, 40), lease)
 	count := 0
 	for _, shard := range r.Shards() {
@@ -40,11 +40,11 @@
 		}
 	}
 	if count != 80 || !slices.IsSorted(r.Shards()) || !slices.Equal(r.Services(), []string{"s"}) {
-		t.Errorf("%d members in %v", count, r.Shards())
+		t.Errorf("%d members in shards %v of services %v, want 80 in sorted shards of service s", count, r.Shards(), r.Services())
 	}
 }
 
-func TestPreferredMovesLittle(t *testing.T) {
+func TestNewHostMovesFewShards(t *testing.T) {
 	small, big := Build(Roster{}, list(1, 9), lease), Build(Roster{}, list(1, 10), lease)
 	moved, total := 0, 1000
 	for i := range total {
@@ -58,21 +58,21 @@
 		}
 	}
 	if moved < total/20 || moved > total/5 {
-		t.Errorf("%d of %d moved, a tenth expected", moved, total)
+		t.Errorf("%d of %d shards moved to the new host, want about a tenth", moved, total)
 	}
 }
 
-func TestSuccessorsAreInOtherZones(t *testing.T) {
+func TestSuccessorsSpreadOverZones(t *testing.T) {
 	r := Build(Roster{}, list(1, 9), lease)
 	for _, shard := range r.Shards() {
 		owner := r.PreferredOwners(shard)[0]
 		got := r.Successors(shard, owner, 2)
 		zones := map[string]bool{zoneOf(r, owner): true, zoneOf(r, got[0]): true, zoneOf(r, got[1]): true}
 		if len(zones) != 3 || slices.Contains(got, owner) {
-			t.Errorf("%s: %s is succeeded by %v", shard, owner, got)
+			t.Errorf("%s: owner %s has successors %v, want three different zones", shard, owner, got)
 		}
 		if all := r.Successors(shard, owner, 99); len(all) != 8 {
-			t.Errorf("%s: %d successors of 8", shard, len(all))
+			t.Errorf("%s: %d successors, want 8", shard, len(all))
 		}
 	}
 }
@@ -82,41 +82,42 @@
 	return m.Zone
 }
 
-func TestOldListIsPassedOver(t *testing.T) {
-	left := list(5, 3)
-	left.Members[0].State = infra.Leaving
-	r := Build(Build(Roster{}, left, lease), list(4, 3), lease)
+func TestOlderListIsIgnored(t *testing.T) {
+	leaving := list(5, 3)
+	leaving.Members[0].State = infra.Leaving
+	r := Build(Build(Roster{}, leaving, lease), list(4, 3), lease)
 	if r.Revision() != 5 || r.LiveHost("h0") || !r.Listed("h0") {
-		t.Error("an older list brought a leaving host back")
+		t.Error("an older list made a leaving host live")
 	}
 	if r = Build(r, list(6, 3), lease); !r.LiveHost("h0") {
-		t.Error("a newer list did not")
+		t.Error("a newer list did not make the host live")
 	}
 }
 
-func TestShrinkingListIsDoubted(t *testing.T) {
-	before := Build(Roster{}, list(1, 10), lease)
+func TestMassRemovalNeedsConfirmation(t *testing.T) {
+	previous := Build(Roster{}, list(1, 10), lease)
 	cases := map[string]struct {
-		left int
-		// after is how many lists it takes until absences are believed, 0
-		// for never.
-		after int
-	}{"a tenth gone": {9, 1}, "half gone": {5, 1}, "most gone": {2, RemovalConfirmations}, "all gone": {0, 0}}
+		remaining int
+		// confirmedAfter is the number of lists after which the removals
+		// apply; 0 for never.
+		confirmedAfter int
+	}{"a tenth removed": {9, 1}, "half removed": {5, 1}, "most removed": {2, RemovalConfirmations}, "all removed": {0, 0}}
 	for name, tc := range cases {
-		r := before
+		r := previous
 		for read := 1; read <= RemovalConfirmations+5; read++ {
-			r = Build(r, list(2, tc.left), lease)
-			believed := tc.after != 0 && read >= tc.after
-			if gone := !r.Listed("h9"); gone != believed || (len(r.UnconfirmedRemovals()) == 0) != believed {
-				t.Fatalf("%s: after %d lists gone is %v, doubted %d", name, read, gone, len(r.UnconfirmedRemovals()))
+			r = Build(r, list(2, tc.remaining), lease)
+			confirmed := tc.confirmedAfter != 0 && read >= tc.confirmedAfter
+			if removed := !r.Listed("h9"); removed != confirmed || (len(r.UnconfirmedRemovals()) == 0) != confirmed {
+				t.Fatalf("%s: after %d lists: removed %v, want %v; %d unconfirmed removals", name, read, removed, confirmed, len(r.UnconfirmedRemovals()))
 			}
 		}
 	}
 }
 
-// TestWorkersAreOwnedNearby checks the order of hosts for shards of workers,
-// and that endpoint shards still spread over all of them.
-func TestWorkersAreOwnedNearby(t *testing.T) {
+// TestWorkerShardsPreferNearbyHosts checks that shards of workers prefer hosts
+// of their zone, then of their region, and that endpoint shards are spread over
+// all zones.
+func TestWorkerShardsPreferNearbyHosts(t *testing.T) {
 	l := infra.MemberList{Revision: 1}
 	for i := range 12 {
 		region, zone := fmt.Sprint("r", i%4/2), fmt.Sprint("z", i%4)
@@ -138,11 +139,11 @@
 			host, _ := r.Member(h)
 			want := min(i/3, 2)
 			if got := distance(r.Members(shard)[0], host); got != want {
-				t.Errorf("%s: %s in place %d is at distance %d, want %d", shard, h, i, got, want)
+				t.Errorf("%s: preferred owner %d, %s, is at distance %d, want %d", shard, i, h, got, want)
 			}
 		}
 	}
 	if len(firsts) != 4 {
-		t.Errorf("endpoint shards prefer the zones %v alone", firsts)
+		t.Errorf("endpoint shards prefer hosts in the zones %v, want all 4", firsts)
 	}
 }
