--- a/quota/divide_test.go
+++ b/quota/divide_test.go
@@ -173,7 +173,7 @@
 	}
 	for _, tt := range tests {
 		if got := tt.amount.Allows(used, more); got != tt.want {
-			t.Errorf("%+v.Allows = %v, want %v", tt.amount, got, tt.want)
+			t.Errorf("%+v.Allows = %v, want the opposite", tt.amount, got)
 		}
 	}
 }
--- a/quota/division.go
+++ b/quota/division.go
@@ -22,8 +22,8 @@
 // stays within the quota.
 func (d Division) Next(q Amount, reports map[string]Report) (next Division, targets map[string]Amount) {
 	names := d.shards(reports)
-	milliCPU := d.divideResource(q.MilliCPU, names, reports, milliCPUAccessor)
-	memoryMB := d.divideResource(q.MemoryMB, names, reports, memoryMBAccessor)
+	milliCPU := d.resourceDivision(q.MilliCPU, names, reports, milliCPUAccessor)
+	memoryMB := d.resourceDivision(q.MemoryMB, names, reports, memoryMBAccessor)
 	next = Division{Bounds: make(map[string]Amount, len(names))}
 	targets = make(map[string]Amount, len(names))
 	for i, name := range names {
@@ -86,7 +86,7 @@
 	}
 )
 
-func (d Division) divideResource(quota int64, names []string, reports map[string]Report, get resourceAccessor) resourceDivision {
+func (d Division) resourceDivision(quota int64, names []string, reports map[string]Report, get resourceAccessor) resourceDivision {
 	shards := make([]Shard, len(names))
 	for i, name := range names {
 		r, reported := reports[name]
--- a/quota/division_test.go
+++ b/quota/division_test.go
@@ -179,7 +179,7 @@
 	a.SetQuota(q)
 	a.Apply(1, next.Bounds["s"])
 	if a.Held() != next.Bounds["s"] {
-		t.Errorf("held %+v, want %+v", a.Held(), next.Bounds["s"])
+		t.Errorf("held %+v, want the bound of the division", a.Held())
 	}
 	a.SetQuota(Amount{MilliCPU: 1000, MemoryMB: 1000})
 	if got := a.Held().MemoryMB; got != 0 {
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -40,7 +40,7 @@
 		}
 	}
 	if count != 80 || !slices.IsSorted(r.Shards()) || !slices.Equal(r.Services(), []string{"s"}) {
-		t.Errorf("%d members in shards %v of services %v, want 80 in sorted shards of service s", count, r.Shards(), r.Services())
+		t.Errorf("%d members in shards %v, want 80 members in sorted shards and only service s", count, r.Shards())
 	}
 }
 
@@ -108,7 +108,7 @@
 			r = Build(r, list(2, tc.remaining), lease)
 			confirmed := tc.confirmedAfter != 0 && read >= tc.confirmedAfter
 			if removed := !r.Listed("h9"); removed != confirmed || (len(r.UnconfirmedRemovals()) == 0) != confirmed {
-				t.Fatalf("%s: after %d lists: removed %v, want %v; %d unconfirmed removals", name, read, removed, confirmed, len(r.UnconfirmedRemovals()))
+				t.Fatalf("%s: after %d lists: removed %v, %d unconfirmed removals", name, read, removed, len(r.UnconfirmedRemovals()))
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 			host, _ := r.Member(h)
 			want := min(i/3, 2)
 			if got := distance(r.Members(shard)[0], host); got != want {
-				t.Errorf("%s: preferred owner %d, %s, is at distance %d, want %d", shard, i, h, got, want)
+				t.Errorf("%s: host %s at index %d is at distance %d, want %d", shard, h, i, got, want)
 			}
 		}
 	}
