--- a/infra/doc.go
+++ b/infra/doc.go
@@ -1,5 +1,5 @@
-// Package infra holds the interfaces to the outside systems that the
-// platform gives (table service, object store, membership list, workers) and
-// the types they speak. Implementations over HTTP are in standin/httpclient;
-// in-memory ones for tests and the demo are in package standin.
+// Package infra defines the interfaces to the platform's services (table
+// service, object store, membership list, workers) and their types. Package
+// standin/httpclient implements them over HTTP; package standin has in-memory
+// implementations for tests and the demo.
 package infra
--- a/infra/members.go
+++ b/infra/members.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// MemberKind tells what a member of the platform's list is.
+// MemberKind is the kind of a member of the platform's list.
 type MemberKind string
 
 // The kinds of members.
@@ -12,16 +12,16 @@
 	Worker    MemberKind = "worker"
 )
 
-// MemberState is what the list says of a member.
+// MemberState is the state of a member according to the list.
 type MemberState string
 
-// The states of members. A member that has gone is absent from the list.
+// The states of members. A member that has left is not in the list.
 const (
 	Live    MemberState = "live"
 	Leaving MemberState = "leaving"
 )
 
-// Member is one entry of the platform's lagging membership list.
+// Member is one entry of the platform's membership list.
 type Member struct {
 	Kind MemberKind `json:"kind"`
 	// Name is unique among members of all kinds.
@@ -39,11 +39,11 @@
 	Slots int `json:"slots,omitempty"`
 	// Connections is how many connections an endpoint accepts.
 	Connections int `json:"connections,omitempty"`
-	// Capacity is what a worker holds.
+	// Capacity is the total resources of a worker.
 	Capacity Resources `json:"capacity,omitzero"`
 }
 
-// MemberList is the list as of one revision; revisions only rise.
+// MemberList is one revision of the list. Revisions only increase.
 type MemberList struct {
 	Revision uint64   `json:"revision"`
 	Members  []Member `json:"members"`
@@ -51,6 +51,6 @@
 
 // Members is the platform's membership service.
 type Members interface {
-	// List reads the newest list, which lags behind the truth.
+	// List reads the newest list, which may lag behind the actual membership.
 	List(ctx context.Context) (MemberList, error)
 }
--- a/infra/objects.go
+++ b/infra/objects.go
@@ -2,11 +2,11 @@
 
 import "context"
 
-// Objects is the platform's object store. Keys are content hashes or other
-// names that are written once.
+// Objects is the platform's object store. A key is written once; it is the
+// content's hash or another unique name.
 type Objects interface {
-	// Put stores an object; writing the same object again is harmless.
+	// Put stores an object. It is idempotent.
 	Put(ctx context.Context, key string, data []byte) error
-	// Get reads an object; ErrNotFound if there is none.
+	// Get reads an object. It returns ErrNotFound if there is none.
 	Get(ctx context.Context, key string) ([]byte, error)
 }
--- a/infra/resources.go
+++ b/infra/resources.go
@@ -2,11 +2,11 @@
 
 // Resources is an amount of each resource of a host.
 type Resources struct {
-	// MilliCPU is thousandths of a core.
+	// MilliCPU is CPU in thousandths of a core.
 	MilliCPU int64 `json:"milli_cpu" msgpack:"c"`
-	// MemoryMB is megabytes of memory.
+	// MemoryMB is memory in megabytes.
 	MemoryMB int64 `json:"memory_mb" msgpack:"m"`
-	// Accelerators is whole accelerators.
+	// Accelerators is the number of accelerators.
 	Accelerators int64 `json:"accelerators" msgpack:"a"`
 }
 
--- a/mechanism/doc.go
+++ b/mechanism/doc.go
@@ -1,4 +1,4 @@
-// Package mechanism names the parts of the scheduling policy that can be left
-// out one by one, to measure what each is worth. It is for experiments: an
-// operator has no reason to leave one out.
+// Package mechanism names the parts of the scheduling policy that experiments
+// can disable one by one to measure their effect. In production all of them are
+// enabled.
 package mechanism
--- a/mechanism/set.go
+++ b/mechanism/set.go
@@ -7,48 +7,55 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mechanism is one part of the scheduling policy.
+// Mechanism is one part of the scheduling policy that can be disabled.
 type Mechanism uint8
 
-// The mechanisms, each with what happens without it.
+// The mechanisms, each with the behaviour when it is disabled.
 const (
-	// Hope: steps wait by arrival, whatever they can still reach.
+	// Timeliness: steps are queued in order of arrival, even if they can no
+	// longer finish on time.
 	Timeliness Mechanism = iota
-	// ReservedCapacity: no worker is kept for a step that fits nowhere yet.
+	// ReservedCapacity: no worker is reserved for a step that currently fits
+	// nowhere.
 	ReservedCapacity
-	// Headroom: long-running tasks begin wherever they fit.
+	// Headroom: long-running tasks start wherever they fit.
 	Headroom
-	// Preemption: nothing gives way to a queue that comes first.
+	// Preemption: no running task is preempted for a queue with precedence.
 	Preemption
-	// Pacing: fillers beside a long tail are moved or stand still, not slowed.
+	// CPULimits: best-effort tasks on a worker whose tail latency is too long
+	// are moved or paused, but not slowed down.
 	CPULimits
-	// Moving: fillers beside a long tail are slowed or stand still, not moved.
+	// Moving: best-effort tasks on a worker whose tail latency is too long are
+	// slowed down or paused, but not moved.
 	Moving
-	// Foresight: a serving task's load is taken to stay as it is.
+	// LoadForecast: the load of a serving task is assumed to stay constant.
 	LoadForecast
-	// Pairs: all images are taken to disturb each other alike.
+	// PairEffects: all images are assumed to interfere with each other equally.
 	PairEffects
-	// Classes: serving tasks are placed without regard to who serves there.
+	// ClassAffinity: serving tasks are placed regardless of the classes that
+	// already serve on a worker.
 	ClassAffinity
-	// SpreadFirst: long-running tasks are placed as they come, steps that must
-	// spread not before others.
+	// SpreadFirst: long-running tasks are placed in order of arrival; steps
+	// that must spread over workers don't go first.
 	SpreadFirst
-	// BlockOverTarget: fillers may join a tail over its target if the model allows it.
+	// BlockOverTarget: best-effort tasks may start on a worker whose tail
+	// latency is over its target if the interference model allows it.
 	BlockOverTarget
-	// Copies: speculative tasks get no second run.
+	// SpeculativeRuns: speculative tasks get no second run.
 	SpeculativeRuns
-	// Suspects: workers that fail all they get are used like others.
+	// FailingWorkers: workers on which every run fails are not avoided.
 	FailingWorkers
-	// NoCapacityPause: a worker that refused a start for want of room gets the next
-	// at once.
+	// NoCapacityPause: a worker that refused a start for lack of capacity is
+	// sent the next start immediately.
 	NoCapacityPause
-	// Lessons: a new owner learns anew what images do to each other.
+	// StoredEstimates: a new owner doesn't load the interference estimates of
+	// its predecessor.
 	StoredEstimates
-	mechanisms
+	mechanismCount
 )
 
-// names are the mechanisms as settings name them.
-var names = [mechanisms]string{
+// names holds the name of each mechanism in the settings.
+var names = [mechanismCount]string{
 	"hope", "kept-room", "headroom", "preemption", "pacing", "moving", "foresight", "pairs", "classes",
 	"bounded-first", "tail-stop", "copies", "suspects", "room-pause", "lessons",
 }
@@ -56,10 +63,10 @@
 // Set is a set of mechanisms. The zero value is empty.
 type Set uint32
 
-// Has reports whether the set holds the mechanism.
+// Has reports whether s contains m.
 func (s Set) Has(m Mechanism) bool { return s&(1<<m) != 0 }
 
-// Of returns the set of the mechanisms.
+// Of returns the set of the given mechanisms.
 func Of(all ...Mechanism) Set {
 	var s Set
 	for _, m := range all {
@@ -68,10 +75,10 @@
 	return s
 }
 
-// Names returns the names of all mechanisms.
+// Names returns the names of all mechanisms in the settings.
 func Names() []string { return slices.Clone(names[:]) }
 
-// Parse reads names with commas between them; nothing stands for the empty set.
+// Parse reads a comma-separated list of names; an empty list is the empty set.
 func Parse(list string) (Set, error) {
 	var s Set
 	if list == "" {
--- a/mechanism/set_test.go
+++ b/mechanism/set_test.go
@@ -7,7 +7,8 @@
 	"github.com/fireflygate/fireflygate/mechanism"
 )
 
-// TestParse reads each name, several, none, and refuses others.
+// TestParse checks that every name, a list and the empty list are read, and
+// that an unknown name is rejected.
 func TestParse(t *testing.T) {
 	all := mechanism.Names()
 	seen := map[mechanism.Set]string{}
@@ -16,8 +17,8 @@
 		if err != nil || s == 0 {
 			t.Errorf("%s: set %b, error %v", name, s, err)
 		}
-		if other, twice := seen[s]; twice {
-			t.Errorf("%s and %s are the same", name, other)
+		if other, duplicate := seen[s]; duplicate {
+			t.Errorf("%s and %s parse to the same set", name, other)
 		}
 		seen[s] = name
 	}
@@ -26,9 +27,9 @@
 		t.Errorf("pacing,moving: set %b, error %v", s, err)
 	}
 	if s, err := mechanism.Parse(""); s != 0 || err != nil {
-		t.Errorf("nothing: set %b, error %v", s, err)
+		t.Errorf("empty list: set %b, error %v", s, err)
 	}
 	if _, err := mechanism.Parse("pacing,nonsense"); err == nil || !strings.Contains(err.Error(), "nonsense") {
-		t.Errorf("error %v, want one that names the word", err)
+		t.Errorf("error %v, want one that contains the unknown name", err)
 	}
 }
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,27 +1,27 @@
-// Package outcome holds the three things that can be said of a request once
-// it is over. They are values, carried through every layer up to HTTP and the
-// exit code of the command line.
+// Package outcome classifies how a finished request ended. The outcome is
+// passed as a value through every layer, up to the HTTP response and the exit
+// code of the command line.
 package outcome
 
-// Kind says whether a request ran.
+// Kind tells whether a request ran.
 type Kind uint8
 
-// The outcomes. The zero value is Unknown, so that a forgotten outcome never
-// claims more than is known.
+// The outcomes. Unknown is the zero value, so that an outcome that was never
+// set doesn't claim that the request ran or didn't run.
 const (
 	// Unknown: the request may or may not have run.
 	Unknown Kind = iota
-	// Answered: the caller has the whole answer.
+	// Answered: the caller has the complete response.
 	Answered
 	// NotRun: no byte of the request reached an endpoint, or the endpoint
-	// refused it unprocessed.
+	// rejected the request without processing it.
 	NotRun
 )
 
 // Header is the HTTP header that carries the outcome to the caller.
 const Header = "Fireflygate-Outcome"
 
-// String returns the outcome as it is written in headers and JSON.
+// String returns the form used in headers and JSON.
 func (k Kind) String() string {
 	switch k {
 	case Answered:
@@ -33,7 +33,7 @@
 	}
 }
 
-// Parse reads what String writes. Anything else is Unknown.
+// Parse is the inverse of String. It returns Unknown for any other text.
 func Parse(s string) Kind {
 	switch s {
 	case "answered":
