--- a/routing/admission.go
+++ b/routing/admission.go
@@ -3,69 +3,72 @@
 import "time"
 
 const (
-	// minRetryAfter and maxRetryAfter bound what refused callers are told.
+	// minRetryAfter and maxRetryAfter bound Admission.RetryAfter.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
 
-// Reasons of refusals.
+// Reasons for refusing a request.
 const (
-	// ReasonQueueFull: the queue has its largest length.
+	// ReasonQueueFull: the queue is at its length limit.
 	ReasonQueueFull = "queue_full"
-	// ReasonDeadlineUnreachable: the wait would be longer than the time left.
+	// ReasonDeadlineUnreachable: the request would wait past its deadline.
 	ReasonDeadlineUnreachable = "deadline_unreachable"
-	// ReasonOverloaded: the queue does not drain, so a wait helps nobody.
+	// ReasonOverloaded: the queue does not drain, so that waiting only adds
+	// latency.
 	ReasonOverloaded = "overloaded"
 )
 
-// Admission is the answer to whether a request may wait.
+// Admission is the decision whether a request may join the queue.
 type Admission struct {
-	// Wait is whether it may.
+	// Admitted is set if the request may wait.
 	Admitted bool
-	// RetryAfter is what a refused caller is told.
+	// RetryAfter is the suggested delay before the caller retries a refused
+	// request.
 	RetryAfter time.Duration
-	// Reason is why it was refused.
+	// Reason is the reason of a refusal.
 	Reason string
 }
 
 const (
-	// standingFor is how long the queue must have been long for its length to
-	// count as standing: a burst is waited for, a standing queue only makes
-	// every answer late.
-	standingFor = 500 * time.Millisecond
-	// standingWork is how many times the work of one request a wait may be
-	// while the queue is standing.
-	standingWork = 5
-	// deadlineMargin is how many times the mean work of one request must be
-	// left of its time when it is dispatched, since much work takes longer
-	// than the mean.
-	deadlineMargin = 2
-	// leastWork is taken for the mean work where none was measured, so that
-	// whoever waits for the request hears that it was given up.
-	leastWork = 10 * time.Millisecond
+	// standingQueueAfter is how long a queue must stay long to count as a
+	// standing queue rather than a burst. A burst drains; a standing queue only
+	// adds latency.
+	standingQueueAfter = 500 * time.Millisecond
+	// standingWaitFactor limits the wait in a standing queue, in multiples of
+	// the service time.
+	standingWaitFactor = 5
+	// deadlineMarginFactor is the time that must be left until the deadline at
+	// dispatch, in multiples of the mean service time. Many requests take
+	// longer than the mean.
+	deadlineMarginFactor = 2
+	// minServiceTime replaces an unknown mean service time, so that the caller
+	// still gets the refusal before its deadline.
+	minServiceTime = 10 * time.Millisecond
 )
 
-// WaitDeadline returns until when a request with the deadline may wait, where one
-// takes each, 0 if that is not known.
-func WaitDeadline(deadline time.Time, each time.Duration) time.Time {
-	return deadline.Add(-deadlineMargin * max(each, leastWork))
+// WaitDeadline returns the latest time until which a request with the given
+// deadline may wait for a slot. serviceTime is the mean time that one request
+// takes; 0 if unknown.
+func WaitDeadline(deadline time.Time, serviceTime time.Duration) time.Time {
+	return deadline.Add(-deadlineMarginFactor * max(serviceTime, minServiceTime))
 }
 
-// Admit decides whether a request with the time remaining may join the queue,
-// where slots free up perSecond and one request takes each. Both come from
-// the measured latency, so the queue's limit follows it. A request that is
-// refused is refused now, not when its time is over.
-func (q *Queue) Admit(now time.Time, perSecond float64, each, remaining time.Duration) Admission {
+// Admit decides whether a request with the time remaining may join the queue.
+// perSecond is the rate at which slots become free and serviceTime the mean
+// time that one request takes; both follow the measured latency. A request that
+// cannot be served in time is refused immediately rather than at its deadline.
+func (q *Queue) Admit(now time.Time, perSecond float64, serviceTime, remaining time.Duration) Admission {
 	if perSecond <= 0 {
-		return q.admitBlind()
+		return q.admitWithoutRate()
 	}
 	wait := time.Duration(float64(q.Len()+1) / perSecond * float64(time.Second))
-	long := wait > standingWork*each
+	long := wait > standingWaitFactor*serviceTime
 	standing := q.standing(now, long)
 	switch {
 	case q.Full():
 		return Admission{RetryAfter: clamp(wait), Reason: ReasonQueueFull}
-	case wait+deadlineMargin*each > remaining:
+	case wait+deadlineMarginFactor*serviceTime > remaining:
 		return Admission{RetryAfter: clamp(wait), Reason: ReasonDeadlineUnreachable}
 	case standing && long:
 		return Admission{RetryAfter: clamp(wait), Reason: ReasonOverloaded}
@@ -74,20 +77,21 @@
 	}
 }
 
-// standing notes whether the queue is long at now, and reports whether it has
-// been, on and off, for so long that it does not drain by itself.
+// standing records whether the queue is long at now, and reports whether it has
+// been long, with short breaks only, for more than standingQueueAfter.
 func (q *Queue) standing(now time.Time, long bool) bool {
-	if q.longSince.IsZero() || now.Sub(q.longLast) > standingFor {
+	if q.longSince.IsZero() || now.Sub(q.longLast) > standingQueueAfter {
 		q.longSince = now
 	}
 	if long {
 		q.longLast = now
 	}
-	return now.Sub(q.longSince) > standingFor
+	return now.Sub(q.longSince) > standingQueueAfter
 }
 
-// admitBlind decides where no rate is known since all slots are elsewhere.
-func (q *Queue) admitBlind() Admission {
+// admitWithoutRate decides when the rate is unknown because all slots are on
+// other hosts.
+func (q *Queue) admitWithoutRate() Admission {
 	if q.Full() {
 		return Admission{RetryAfter: time.Second, Reason: ReasonQueueFull}
 	}
--- a/routing/backend.go
+++ b/routing/backend.go
@@ -7,18 +7,20 @@
 const (
 	// latencyWeight is the weight of a new sample in the moving average.
 	latencyWeight = 0.1
-	// initialLatency is assumed until the first sample.
+	// initialLatency is the assumed latency before the first sample.
 	initialLatency = 10 * time.Millisecond
-	// minSuccess keeps the score of a failing endpoint finite.
+	// minSuccess is a lower bound of the success rate, so that the score of a
+	// failing endpoint stays finite.
 	minSuccess = 0.05
-	// minSamples is how many results an endpoint needs before it can be an
-	// outlier of latency.
+	// minSamples is how many results an endpoint needs before it can be a
+	// latency outlier.
 	minSamples = 20
-	// maxEjectionFactor bounds how long repeated ejections grow.
+	// maxEjectionFactor limits the duration of repeated ejections, in multiples
+	// of the first.
 	maxEjectionFactor = 10
 )
 
-// backend is an endpoint with what is known of its load and health.
+// backend is an endpoint with its current load and health.
 type backend struct {
 	Endpoint
 	inUse    int
@@ -26,12 +28,12 @@
 	latency  float64 // seconds, moving average
 	success  float64 // share of successes, moving average
 	samples  int
-	failures int // in a row
+	failures int // consecutive
 
-	rampFrom     time.Time // zero when not in slow start
+	slowStartAt  time.Time // zero if not in slow start
 	ejectedUntil time.Time
 	ejections    int
-	gone         bool // no longer in the list; kept until its slots are free
+	removed      bool // no longer in the list; kept until its slots are free
 }
 
 func newBackend(e Endpoint) *backend {
@@ -43,22 +45,22 @@
 	return now.Before(b.ejectedUntil)
 }
 
-// limit bounds slots in use by slow start, given the slots allowed by the
-// grant.
+// limit returns the maximum number of slots in use during slow start, given the
+// number that the grant allows.
 func (b *backend) limit(now time.Time, allowed int, slowStart time.Duration) int {
-	if b.rampFrom.IsZero() || allowed == 0 {
+	if b.slowStartAt.IsZero() || allowed == 0 {
 		return allowed
 	}
-	age := now.Sub(b.rampFrom)
+	age := now.Sub(b.slowStartAt)
 	if age >= slowStart {
-		b.rampFrom = time.Time{}
+		b.slowStartAt = time.Time{}
 		return allowed
 	}
 	part := int(float64(allowed) * age.Seconds() / slowStart.Seconds())
 	return max(1, part)
 }
 
-// score is what a request is expected to cost here; smaller is better.
+// score estimates the cost of sending a request to b; lower is better.
 func (b *backend) score(allowed int, cfg Config) float64 {
 	s := b.latency * float64(b.inUse+1) / float64(allowed)
 	s /= max(b.success, minSuccess)
@@ -68,8 +70,9 @@
 	return s
 }
 
-// observe takes a result in. A failure counts as at least as slow as tail, so
-// that an endpoint that fails fast does not look fast.
+// observe updates the statistics with a result. A failure counts as at least as
+// slow as tail, in seconds, so that an endpoint that fails fast does not look
+// fast.
 func (b *backend) observe(r Result, tail float64) {
 	sample := r.Latency.Seconds()
 	ok := 1.0
@@ -89,12 +92,12 @@
 	b.samples++
 }
 
-// eject keeps traffic away until a time that grows with each ejection, and
-// lets the endpoint start slowly afterwards.
+// eject stops traffic to the endpoint. The duration grows with each ejection;
+// afterwards the endpoint is in slow start.
 func (b *backend) eject(now time.Time, cfg Config) {
 	b.ejections = min(b.ejections+1, maxEjectionFactor)
 	b.ejectedUntil = now.Add(time.Duration(b.ejections) * cfg.EjectFor)
-	b.rampFrom = b.ejectedUntil
+	b.slowStartAt = b.ejectedUntil
 	b.failures = 0
 	b.samples = 0
 	b.latency = initialLatency.Seconds()
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -1,6 +1,6 @@
 package routing
 
-// Budget is a token bucket that limits retries to a share of the recent
+// RetryBudget is a token bucket that limits retries to a share of the recent
 // requests.
 type RetryBudget struct {
 	ratio  float64
@@ -8,10 +8,10 @@
 	limit  float64
 }
 
-// budgetBurst is how many retries may be saved up.
+// budgetBurst is the maximum number of retries that can accumulate.
 const budgetBurst = 20
 
-// NewBudget returns a budget that allows ratio retries per request.
+// NewRetryBudget returns a budget that allows ratio retries per request.
 func NewRetryBudget(ratio float64) *RetryBudget {
 	return &RetryBudget{ratio: ratio, limit: budgetBurst}
 }
@@ -19,12 +19,12 @@
 // SetRatio changes the share of requests that may be retried.
 func (b *RetryBudget) SetRatio(ratio float64) { b.ratio = ratio }
 
-// Request counts one first attempt.
+// AddRequest counts the first attempt of a request.
 func (b *RetryBudget) AddRequest() {
 	b.tokens = min(b.limit, b.tokens+b.ratio)
 }
 
-// Take spends one retry and reports whether there was one.
+// TakeRetry uses one retry and reports whether one was available.
 func (b *RetryBudget) TakeRetry() bool {
 	if b.tokens < 1 {
 		return false
@@ -33,5 +33,5 @@
 	return true
 }
 
-// Left returns how many retries may be made now.
+// Available returns the number of retries that may be made now.
 func (b *RetryBudget) Available() float64 { return b.tokens }
--- a/routing/choice_bench_test.go
+++ b/routing/choice_bench_test.go
@@ -11,8 +11,9 @@
 )
 
 // BenchmarkChoice simulates eight endpoints of 8 slots at about half load, one
-// of which is ten times slower or fails everything at once, and compares the
-// pool's choice with a random one among the free.
+// of which is ten times slower than the others or fails every request
+// immediately. It compares the pool's choice with a random choice among the
+// free endpoints.
 func BenchmarkChoice(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -35,8 +36,8 @@
 	}
 }
 
-// held is a slot in use until a time.
-type held struct {
+// busySlot is a slot in use until a given time.
+type busySlot struct {
 	slot   *Slot
 	until  time.Time
 	result Result
@@ -50,11 +51,11 @@
 		list = append(list, ep(n, 8))
 	}
 	p := newPool(list...)
-	view := grants(ownership.Full, ownership.Full, t0, names...)
+	snapshot := grants(ownership.Full, ownership.Full, t0, names...)
 	r := rand.New(rand.NewPCG(3, 0))
 	took := hdrhistogram.New(1, 10_000_000, 3)
 	failures, requests := 0, 0
-	var running []held
+	var running []busySlot
 	const step, duration = 300 * time.Microsecond, 20 * time.Second
 	for now := t0; now.Before(t0.Add(duration)); now = now.Add(step) {
 		kept := running[:0]
@@ -69,7 +70,7 @@
 			p.Release(h.slot)
 		}
 		running = kept
-		s := choose(p, now, view, r, random)
+		s := choose(p, now, snapshot, r, random)
 		if s == nil {
 			continue
 		}
@@ -83,7 +84,7 @@
 			failures++
 		}
 		_ = took.RecordValue(result.Latency.Microseconds())
-		running = append(running, held{s, now.Add(result.Latency), result})
+		running = append(running, busySlot{s, now.Add(result.Latency), result})
 	}
 	b.ReportMetric(float64(failures)/float64(requests), "failed/request")
 	b.ReportMetric(float64(took.ValueAtQuantile(50))/1000, "p50-ms")
@@ -91,14 +92,14 @@
 	b.ReportMetric(took.Mean()/1000, "mean-ms")
 }
 
-// choose acquires a slot by the pool's choice or of a random free endpoint.
-func choose(p *Pool, now time.Time, view *ownership.Snapshot, r *rand.Rand, random bool) *Slot {
+// choose acquires a slot, by the pool's choice or of a random free endpoint.
+func choose(p *Pool, now time.Time, snapshot *ownership.Snapshot, r *rand.Rand, random bool) *Slot {
 	if !random {
-		return p.Acquire(now, "s", view, r)
+		return p.Acquire(now, "s", snapshot, r)
 	}
 	var free []*backend
 	for _, b := range p.services["s"].backends {
-		if _, n := p.room(now, b, view); n > 0 {
+		if _, n := p.available(now, b, snapshot); n > 0 {
 			free = append(free, b)
 		}
 	}
--- a/routing/choice_test.go
+++ b/routing/choice_test.go
@@ -7,10 +7,10 @@
 	"github.com/fireflygate/fireflygate/ownership"
 )
 
-// shareOf returns the part of 2000 choices that go to endpoint "bad", whose
-// result is given; the others take 10 ms. Nothing is ejected, so that only the
-// choice keeps traffic away.
-func shareOf(t *testing.T, bad Result) float64 {
+// trafficShare returns the share of 2000 requests that go to endpoint "bad",
+// all of whose results are the given one. The other endpoints take 10 ms.
+// Ejection is disabled, so that only the choice by score limits the traffic.
+func trafficShare(t *testing.T, bad Result) float64 {
 	t.Helper()
 	names := []string{"bad", "a", "b", "c", "d", "e", "f", "g"}
 	var list []Endpoint
@@ -19,11 +19,11 @@
 	}
 	p := newPool(list...)
 	p.cfg.MaxEjected = 0
-	view := grants(ownership.Full, ownership.Full, t0, names...)
+	snapshot := grants(ownership.Full, ownership.Full, t0, names...)
 	now, r, hits := t0, rng(), 0
 	const n = 2000
 	for range n {
-		s := p.Acquire(now, "s", view, r)
+		s := p.Acquire(now, "s", snapshot, r)
 		p.WriteDone(s)
 		result := Result{Latency: 10 * time.Millisecond, Sent: true}
 		if s.Endpoint().Name == "bad" {
@@ -37,17 +37,17 @@
 	return float64(hits) / n
 }
 
-func TestFailingFastDrawsNoTraffic(t *testing.T) {
-	got := shareOf(t, Result{Latency: 10 * time.Microsecond, Sent: true, Failed: true})
+func TestFastFailingEndpointGetsLittleTraffic(t *testing.T) {
+	got := trafficShare(t, Result{Latency: 10 * time.Microsecond, Sent: true, Failed: true})
 	if got > 0.02 {
-		t.Errorf("endpoint that fails fast got %.3f of the requests; an even share is 0.125", got)
+		t.Errorf("endpoint that fails fast got %.3f of the requests, want at most 0.02; an even share is 0.125", got)
 	}
 }
 
 func TestSlowEndpointGetsLess(t *testing.T) {
-	got := shareOf(t, Result{Latency: 100 * time.Millisecond, Sent: true})
+	got := trafficShare(t, Result{Latency: 100 * time.Millisecond, Sent: true})
 	if got > 0.04 {
-		t.Errorf("endpoint that is ten times slower got %.3f of the requests", got)
+		t.Errorf("endpoint that is ten times slower got %.3f of the requests, want at most 0.04", got)
 	}
 }
 
@@ -60,20 +60,20 @@
 		return name
 	}
 	if got := choose(t0); got != "near" {
-		t.Errorf("chose %q, want the same zone", got)
+		t.Errorf("chose %q, want the peer in the same zone", got)
 	}
 	if got := choose(t0); got != "far" {
-		t.Errorf("chose %q, want the one that is left", got)
+		t.Errorf("chose %q, want the remaining peer with free slots", got)
 	}
 	if got := choose(t0, "far"); got != "" {
-		t.Errorf("chose %q though it was asked before", got)
+		t.Errorf("chose %q although it is excluded", got)
 	}
 	p.SetFree("near", "s", 3)
 	if got := choose(t0); got != "near" {
-		t.Errorf("chose %q, want the corrected one", got)
+		t.Errorf("chose %q, want the peer with the updated number of free slots", got)
 	}
-	if got := choose(t0.Add(digestLife + 1)); got != "" {
-		t.Errorf("chose %q by a digest that is too old", got)
+	if got := choose(t0.Add(digestTTL + 1)); got != "" {
+		t.Errorf("chose %q by an expired digest", got)
 	}
 }
 
@@ -87,6 +87,6 @@
 		}
 	}
 	if retries < 95 || retries > 100 {
-		t.Errorf("%d retries of 1000 requests, want a tenth", retries)
+		t.Errorf("%d retries of 1000 requests, want 95 to 100", retries)
 	}
 }
--- a/routing/config.go
+++ b/routing/config.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// Config tunes a Pool.
+// Config configures a Pool.
 type Config struct {
 	// Zone is this host's availability zone.
 	Zone string
-	// ZonePenalty multiplies the score of an endpoint of another zone; 1 or
-	// more.
+	// ZonePenalty multiplies the score of endpoints in other zones; at least 1.
 	ZonePenalty float64
-	// SlowStart is how long a new endpoint takes to get its full share.
+	// SlowStart is the time over which a new endpoint is ramped up to its full
+	// share of slots.
 	SlowStart time.Duration
-	// EjectAfter is how many failures in a row eject an endpoint.
+	// EjectAfter is the number of consecutive failures after which an endpoint
+	// is ejected.
 	EjectAfter int
-	// EjectFor is how long a first ejection lasts; it grows with each.
+	// EjectFor is the duration of a first ejection; each further one is longer.
 	EjectFor time.Duration
-	// MaxEjected is the largest share of a service's endpoints ejected at
-	// once.
+	// MaxEjected is the maximum share of a service's endpoints that may be
+	// ejected at the same time.
 	MaxEjected float64
-	// LatencyOutlier is how many times the median latency of its service an
-	// endpoint's latency must be for it to be ejected.
+	// LatencyOutlier is the multiple of the service's median latency above
+	// which an endpoint is ejected.
 	LatencyOutlier float64
 }
 
-// DefaultConfig returns the tuning used in production, for a host in zone.
+// DefaultConfig returns the production configuration for a host in zone.
 func DefaultConfig(zone string) Config {
 	return Config{
 		Zone:           zone,
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,5 +1,5 @@
 // Package routing decides where an interactive request goes: to a slot of an
 // endpoint that this host owns, to a peer, into the queue, or back to the
-// caller. It is pure: callers pass the time and randomness, and guard every
-// value with a lock of their own.
+// caller with a refusal. It does no I/O and reads no clock: callers pass the
+// time and the source of randomness, and synchronize access themselves.
 package routing
--- a/routing/health.go
+++ b/routing/health.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// tailFactor is how far above the mean of a service's latencies its tail is
-// taken to lie.
+// tailFactor estimates a service's tail latency as a multiple of its mean.
 const tailFactor = 3
 
-// Observe takes the result of a request in, and returns whether the endpoint
-// was ejected for it.
+// Observe records the result of a request, and reports whether it caused the
+// endpoint to be ejected.
 func (p *Pool) Observe(now time.Time, s *Slot, r Result) (ejected bool) {
 	b := s.backend
 	g := p.services[b.Service]
@@ -25,7 +24,8 @@
 	return true
 }
 
-// outlier reports whether b fails, or is slow, far beyond the others.
+// outlier reports whether b fails consecutively, or is much slower than the
+// other endpoints of g.
 func (p *Pool) outlier(b *backend, g *group) bool {
 	if b.failures >= p.cfg.EjectAfter {
 		return true
@@ -37,7 +37,8 @@
 	return ok && b.latency > p.cfg.LatencyOutlier*median
 }
 
-// mayEject reports whether one more endpoint of g may be ejected.
+// mayEject reports whether ejecting one more endpoint of g stays within
+// Config.MaxEjected.
 func (p *Pool) mayEject(now time.Time, g *group) bool {
 	out := 1
 	for _, b := range g.backends {
@@ -62,9 +63,9 @@
 	return sum / float64(n)
 }
 
-// medianOfOthers returns the median latency of the endpoints other than b that
-// were measured. Most endpoints are other owners', and never are: one can't be
-// an outlier among them. Fewer than two others tell nothing.
+// medianOfOthers returns the median latency of the measured endpoints other
+// than b; false if there are fewer than two. Endpoints owned by other hosts are
+// never measured here.
 func (g *group) medianOfOthers(b *backend) (float64, bool) {
 	var others []float64
 	for _, o := range g.backends {
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -7,25 +7,26 @@
 	"github.com/fireflygate/fireflygate/ownership"
 )
 
-// TestOutlierAmongMeasured lets a host measure some of a service's endpoints,
-// as the owner of a few shards does, with the latencies given.
-func TestOutlierAmongMeasured(t *testing.T) {
+// TestLatencyOutlierIgnoresUnmeasured checks that latency outliers are found
+// among the measured endpoints only: a host that owns a few shards measures
+// only some of a service's endpoints.
+func TestLatencyOutlierIgnoresUnmeasured(t *testing.T) {
 	const ms = time.Millisecond
-	for _, one := range []struct {
-		name string
-		own  map[string]time.Duration
-		want string // the endpoint that is ejected
+	for _, c := range []struct {
+		name      string
+		latencies map[string]time.Duration
+		want      string // the endpoint to be ejected; empty for none
 	}{
 		{"all alike", map[string]time.Duration{"a": 500 * ms, "b": 450 * ms, "c": 480 * ms}, ""},
 		{"only one", map[string]time.Duration{"a": 500 * ms}, ""},
 		{"one slow", map[string]time.Duration{"a": 20 * ms, "b": 1000 * ms, "c": 25 * ms}, "b"},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			p := newPool(ep("a", 4), ep("b", 4), ep("c", 4), ep("d", 4), ep("e", 4), ep("f", 4))
 			ejected := ""
 			for range 2 * minSamples {
 				for _, name := range []string{"a", "b", "c"} {
-					latency, ok := one.own[name]
+					latency, ok := c.latencies[name]
 					if !ok {
 						continue
 					}
@@ -40,8 +41,8 @@
 					p.Release(s)
 				}
 			}
-			if ejected != one.want {
-				t.Errorf("ejected %q, want %q", ejected, one.want)
+			if ejected != c.want {
+				t.Errorf("ejected %q, want %q", ejected, c.want)
 			}
 		})
 	}
--- a/routing/peerrate.go
+++ b/routing/peerrate.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// relaySpan is the time over which the rate of requests that peers served is
-// a mean: a second tells 10 a second from 20, and follows peers that fill up
-// within the usual deadline.
-const relaySpan = time.Second
+// peerRateWindow is the time constant of the rate of requests served by peers:
+// long enough for a stable rate, short enough to follow peers that become full
+// within a typical deadline.
+const peerRateWindow = time.Second
 
-// relay measures what peers do for the requests of one service that come here.
-type relay struct {
-	// perSecond is the rate as of last, a mean that fades with relaySpan.
-	perSecond float64
-	last      time.Time
-	each      float64 // seconds, moving average
+// peerRate measures the requests of one service that peers serve for this host.
+type peerRate struct {
+	// perSecond is the rate at the time last, an average that decays with
+	// peerRateWindow.
+	perSecond   float64
+	last        time.Time
+	serviceTime float64 // seconds, moving average
 }
 
-// served takes in a request that a peer served, from its sending to its end.
-func (r *relay) served(now time.Time, took time.Duration) {
+// observe records a request that a peer served. took is the time from its
+// sending to its end.
+func (r *peerRate) observe(now time.Time, took time.Duration) {
 	if r.last.IsZero() {
-		r.each = took.Seconds()
+		r.serviceTime = took.Seconds()
 	}
-	r.perSecond = r.rate(now) + 1/relaySpan.Seconds()
-	r.each += latencyWeight * (took.Seconds() - r.each)
+	r.perSecond = r.rate(now) + 1/peerRateWindow.Seconds()
+	r.serviceTime += latencyWeight * (took.Seconds() - r.serviceTime)
 	r.last = now
 }
 
-// rate returns the requests per second that peers serve.
-func (r *relay) rate(now time.Time) float64 {
-	return r.perSecond * math.Exp(-now.Sub(r.last).Seconds()/relaySpan.Seconds())
+// rate returns the requests per second that peers serve, as of now.
+func (r *peerRate) rate(now time.Time) float64 {
+	return r.perSecond * math.Exp(-now.Sub(r.last).Seconds()/peerRateWindow.Seconds())
 }
--- a/routing/peerrate_test.go
+++ b/routing/peerrate_test.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// TestPeersCountForTheWait has a host whose one endpoint hangs, so that its
-// slots free up 6 times a second, beside peers that serve 100 a second.
-func TestPeersCountForTheWait(t *testing.T) {
-	const perSecond, each, deadline = 6, 700 * time.Millisecond, time.Second
+// TestPeerRateCountsTowardsWait checks admission on a host whose only endpoint
+// hangs, so that it finishes 6 requests per second, while peers serve 100 per
+// second.
+func TestPeerRateCountsTowardsWait(t *testing.T) {
+	const perSecond, serviceTime, deadline = 6, 700 * time.Millisecond, time.Second
 	q := NewQueue(100)
 	now := t0
 	admit := func() Admission {
-		rate, mean := q.DrainRate(now, perSecond, each)
+		rate, mean := q.DrainRate(now, perSecond, serviceTime)
 		return q.Admit(now, rate, mean, deadline)
 	}
 	if a := admit(); a.Reason != ReasonDeadlineUnreachable {
-		t.Errorf("alone: %+v", a)
+		t.Errorf("without peers: %+v", a)
 	}
 	for range 200 {
 		now = now.Add(10 * time.Millisecond)
@@ -24,7 +25,7 @@
 	}
 	for range 10 {
 		if a := admit(); !a.Admitted {
-			t.Fatalf("beside peers, with %d waiting: %+v", q.Len(), a)
+			t.Fatalf("with peers and %d waiting: %+v", q.Len(), a)
 		}
 		q.Push(&Ticket{QueuedAt: now, WaitDeadline: now.Add(deadline)})
 	}
@@ -35,19 +36,20 @@
 	if a := admit(); a.Reason != ReasonDeadlineUnreachable {
 		t.Errorf("with %d waiting: %+v", q.Len(), a)
 	}
-	// The peers have filled up: nothing of theirs counts any more.
+	// Once the peers have served nothing for 10 s, their rate no longer counts.
 	now = now.Add(10 * time.Second)
-	if rate, _ := q.DrainRate(now, perSecond, each); rate > perSecond+0.1 {
-		t.Errorf("%.1f a second after ten quiet seconds", rate)
+	if rate, _ := q.DrainRate(now, perSecond, serviceTime); rate > perSecond+0.1 {
+		t.Errorf("drain rate of %.1f/s after 10 s without requests served by peers, want nearly none of theirs", rate)
 	}
 }
 
-// TestNoOwnRateStaysUnknown has a host without slots: its requests wait for
-// peers whatever these served lately, as that is no bound of what they can.
-func TestNoOwnRateStaysUnknown(t *testing.T) {
+// TestRateUnknownWithoutOwnSlots checks that the rate of a host without slots
+// stays unknown: what peers have served is no upper bound on what they can
+// serve.
+func TestRateUnknownWithoutOwnSlots(t *testing.T) {
 	q := NewQueue(1)
 	q.ObservePeer(t0, 30*time.Millisecond)
 	if rate, _ := q.DrainRate(t0, 0, 0); rate != 0 {
-		t.Errorf("%.1f a second", rate)
+		t.Errorf("drain rate of %.1f/s without own slots, want 0", rate)
 	}
 }
--- a/routing/peers.go
+++ b/routing/peers.go
@@ -7,73 +7,75 @@
 	"time"
 )
 
-// digestLife is how long a peer's digest is believed without another one.
-const digestLife = 2 * time.Second
+// digestTTL is how long a peer's digest is valid.
+const digestTTL = 2 * time.Second
 
-// Peers holds what other entry hosts last said of their free slots.
+// Peers holds the free slots that other entry hosts last reported.
 type Peers struct {
-	zone string
-	all  map[string]*digest
-	// names is the peers in a fixed order, so that choices depend on the
-	// randomness passed in only.
+	zone   string
+	byName map[string]*digest
+	// names lists the peers in a fixed order, so that choices depend only on
+	// the source of randomness.
 	names []string
 }
 
 type digest struct {
-	zone string
-	free map[string]int
-	at   time.Time
+	zone      string
+	free      map[string]int
+	updatedAt time.Time
 }
 
-// NewPeers returns the empty knowledge of a host in zone.
+// NewPeers returns an empty Peers for a host in zone.
 func NewPeers(zone string) *Peers {
-	return &Peers{zone: zone, all: map[string]*digest{}}
+	return &Peers{zone: zone, byName: map[string]*digest{}}
 }
 
-// Update takes a peer's free slots by service in, NoShare for services that it
-// can't serve; whole says the same of services left out.
-func (p *Peers) Update(now time.Time, peer, zone string, free map[string]int, whole bool) {
-	d := p.all[peer]
+// Update records a peer's free slots by service, NoShare for services that it
+// cannot serve. If full is set, it cannot serve services missing from free
+// either.
+func (p *Peers) Update(now time.Time, peer, zone string, free map[string]int, full bool) {
+	d := p.byName[peer]
 	if d == nil {
 		d = &digest{free: map[string]int{}}
-		p.all[peer] = d
-		p.names = slices.Sorted(maps.Keys(p.all))
+		p.byName[peer] = d
+		p.names = slices.Sorted(maps.Keys(p.byName))
 	}
-	if whole {
+	if full {
 		clear(d.free)
 	}
 	maps.Copy(d.free, free)
 	d.zone = zone
-	d.at = now
+	d.updatedAt = now
 }
 
-// Correct sets one service's free slots as a peer's answer just gave them.
+// SetFree sets the free slots of one service from a peer's reply.
 func (p *Peers) SetFree(peer, service string, free int) {
-	if d := p.all[peer]; d != nil {
+	if d := p.byName[peer]; d != nil {
 		d.free[service] = free
 	}
 }
 
-// Drop forgets a peer.
+// Remove removes a peer.
 func (p *Peers) Remove(peer string) {
-	delete(p.all, peer)
-	p.names = slices.Sorted(maps.Keys(p.all))
+	delete(p.byName, peer)
+	p.names = slices.Sorted(maps.Keys(p.byName))
 }
 
-// Serving reports whether a peer has lately said that it may serve the service,
-// if only when a slot becomes free.
+// Serving reports whether a peer has recently reported that it may use
+// endpoints of the service, even if none has a free slot.
 func (p *Peers) Serving(now time.Time, service string) bool {
-	for _, d := range p.all {
-		if free, said := d.free[service]; said && free != NoShare && now.Sub(d.at) <= digestLife {
+	for _, d := range p.byName {
+		if free, ok := d.free[service]; ok && free != NoShare && now.Sub(d.updatedAt) <= digestTTL {
 			return true
 		}
 	}
 	return false
 }
 
-// Choose takes one free slot of a peer: the one with more free of two random
-// choices weighted by free slots, in the same zone if any has one there. The
-// digest is counted down so that a burst does not follow one stale number.
+// Choose takes one free slot of a peer. It draws two peers, weighted by their
+// free slots and in the same zone if any there has one, and returns the one
+// with more free slots. It decrements the recorded number, so that a burst does
+// not overload one peer until its next digest.
 func (p *Peers) Choose(now time.Time, service string, rng *rand.Rand, exclude []string) (string, bool) {
 	near, far := p.candidates(now, service, exclude)
 	if len(near) == 0 {
@@ -82,18 +84,18 @@
 	if len(near) == 0 {
 		return "", false
 	}
-	a, b := p.weighted(near, service, rng), p.weighted(near, service, rng)
-	if p.all[b].free[service] > p.all[a].free[service] {
+	a, b := p.pickWeighted(near, service, rng), p.pickWeighted(near, service, rng)
+	if p.byName[b].free[service] > p.byName[a].free[service] {
 		a = b
 	}
-	p.all[a].free[service]--
+	p.byName[a].free[service]--
 	return a, true
 }
 
 func (p *Peers) candidates(now time.Time, service string, exclude []string) (near, far []string) {
 	for _, name := range p.names {
-		d := p.all[name]
-		if d.free[service] <= 0 || now.Sub(d.at) > digestLife || slices.Contains(exclude, name) {
+		d := p.byName[name]
+		if d.free[service] <= 0 || now.Sub(d.updatedAt) > digestTTL || slices.Contains(exclude, name) {
 			continue
 		}
 		if d.zone == p.zone {
@@ -105,15 +107,16 @@
 	return near, far
 }
 
-// weighted draws one name with a chance proportional to its free slots.
-func (p *Peers) weighted(names []string, service string, rng *rand.Rand) string {
+// pickWeighted returns a random name with a probability proportional to its
+// free slots.
+func (p *Peers) pickWeighted(names []string, service string, rng *rand.Rand) string {
 	total := 0
 	for _, n := range names {
-		total += p.all[n].free[service]
+		total += p.byName[n].free[service]
 	}
 	at := rng.IntN(total)
 	for _, n := range names {
-		at -= p.all[n].free[service]
+		at -= p.byName[n].free[service]
 		if at < 0 {
 			return n
 		}
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -16,10 +16,10 @@
 	started  bool
 }
 
-// group is the endpoints of one service.
+// group holds the endpoints of one service.
 type group struct {
 	backends []*backend
-	// free is scratch space for one Acquire.
+	// free is scratch space of Acquire.
 	free []candidate
 }
 
@@ -34,39 +34,40 @@
 	return &Pool{cfg: cfg, byName: map[string]*backend{}, services: map[string]*group{}}
 }
 
-// Set replaces the list of endpoints. Endpoints that were in the list keep
-// their slots in use and their estimates. Endpoints that join later than the
-// first list start slowly.
+// SetEndpoints replaces the list of endpoints. Endpoints that stay in the list
+// keep their slots in use and their statistics. Endpoints added after the first
+// list are in slow start.
 func (p *Pool) SetEndpoints(now time.Time, endpoints []Endpoint) {
 	for _, b := range p.byName {
-		b.gone = true
+		b.removed = true
 	}
 	for _, e := range endpoints {
-		p.put(now, e)
+		p.upsert(now, e)
 	}
 	p.started = p.started || len(endpoints) > 0
-	p.index()
+	p.rebuildServices()
 }
 
-func (p *Pool) put(now time.Time, e Endpoint) {
+func (p *Pool) upsert(now time.Time, e Endpoint) {
 	b, known := p.byName[e.Name]
 	if !known {
 		b = newBackend(e)
 		p.byName[e.Name] = b
 		if p.started {
-			b.rampFrom = now
+			b.slowStartAt = now
 		}
 	}
 	b.Endpoint = e
-	b.gone = false
+	b.removed = false
 }
 
-// index drops endpoints that are gone and idle, and groups the rest. One that
-// is gone with slots in use is kept, so that its return finds them counted.
-func (p *Pool) index() {
+// rebuildServices deletes removed endpoints that are idle, and groups the rest
+// by service. A removed endpoint with slots in use is kept, so that these still
+// count if it is added again.
+func (p *Pool) rebuildServices() {
 	p.services = map[string]*group{}
 	for name, b := range p.byName {
-		if b.gone {
+		if b.removed {
 			if b.inUse == 0 {
 				delete(p.byName, name)
 			}
@@ -90,38 +91,38 @@
 }
 
 // allowed returns how many slots of b the grant allows at now.
-func (p *Pool) allowed(now time.Time, b *backend, view *ownership.Snapshot) int {
-	g, ok := view.Grants[b.Shard]
+func (p *Pool) allowed(now time.Time, b *backend, snapshot *ownership.Snapshot) int {
+	g, ok := snapshot.Grants[b.Shard]
 	if !ok {
 		return 0
 	}
 	return g.At(now).Of(b.UsableSlots())
 }
 
-// Acquire takes a slot of the better of two random endpoints that have one
-// free, or returns nil.
-func (p *Pool) Acquire(now time.Time, service string, view *ownership.Snapshot, rng *rand.Rand) *Slot {
+// Acquire takes a slot of the endpoint with the lower score of two random ones
+// with a free slot. It returns nil if there is none.
+func (p *Pool) Acquire(now time.Time, service string, snapshot *ownership.Snapshot, rng *rand.Rand) *Slot {
 	g := p.services[service]
 	if g == nil {
 		return nil
 	}
 	g.free = g.free[:0]
 	for _, b := range g.backends {
-		if allowed, n := p.room(now, b, view); n > 0 {
+		if allowed, n := p.available(now, b, snapshot); n > 0 {
 			g.free = append(g.free, candidate{b, b.score(allowed, p.cfg)})
 		}
 	}
 	if len(g.free) == 0 {
 		return nil
 	}
-	chosen := better(g.free, rng)
+	chosen := pickBetter(g.free, rng)
 	chosen.inUse++
 	chosen.writing++
 	return &Slot{backend: chosen, writing: true}
 }
 
-// better returns the one of two random candidates with the lower score.
-func better(free []candidate, rng *rand.Rand) *backend {
+// pickBetter draws two candidates and returns the one with the lower score.
+func pickBetter(free []candidate, rng *rand.Rand) *backend {
 	i := rng.IntN(len(free))
 	if len(free) == 1 {
 		return free[i].backend
@@ -136,30 +137,30 @@
 	return free[i].backend
 }
 
-// room returns how many slots of b the grant allows, and how many of them may
-// be taken now.
-func (p *Pool) room(now time.Time, b *backend, view *ownership.Snapshot) (allowed, free int) {
+// available returns how many slots of b the grant allows, and how many of them
+// may be taken now.
+func (p *Pool) available(now time.Time, b *backend, snapshot *ownership.Snapshot) (allowed, free int) {
 	if b.Leaving || b.ejected(now) {
 		return 0, 0
 	}
-	allowed = p.allowed(now, b, view)
+	allowed = p.allowed(now, b, snapshot)
 	limit := b.limit(now, allowed, p.cfg.SlowStart)
 	window := WriteWindow(b.UsableSlots()) - b.writing
 	return allowed, min(limit-b.inUse, window)
 }
 
 // MayWrite reports whether the request that holds the slot may still be
-// written: it is asked just before the first byte, since the grant may have
-// lapsed after Acquire.
-func (p *Pool) MayWrite(now time.Time, s *Slot, view *ownership.Snapshot) bool {
+// written. It must be called right before the first byte, since the grant may
+// have expired after Acquire.
+func (p *Pool) MayWrite(now time.Time, s *Slot, snapshot *ownership.Snapshot) bool {
 	b := s.backend
-	if b.Leaving || b.gone || s.released {
+	if b.Leaving || b.removed || s.released {
 		return false
 	}
-	return b.inUse <= p.allowed(now, b, view)
+	return b.inUse <= p.allowed(now, b, snapshot)
 }
 
-// Written ends the slot's time in the write window. It may be called twice.
+// WriteDone ends the slot's time in the write window. It is idempotent.
 func (p *Pool) WriteDone(s *Slot) {
 	if !s.writing {
 		return
@@ -168,8 +169,8 @@
 	s.backend.writing--
 }
 
-// Release frees the slot once the endpoint is surely done with the request.
-// It may be called twice.
+// Release frees the slot. It must be called only once the endpoint no longer
+// processes the request. It is idempotent.
 func (p *Pool) Release(s *Slot) {
 	if s.released {
 		return
@@ -177,7 +178,7 @@
 	p.WriteDone(s)
 	s.released = true
 	s.backend.inUse--
-	if s.backend.gone && s.backend.inUse == 0 && p.byName[s.backend.Name] == s.backend {
+	if s.backend.removed && s.backend.inUse == 0 && p.byName[s.backend.Name] == s.backend {
 		delete(p.byName, s.backend.Name)
 	}
 }
--- a/routing/pool_test.go
+++ b/routing/pool_test.go
@@ -15,11 +15,11 @@
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 func grants(share, after ownership.Share, until time.Time, shards ...string) *ownership.Snapshot {
-	v := &ownership.Snapshot{Grants: map[string]ownership.Grant{}}
+	snapshot := &ownership.Snapshot{Grants: map[string]ownership.Grant{}}
 	for _, s := range shards {
-		v.Grants[s] = ownership.Grant{Shard: s, Share: share, ShareAfter: after, Until: until}
+		snapshot.Grants[s] = ownership.Grant{Shard: s, Share: share, ShareAfter: after, Until: until}
 	}
-	return v
+	return snapshot
 }
 
 func ep(name string, slots int) Endpoint {
@@ -32,8 +32,8 @@
 	return p
 }
 
-// TestPoolNeverExceeds drives a pool with any order of events and checks that
-// no endpoint gets more than its grant, its window and its state allow.
+// TestPoolNeverExceeds applies random operations to a pool and checks that no
+// endpoint exceeds its grant, its write window and its connections.
 func TestPoolNeverExceeds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := t0
@@ -45,18 +45,18 @@
 			list = append(list, e)
 		}
 		p := newPool(list...)
-		view := grants(ownership.Full, ownership.Full, t0, names...)
+		snapshot := grants(ownership.Full, ownership.Full, t0, names...)
 		var held []*Slot
 		check := func(s *Slot) {
 			b := s.backend
-			allowed := view.Grants[b.Shard].At(now).Of(b.UsableSlots())
+			allowed := snapshot.Grants[b.Shard].At(now).Of(b.UsableSlots())
 			if b.Leaving || b.inUse > allowed || b.inUse > b.Connections/2 || b.writing > WriteWindow(b.UsableSlots()) {
-				t.Fatalf("%+v of %d allowed", *b, allowed)
+				t.Fatalf("endpoint exceeds its limits: %+v, %d slots allowed", *b, allowed)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"acquire": func(*rapid.T) {
-				if s := p.Acquire(now, "s", view, rng()); s != nil {
+				if s := p.Acquire(now, "s", snapshot, rng()); s != nil {
 					check(s)
 					held = append(held, s)
 				}
@@ -81,7 +81,7 @@
 			},
 			"grant": func(t *rapid.T) {
 				share := ownership.Share(rapid.IntRange(0, 2).Draw(t, "share"))
-				view = grants(share, ownership.Share(rapid.IntRange(0, 2).Draw(t, "after")), now.Add(time.Second), names...)
+				snapshot = grants(share, ownership.Share(rapid.IntRange(0, 2).Draw(t, "after")), now.Add(time.Second), names...)
 			},
 			"leave": func(t *rapid.T) {
 				i := rapid.IntRange(0, 2).Draw(t, "i")
@@ -97,16 +97,16 @@
 					total += b.inUse
 				}
 				if total != len(held) {
-					t.Fatalf("%d in use, %d held", total, len(held))
+					t.Fatalf("pool counts %d slots in use, want the %d acquired", total, len(held))
 				}
 			},
 		})
 	})
 }
 
-// TestPausedOwnerStaysWithinCapacity lets an owner pause with as many requests
-// between check and write as it may have, and wake when a successor uses its
-// half.
+// TestPausedOwnerStaysWithinCapacity pauses an owner with as many requests
+// between check and write as possible, and checks that these and a successor's
+// half stay within the capacity.
 func TestPausedOwnerStaysWithinCapacity(t *testing.T) {
 	for slots := 1; slots <= 9; slots++ {
 		old, next := newPool(ep("a", slots)), newPool(ep("a", slots))
@@ -128,32 +128,32 @@
 	}
 }
 
-func TestMayWriteAsksTheGrantAgain(t *testing.T) {
+func TestMayWriteChecksGrantAgain(t *testing.T) {
 	p := newPool(ep("a", 2))
-	view := grants(ownership.Full, ownership.None, t0.Add(time.Second), "a")
-	s := p.Acquire(t0, "s", view, rng())
-	if !p.MayWrite(t0, s, view) || p.MayWrite(t0.Add(time.Second), s, view) {
-		t.Error("the grant's end is not seen before the write")
+	snapshot := grants(ownership.Full, ownership.None, t0.Add(time.Second), "a")
+	s := p.Acquire(t0, "s", snapshot, rng())
+	if !p.MayWrite(t0, s, snapshot) || p.MayWrite(t0.Add(time.Second), s, snapshot) {
+		t.Error("want a write allowed before the grant expires and refused after")
 	}
 }
 
 func TestSlowStart(t *testing.T) {
 	p := newPool(ep("a", 8))
 	p.SetEndpoints(t0, []Endpoint{ep("a", 8), ep("b", 8)})
-	view := grants(ownership.Full, ownership.Full, t0, "a", "b")
+	snapshot := grants(ownership.Full, ownership.Full, t0, "a", "b")
 	b := p.byName["b"]
 	for _, c := range []struct {
 		after time.Duration
 		want  int
 	}{{0, 1}, {2500 * time.Millisecond, 4}, {5 * time.Second, 8}} {
-		if got := b.limit(t0.Add(c.after), p.allowed(t0, b, view), p.cfg.SlowStart); got != c.want {
-			t.Errorf("after %v: %d, want %d", c.after, got, c.want)
+		if got := b.limit(t0.Add(c.after), p.allowed(t0, b, snapshot), p.cfg.SlowStart); got != c.want {
+			t.Errorf("after %v: limit of %d slots, want %d", c.after, got, c.want)
 		}
 	}
 }
 
-// TestEjectionLeavesEnough fails every request of every endpoint: no more than
-// half may be ejected.
+// TestEjectionLeavesEnough fails every request to every endpoint, and checks
+// that at most half of the endpoints are ejected.
 func TestEjectionLeavesEnough(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	var list []Endpoint
@@ -161,10 +161,10 @@
 		list = append(list, ep(n, 2))
 	}
 	p := newPool(list...)
-	view := grants(ownership.Full, ownership.Full, t0, names...)
+	snapshot := grants(ownership.Full, ownership.Full, t0, names...)
 	r := rng()
 	for range 500 {
-		s := p.Acquire(t0, "s", view, r)
+		s := p.Acquire(t0, "s", snapshot, r)
 		p.Observe(t0, s, Result{Failed: true})
 		p.Release(s)
 	}
@@ -172,6 +172,6 @@
 		t.Errorf("%d of 5 ejected, want 2", n)
 	}
 	if p.Ejected(t0.Add(time.Minute)) != 0 {
-		t.Error("ejection does not end")
+		t.Error("endpoints still ejected after a minute")
 	}
 }
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -5,63 +5,66 @@
 	"time"
 )
 
-// Queue holds the requests of one service that wait for a slot, oldest first.
+// Queue holds the requests of one service that wait for a slot, in order of
+// arrival.
 type Queue struct {
 	limit   int
 	tickets list.List
-	// longSince is since when the queue is long with short breaks only, and
-	// longLast when it was last long.
+	// longSince is when the queue became long, ignoring short breaks; longLast
+	// is when it was last long.
 	longSince, longLast time.Time
-	// peers is what is served elsewhere.
-	peers relay
+	// peers measures the requests served by peers.
+	peers peerRate
 }
 
-// NewQueue returns a queue that holds up to limit tickets.
+// NewQueue returns a queue of up to limit tickets.
 func NewQueue(limit int) *Queue {
 	return &Queue{limit: limit}
 }
 
-// SetLimit changes how many tickets may wait. Those that wait already stay.
+// SetLimit changes how many tickets may wait. Tickets above a lower limit are
+// kept.
 func (q *Queue) SetLimit(limit int) { q.limit = limit }
 
-// Served takes in that a peer served a request of the queue's service, and how
-// long that took.
-func (q *Queue) ObservePeer(now time.Time, took time.Duration) { q.peers.served(now, took) }
+// ObservePeer records that a peer served a request of the queue's service in
+// the given time.
+func (q *Queue) ObservePeer(now time.Time, took time.Duration) { q.peers.observe(now, took) }
 
-// Turnover returns how many requests leave the queue per second and how long
-// one takes, where this host's slots serve perSecond that take each: peers
-// serve some too. Without them a host whose few endpoints hang would refuse
-// what its peers could answer. A host without slots has no rate of its own.
-func (q *Queue) DrainRate(now time.Time, perSecond float64, each time.Duration) (float64, time.Duration) {
+// DrainRate returns how many requests leave the queue per second and the mean
+// time that one takes, given the rate and the mean time of this host's own
+// slots. It adds the requests served by peers, so that a host whose few
+// endpoints hang does not refuse what its peers can serve. If perSecond is 0,
+// the rate stays unknown.
+func (q *Queue) DrainRate(now time.Time, perSecond float64, serviceTime time.Duration) (float64, time.Duration) {
 	elsewhere := q.peers.rate(now)
 	if perSecond <= 0 || elsewhere <= 0 {
-		return perSecond, each
+		return perSecond, serviceTime
 	}
 	both := perSecond + elsewhere
-	mean := (perSecond*each.Seconds() + elsewhere*q.peers.each) / both
+	mean := (perSecond*serviceTime.Seconds() + elsewhere*q.peers.serviceTime) / both
 	return both, time.Duration(mean * float64(time.Second))
 }
 
-// Len returns how many tickets wait.
+// Len returns the number of waiting tickets.
 func (q *Queue) Len() int { return q.tickets.Len() }
 
-// Full reports whether another ticket is one too many.
+// Full reports whether the queue is at its limit.
 func (q *Queue) Full() bool { return q.tickets.Len() >= q.limit }
 
-// Push adds a ticket.
+// Push adds a ticket at the end.
 func (q *Queue) Push(t *Ticket) {
 	t.element = q.tickets.PushBack(t)
 }
 
-// Return puts a popped ticket back in its place, the first, since what it was
-// given came to nothing.
+// Requeue puts a popped ticket back at the front, after the slot or peer
+// assigned to it failed.
 func (q *Queue) Requeue(t *Ticket) {
 	t.Slot, t.Peer = nil, ""
 	t.Ready = make(chan struct{})
 	t.element = q.tickets.PushFront(t)
 }
 
-// Remove takes a ticket out and reports whether it was still there.
+// Remove removes a ticket and reports whether it was still in the queue.
 func (q *Queue) Remove(t *Ticket) bool {
 	if t.element == nil {
 		return false
@@ -71,7 +74,8 @@
 	return true
 }
 
-// Take takes out the oldest ticket whatever its time, or returns nil.
+// PopAny removes the oldest ticket, even if its wait deadline has passed. It
+// returns nil if the queue is empty.
 func (q *Queue) PopAny() *Ticket {
 	e := q.tickets.Front()
 	if e == nil {
@@ -82,14 +86,14 @@
 	return t
 }
 
-// Pop takes out the oldest ticket, or returns nil. Tickets that have given up
-// are left to their own timers.
+// Pop removes the oldest ticket whose wait deadline has not passed, or returns
+// nil. The request's own timer removes an expired ticket.
 func (q *Queue) Pop(now time.Time) *Ticket {
 	return q.pop(now, func(*Ticket) bool { return true })
 }
 
-// PopForward takes out the oldest ticket that was sent to fewer than limit
-// peers in vain, or returns nil.
+// PopForward is like Pop, for tickets that fewer than limit peers have failed
+// to serve.
 func (q *Queue) PopForward(now time.Time, limit int) *Ticket {
 	return q.pop(now, func(t *Ticket) bool { return t.FailedForwards < limit })
 }
--- a/routing/queue_bench_test.go
+++ b/routing/queue_bench_test.go
@@ -8,10 +8,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkQueueOrder simulates 16 slots of 10 ms each, offered 1.5 times and 3
-// times what they serve, by requests of which half may take 100 ms and half
-// 1 s. For a fifth of each second the work takes ten times as long, unseen by
-// admission. It compares the orders, with admission at arrival and without.
+// BenchmarkQueueOrder compares queueing orders and admission policies under
+// overload: 16 slots of 10 ms each at 1.5 and 3 times their capacity, with
+// request timeouts of 100 ms and 1 s. For a fifth of each second requests take
+// ten times as long, which admission does not know.
 func BenchmarkQueueOrder(b *testing.B) {
 	orders := map[string]order{"oldest": oldestFirst, "newest": newestFirst, "adaptive": adaptive, "deadline": earliestDeadline}
 	for _, name := range []string{"oldest", "newest", "adaptive", "deadline"} {
@@ -24,7 +24,7 @@
 			{"3x", 3, standing},
 			{"1.5x-deadline", 1.5, byDeadline},
 			{"3x-deadline", 3, byDeadline},
-			{"3x-blind", 3, blind},
+			{"3x-blind", 3, lengthOnly},
 		} {
 			b.Run(name+"/"+c.name, func(b *testing.B) {
 				for range b.N {
@@ -37,57 +37,57 @@
 	}
 }
 
-// order is which ticket is served next.
+// order decides which ticket is served next.
 type order uint8
 
 const (
-	oldestFirst order = iota // what Queue does
+	oldestFirst order = iota // the order of Queue
 	newestFirst
-	adaptive // newest first once the oldest has waited for half its patience
+	adaptive // newest first once the oldest has waited for half its timeout
 	earliestDeadline
 )
 
-// admission is what decides at arrival.
+// admission is the admission policy at arrival.
 type admission uint8
 
 const (
-	blind      admission = iota // nothing but the queue's length
+	lengthOnly admission = iota // only the queue's length
 	byDeadline                  // the estimated wait
-	standing                    // the estimated wait, and whether it lasts
+	standing                    // the estimated wait and standing queues
 )
 
 const (
-	simSlots = 16
-	simWork  = 10 * time.Millisecond
-	simStep  = 100 * time.Microsecond
-	simTime  = 20 * time.Second
+	simSlots       = 16
+	simServiceTime = 10 * time.Millisecond
+	simStep        = 100 * time.Microsecond
+	simDuration    = 20 * time.Second
 )
 
-// queueSim advances in steps of simStep.
+// queueSim simulates a queue in steps of simStep.
 type queueSim struct {
 	load      float64
 	admission admission
 	order     order
 	queue     *Queue
-	busy      [simSlots]time.Time // until when
-	waiting   map[*Ticket]time.Time
-	good      *hdrhistogram.Histogram // ms until answered
+	busy      [simSlots]time.Time // busy until
+	deadlines map[*Ticket]time.Time
+	answered  *hdrhistogram.Histogram // ms until answered
 	refused   *hdrhistogram.Histogram // ms until refused
 }
 
 func (s *queueSim) run() {
 	r := rand.New(rand.NewPCG(7, 0))
-	s.good, s.refused = hdrhistogram.New(1, 10_000, 3), hdrhistogram.New(1, 10_000, 3)
-	s.waiting = map[*Ticket]time.Time{}
-	perStep := s.load * simSlots * simStep.Seconds() / simWork.Seconds()
-	for now := t0; now.Before(t0.Add(simTime)); now = now.Add(simStep) {
+	s.answered, s.refused = hdrhistogram.New(1, 10_000, 3), hdrhistogram.New(1, 10_000, 3)
+	s.deadlines = map[*Ticket]time.Time{}
+	perStep := s.load * simSlots * simStep.Seconds() / simServiceTime.Seconds()
+	for now := t0; now.Before(t0.Add(simDuration)); now = now.Add(simStep) {
 		for n := perStep; n > r.Float64(); n-- {
 			s.arrive(now, r)
 		}
-		for t := range s.waiting {
+		for t := range s.deadlines {
 			if !now.Before(t.WaitDeadline) {
 				s.queue.Remove(t)
-				delete(s.waiting, t)
+				delete(s.deadlines, t)
 				_ = s.refused.RecordValue(now.Sub(t.QueuedAt).Milliseconds())
 			}
 		}
@@ -100,22 +100,22 @@
 }
 
 func (s *queueSim) arrive(now time.Time, r *rand.Rand) {
-	patience := 100 * time.Millisecond
+	timeout := 100 * time.Millisecond
 	if r.IntN(2) == 0 {
-		patience = time.Second
+		timeout = time.Second
 	}
-	rate := simSlots / simWork.Seconds()
+	rate := simSlots / simServiceTime.Seconds()
 	full := s.queue.Full()
-	if s.admission > 0 && !s.queue.Admit(now, rate, simWork, patience).Admitted || full {
+	if s.admission > 0 && !s.queue.Admit(now, rate, simServiceTime, timeout).Admitted || full {
 		_ = s.refused.RecordValue(0)
 		return
 	}
 	if s.admission == byDeadline {
-		s.queue.longSince = now // never standing
+		s.queue.longSince = now // never a standing queue
 	}
-	t := &Ticket{QueuedAt: now, WaitDeadline: now.Add(patience - simWork)}
+	t := &Ticket{QueuedAt: now, WaitDeadline: now.Add(timeout - simServiceTime)}
 	s.queue.Push(t)
-	s.waiting[t] = now.Add(patience)
+	s.deadlines[t] = now.Add(timeout)
 }
 
 func (s *queueSim) serve(now time.Time, slot int) {
@@ -123,23 +123,23 @@
 	if t == nil {
 		return
 	}
-	work := simWork
+	work := simServiceTime
 	if now.Sub(t0)%time.Second < 200*time.Millisecond {
 		work *= 10
 	}
 	s.busy[slot] = now.Add(work)
-	if !s.busy[slot].After(s.waiting[t]) {
-		_ = s.good.RecordValue(s.busy[slot].Sub(t.QueuedAt).Milliseconds())
+	if !s.busy[slot].After(s.deadlines[t]) {
+		_ = s.answered.RecordValue(s.busy[slot].Sub(t.QueuedAt).Milliseconds())
 	}
-	delete(s.waiting, t)
+	delete(s.deadlines, t)
 }
 
-// pop takes out the ticket that the order serves next.
+// pop removes the ticket to be served next.
 func (s *queueSim) pop(now time.Time) *Ticket {
 	var chosen *Ticket
 	for e := s.queue.tickets.Front(); e != nil; e = e.Next() {
 		t := e.Value.(*Ticket)
-		if now.Before(t.WaitDeadline) && (chosen == nil || s.better(now, t, chosen)) {
+		if now.Before(t.WaitDeadline) && (chosen == nil || s.precedes(now, t, chosen)) {
 			chosen = t
 		}
 	}
@@ -149,8 +149,9 @@
 	return chosen
 }
 
-// better reports whether t, which came after chosen, is to be served first.
-func (s *queueSim) better(now time.Time, t, chosen *Ticket) bool {
+// precedes reports whether t, which arrived after chosen, is to be served
+// before it.
+func (s *queueSim) precedes(now time.Time, t, chosen *Ticket) bool {
 	switch s.order {
 	case newestFirst:
 		return true
@@ -165,10 +166,10 @@
 }
 
 func (s *queueSim) report(b *testing.B) {
-	capacity := simTime.Seconds() * simSlots / simWork.Seconds()
-	b.ReportMetric(float64(s.good.TotalCount())/capacity, "goodput/capacity")
-	b.ReportMetric(float64(s.good.ValueAtQuantile(50)), "answer-p50-ms")
-	b.ReportMetric(float64(s.good.ValueAtQuantile(99)), "answer-p99-ms")
+	capacity := simDuration.Seconds() * simSlots / simServiceTime.Seconds()
+	b.ReportMetric(float64(s.answered.TotalCount())/capacity, "goodput/capacity")
+	b.ReportMetric(float64(s.answered.ValueAtQuantile(50)), "answer-p50-ms")
+	b.ReportMetric(float64(s.answered.ValueAtQuantile(99)), "answer-p99-ms")
 	b.ReportMetric(float64(s.refused.ValueAtQuantile(50)), "refusal-p50-ms")
 	b.ReportMetric(float64(s.refused.ValueAtQuantile(99)), "refusal-p99-ms")
 }
--- a/routing/queue_requeue_test.go
+++ b/routing/queue_requeue_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestReturnedTicketKeepsItsTurn checks that a request sent to a peer in vain
-// is the next to be served, and is not sent round for ever.
-func TestReturnedTicketKeepsItsTurn(t *testing.T) {
+// TestRequeuedTicketKeepsPosition checks that a request that a peer failed to
+// serve stays first in the queue, and is forwarded a limited number of times.
+func TestRequeuedTicketKeepsPosition(t *testing.T) {
 	const limit = 2
 	now := time.Unix(1000, 0)
 	q := NewQueue(10)
@@ -20,16 +20,16 @@
 	for range limit {
 		got := q.PopForward(now, limit)
 		if got != first {
-			t.Fatal("the first is not sent first")
+			t.Fatal("PopForward did not return the first ticket")
 		}
 		got.Peer = "b"
 		got.FailedForwards++
 		q.Requeue(got)
 	}
 	if got := q.PopForward(now, limit); got != second {
-		t.Fatal("the first is sent to one peer too many")
+		t.Fatal("PopForward returned a ticket that was already forwarded to the limit of peers")
 	}
 	if got := q.Pop(now); got != first || got.Peer != "" {
-		t.Fatal("the first lost its turn")
+		t.Fatal("Pop did not return the requeued ticket first, without its peer")
 	}
 }
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestQueue runs scripts of tickets: push name at-ms give-up-ms, pop at-ms,
-// remove name.
+// TestQueue runs scripts of the operations: push NAME AT-MS WAIT-DEADLINE-MS,
+// pop AT-MS, remove NAME.
 func TestQueue(t *testing.T) {
 	q := NewQueue(3)
 	names := map[*Ticket]string{}
@@ -52,7 +52,7 @@
 		name      string
 		waiting   int
 		limit     int
-		long      time.Duration // for how long the queue has been long
+		long      time.Duration // how long the queue has been long
 		rate      float64
 		remaining time.Duration
 		reason    string
@@ -60,9 +60,9 @@
 		{"in time", 9, 20, 0, 100, 200 * ms, ""},
 		{"too late", 9, 20, 0, 100, 119 * ms, ReasonDeadlineUnreachable},
 		{"full", 9, 9, 0, 100, time.Second, ReasonQueueFull},
-		{"burst", 9, 20, standingFor, 100, time.Second, ""},
-		{"standing", 9, 20, standingFor + 1, 100, time.Second, ReasonOverloaded},
-		{"standing but short", 4, 20, standingFor + 1, 100, time.Second, ""},
+		{"burst", 9, 20, standingQueueAfter, 100, time.Second, ""},
+		{"standing", 9, 20, standingQueueAfter + 1, 100, time.Second, ReasonOverloaded},
+		{"standing but short", 4, 20, standingQueueAfter + 1, 100, time.Second, ""},
 		{"slots elsewhere", 0, 20, 0, 0, ms, ""},
 		{"slots elsewhere and full", 1, 1, 0, 0, ms, ReasonQueueFull},
 	} {
--- a/routing/seed_test.go
+++ b/routing/seed_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// The machines of rapid start from one seed, so that every run has the same
-// verdict; -rapid.seed tries another.
+// Property-based tests start from a fixed seed, so that every run has the same
+// result; -rapid.seed sets another one.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/routing/slot.go
+++ b/routing/slot.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Slot is the right to send one request to one endpoint. It counts against
-// the endpoint until Release.
+// Slot is the permission to send one request to one endpoint. It counts against
+// the endpoint until it is released.
 type Slot struct {
 	backend  *backend
 	writing  bool
 	released bool
 }
 
-// Endpoint returns the endpoint that the slot is of.
+// Endpoint returns the slot's endpoint.
 func (s *Slot) Endpoint() Endpoint { return s.backend.Endpoint }
 
-// Result says how a request to an endpoint ended.
+// Result is the result of a request to an endpoint.
 type Result struct {
-	// Latency is from the write to the whole answer, or to the failure.
+	// Latency is the time from the write to the complete response, or to the
+	// failure.
 	Latency time.Duration
-	// Sent is whether any byte was written.
+	// Sent is set if any byte was written.
 	Sent bool
-	// Failed is whether it counts against the endpoint.
+	// Failed is set if the result counts as a failure of the endpoint.
 	Failed bool
 }
--- a/routing/stats.go
+++ b/routing/stats.go
@@ -6,31 +6,31 @@
 	"github.com/fireflygate/fireflygate/ownership"
 )
 
-// Free returns the free slots by service. Services without endpoints here are
-// absent.
-func (p *Pool) FreeByService(now time.Time, view *ownership.Snapshot) map[string]int {
+// FreeByService returns the free slots by service. Services without endpoints
+// are absent.
+func (p *Pool) FreeByService(now time.Time, snapshot *ownership.Snapshot) map[string]int {
 	free := make(map[string]int, len(p.services))
 	for name := range p.services {
-		free[name] = p.FreeSlots(now, name, view)
+		free[name] = p.FreeSlots(now, name, snapshot)
 	}
 	return free
 }
 
-// NoShare in place of a number of free slots says that a host may use none of
-// the service's endpoints: it can't serve, however few requests there are.
+// NoShare is returned in place of a number of free slots if the host may use
+// none of the service's endpoints, and so cannot serve it at any load.
 const NoShare = -1
 
-// FreeSlots returns the free slots of one service, NoShare if the grants allow
+// FreeSlots returns the free slots of one service; NoShare if the grants allow
 // none of its endpoints.
-func (p *Pool) FreeSlots(now time.Time, service string, view *ownership.Snapshot) int {
+func (p *Pool) FreeSlots(now time.Time, service string, snapshot *ownership.Snapshot) int {
 	g := p.services[service]
 	if g == nil {
 		return NoShare
 	}
 	sum, share := 0, false
 	for _, b := range g.backends {
-		share = share || p.allowed(now, b, view) > 0
-		if _, n := p.room(now, b, view); n > 0 {
+		share = share || p.allowed(now, b, snapshot) > 0
+		if _, n := p.available(now, b, snapshot); n > 0 {
 			sum += n
 		}
 	}
@@ -40,8 +40,8 @@
 	return sum
 }
 
-// InUse returns the slots in use of a shard's endpoints, of all shards for
-// the empty name.
+// InUse returns the slots in use of a shard's endpoints, or of all endpoints if
+// shard is empty.
 func (p *Pool) InUse(shard string) int {
 	sum := 0
 	for _, b := range p.byName {
@@ -64,9 +64,9 @@
 }
 
 // Rate estimates how many requests of a service this host's endpoints finish
-// per second when all its slots are in use, and how long one takes. The rate
-// is 0 when it has no slots of the service.
-func (p *Pool) Rate(now time.Time, service string, view *ownership.Snapshot) (perSecond float64, each time.Duration) {
+// per second with all slots in use, and the mean time that one takes. It
+// returns 0 if the host has no slots of the service.
+func (p *Pool) Rate(now time.Time, service string, snapshot *ownership.Snapshot) (perSecond float64, serviceTime time.Duration) {
 	g := p.services[service]
 	if g == nil {
 		return 0, 0
@@ -76,7 +76,7 @@
 		if b.Leaving || b.ejected(now) {
 			continue
 		}
-		n := b.limit(now, p.allowed(now, b, view), p.cfg.SlowStart)
+		n := b.limit(now, p.allowed(now, b, snapshot), p.cfg.SlowStart)
 		slots += n
 		perSecond += float64(n) / max(b.latency, time.Microsecond.Seconds())
 	}
--- a/routing/ticket.go
+++ b/routing/ticket.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Ticket is one request that waits for a slot.
+// Ticket is a request that waits for a slot.
 type Ticket struct {
-	// Since is when it began to wait.
+	// QueuedAt is when the request joined the queue.
 	QueuedAt time.Time
-	// WaitDeadline is when waiting on is useless.
+	// WaitDeadline is when the request stops waiting.
 	WaitDeadline time.Time
-	// Wake is closed by the queue's user once the ticket was taken out and Slot
-	// or Peer is set, or neither if it is refused.
+	// Ready is closed by the queue's user after it has removed the ticket and
+	// set Slot or Peer; neither is set if the request is refused.
 	Ready chan struct{}
-	// Slot is the slot that the request was given, if any.
+	// Slot is the slot assigned to the request, if any.
 	Slot *Slot
-	// Peer is the entry host that the request is to be forwarded to, if any.
+	// Peer is the entry host to forward the request to, if any.
 	Peer string
-	// Forwards counts the peers that it was sent to from the queue in vain.
+	// FailedForwards counts the peers to which the request was forwarded from
+	// the queue without success.
 	FailedForwards int
 
 	element *list.Element
