--- a/booking/claim.go
+++ b/booking/claim.go
@@ -12,55 +12,55 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// settled is an outcome found instead of a claim made.
-type settled struct {
-	answer  Response
-	refusal outcome.Refusal
+// existingOutcome is the outcome that is returned when no claim was made.
+type existingOutcome struct {
+	response Response
+	refusal  outcome.Refusal
 }
 
 const (
-	// claimTries bounds how often a claim is tried again after a row in its
-	// way was removed.
-	claimTries = 3
-	// claimPatience bounds how long a claim waits for a store that refuses.
-	// Its caller is then told when to come back.
-	claimPatience = time.Second
+	// maxClaimAttempts bounds how often a claim is repeated after a conflicting
+	// row was removed.
+	maxClaimAttempts = 3
+	// claimTimeout bounds how long a claim is retried while the table refuses
+	// it. The caller then gets a refusal with a retry delay.
+	claimTimeout = time.Second
 )
 
-// errRefused makes a refused claim be tried again.
+// errRefused is returned to the retry loop for a refused claim.
 var errRefused = errors.New("booking: claim refused")
 
-// claim makes the flight's claim durable. It returns true when the caller must
-// dispatch, and what is known of the key otherwise.
-func (b *Registry) claim(ctx context.Context, key string, f *flight) (settled, bool) {
+// claim makes the flight's claim durable. It returns true if the caller must
+// dispatch the request, and the existing outcome otherwise.
+func (b *Registry) claim(ctx context.Context, key string, f *flight) (existingOutcome, bool) {
 	value, err := b.claimRow(f).encode()
 	if err != nil {
-		panic(err) // the row holds plain fields only
+		panic(err) // the row has only fields that can be encoded
 	}
-	for range claimTries {
+	for range maxClaimAttempts {
 		res := b.claimOnce(ctx, key, f, value)
 		switch res.Status {
 		case infra.CommitApplied:
 			f.version = res.Version
-			return settled{}, true
+			return existingOutcome{}, true
 		case infra.CommitConflict:
 			again, found := b.resolve(ctx, key, f, res.Conflicts)
 			if !again {
 				return found, false
 			}
 		default:
-			return settled{refusal: notRun(ReasonStoreUnavailable, retrySoon)}, false
+			return existingOutcome{refusal: notRun(ReasonStoreUnavailable, defaultRetryAfter)}, false
 		}
 	}
-	return settled{refusal: notRun(ReasonInProgress, retrySoon)}, false
+	return existingOutcome{refusal: notRun(ReasonInProgress, defaultRetryAfter)}, false
 }
 
-// claimOnce commits the claim, and waits a bounded time for a store that
-// refuses to take it.
+// claimOnce commits the claim, and retries up to claimTimeout while the table
+// refuses it.
 func (b *Registry) claimOnce(ctx context.Context, key string, f *flight, value []byte) infra.CommitResult {
-	ctx, cancel := context.WithTimeout(ctx, claimPatience)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	try := func() (infra.CommitResult, error) {
+	attempt := func() (infra.CommitResult, error) {
 		res := b.opt.Committer.Commit(ctx, []infra.Condition{{Key: key}}, []infra.Write{{Key: key, Value: value}})
 		switch res.Status {
 		case infra.CommitUnknown:
@@ -71,9 +71,9 @@
 			return res, nil
 		}
 	}
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = 20 * time.Millisecond
-	res, err := backoff.Retry(ctx, try, backoff.WithBackOff(pause))
+	interval := backoff.NewExponentialBackOff()
+	interval.InitialInterval = 20 * time.Millisecond
+	res, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(interval))
 	if err != nil {
 		return infra.CommitResult{Status: infra.CommitNotApplied}
 	}
@@ -90,13 +90,13 @@
 	}
 }
 
-// readBack settles a claim whose commit's answer was lost. If the row can't
-// be read, or is not there yet, the claim is given up: nothing was dispatched,
-// and a row that appears later is known to be free to remove.
+// readBack determines the result of a claim whose commit got no answer. If the
+// row cannot be read or does not exist yet, the claim is abandoned: nothing has
+// been dispatched, so that a row that appears later may be removed.
 func (b *Registry) readBack(ctx context.Context, key string, f *flight) infra.CommitResult {
 	rows, err := b.opt.Reader.Get(ctx, key)
 	if err != nil || rows[0].Version == 0 {
-		b.giveUp(f.id)
+		b.markUndispatched(f.id)
 		return infra.CommitResult{Status: infra.CommitNotApplied}
 	}
 	held, err := decodeRow(rows[0].Value)
@@ -106,40 +106,40 @@
 	return infra.CommitResult{Status: infra.CommitConflict, Conflicts: rows}
 }
 
-// giveUp notes that the claim with the id will never be dispatched.
-func (b *Registry) giveUp(id string) {
+// markUndispatched records that the claim with the ID will never be dispatched.
+func (b *Registry) markUndispatched(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.undispatched[id] = b.opt.Now()
 }
 
-// resolve decides what the row in a claim's way means. It returns again when
-// the row is gone and the claim may be tried once more.
-func (b *Registry) resolve(ctx context.Context, key string, f *flight, conflicts []infra.Row) (again bool, found settled) {
+// resolve handles a conflict of a claim with an existing row. It returns again
+// if the row has been removed and the claim may be repeated.
+func (b *Registry) resolve(ctx context.Context, key string, f *flight, conflicts []infra.Row) (again bool, found existingOutcome) {
 	current, ok := rowOf(conflicts, key)
 	if !ok {
-		return true, settled{}
+		return true, existingOutcome{}
 	}
 	held, err := decodeRow(current.Value)
 	if err != nil {
-		return false, settled{refusal: unknownOutcome(ReasonUnreadable, 0)}
+		return false, existingOutcome{refusal: unknownOutcome(ReasonUnreadable, 0)}
 	}
 	if held.ID == f.id {
-		// An earlier try of this claim took effect late.
-		return b.remove(ctx, key, current.Version), settled{refusal: notRun(ReasonStoreUnavailable, retrySoon)}
+		// An earlier attempt of this claim took effect late.
+		return b.remove(ctx, key, current.Version), existingOutcome{refusal: notRun(ReasonStoreUnavailable, defaultRetryAfter)}
 	}
 	if !bytes.Equal(held.Digest, f.digest) {
-		return false, settled{refusal: notRun(ReasonKeyReused, 0)}
+		return false, existingOutcome{refusal: notRun(ReasonKeyReused, 0)}
 	}
 	if held.State != claimed {
 		return false, b.replay(ctx, held)
 	}
-	found, neverRan := settled{}, b.isUndispatched(held)
+	found, neverRan := existingOutcome{}, b.isUndispatched(held)
 	if !neverRan {
-		found, neverRan = b.claimedElsewhere(ctx, key, held)
+		found, neverRan = b.askOrReread(ctx, key, held)
 	}
 	if neverRan {
-		return b.remove(ctx, key, current.Version), settled{refusal: notRun(ReasonStoreUnavailable, retrySoon)}
+		return b.remove(ctx, key, current.Version), existingOutcome{refusal: notRun(ReasonStoreUnavailable, defaultRetryAfter)}
 	}
 	return false, found
 }
@@ -160,9 +160,10 @@
 	return ok
 }
 
-// remove deletes a claim that was never dispatched, on its own version.
+// remove deletes the row of a claim that was never dispatched, if it still has
+// the version.
 func (b *Registry) remove(ctx context.Context, key string, version uint64) bool {
-	conds := []infra.Condition{{Key: key, Version: version}}
-	res := b.opt.Committer.Commit(ctx, conds, []infra.Write{{Key: key, Delete: true}})
+	conditions := []infra.Condition{{Key: key, Version: version}}
+	res := b.opt.Committer.Commit(ctx, conditions, []infra.Write{{Key: key, Delete: true}})
 	return res.Status == infra.CommitApplied
 }
--- a/booking/doc.go
+++ b/booking/doc.go
@@ -1,5 +1,5 @@
-// Package booking makes a request that carries an idempotency key run at most
-// once, however often and on whichever entry host it arrives. A claim is
-// durable before the request is dispatched, and the outcome is kept for
+// Package booking runs a request with an idempotency key at most once, no
+// matter how often and at which entry hosts it arrives. A claim of the key is
+// durable before the request is dispatched, and the outcome is stored for
 // retries.
 package booking
--- a/booking/flight.go
+++ b/booking/flight.go
@@ -2,22 +2,22 @@
 
 import "github.com/fireflygate/fireflygate/outcome"
 
-// flight is a claim of this host from its first attempt until its outcome is
+// flight is a claim of this host, from its first attempt until its outcome is
 // durable.
 type flight struct {
 	digest []byte
 	id     string
-	// version is the version of the claim's row, once claimed.
+	// version is the version of the claim's row; 0 until it is committed.
 	version uint64
-	// done is closed when answer and refusal are set.
-	done    chan struct{}
-	answer  Response
-	refusal outcome.Refusal
+	// done is closed once response and refusal are set.
+	done     chan struct{}
+	response Response
+	refusal  outcome.Refusal
 }
 
-// settle sets what all who wait for the claim are told.
+// settle sets the outcome and wakes all waiting callers.
 func (f *flight) settle(a Response, r outcome.Refusal) {
-	f.answer = a
+	f.response = a
 	f.refusal = r
 	close(f.done)
 }
--- a/booking/options.go
+++ b/booking/options.go
@@ -9,10 +9,11 @@
 	"github.com/fireflygate/fireflygate/peer"
 )
 
-// Committer commits to the table and settles lost answers. It returns
-// infra.CommitUnknown only when it could not settle within the context.
+// Committer commits transactions to the table and resolves lost answers. It
+// returns infra.CommitUnknown only if it cannot determine the result within the
+// context.
 type Committer interface {
-	Commit(ctx context.Context, conds []infra.Condition, writes []infra.Write) infra.CommitResult
+	Commit(ctx context.Context, conditions []infra.Condition, writes []infra.Write) infra.CommitResult
 }
 
 // Reader reads the table.
@@ -21,26 +22,27 @@
 	Scan(ctx context.Context, prefix, after string, limit int) ([]infra.Row, error)
 }
 
-// Options is what a Book works with.
+// Options configures a Registry.
 type Options struct {
-	// Host and Incarnation name this process.
+	// Host and Incarnation identify this process.
 	Host        string
 	Incarnation string
 	Committer   Committer
 	Reader      Reader
-	// Objects keeps large answers.
+	// Objects stores large response bodies.
 	Objects infra.Objects
-	// Peers asks claimants on other entry hosts; nil when there are none.
+	// Peers calls claimants on other entry hosts; nil if there are none.
 	Peers peer.Transport
 	// Alive reports whether a claimant's session may still be live. It may
-	// say yes for a while after its end, never no before it.
+	// return true for a while after the session has ended, but never false
+	// while the session is live.
 	Alive func(host, incarnation string) bool
-	// Window returns how long the outcome of a key is kept.
+	// Window returns how long outcomes are kept.
 	Window func() time.Duration
-	// InlineBody is the largest body kept in the row, in bytes; larger ones
-	// become objects. 0 means 16 KiB.
+	// InlineBody is the largest body stored in the row, in bytes. Larger bodies
+	// are stored as objects. 0 means 16 KiB.
 	InlineBody int
-	// Now reads the clock; nil means time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 	Log *slog.Logger
 }
--- a/booking/refusals.go
+++ b/booking/refusals.go
@@ -6,23 +6,23 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// Reasons of refusals.
+// Reasons for refusing a request.
 const (
-	// ReasonKeyReused: the key was used for another request.
+	// ReasonKeyReused: the key was used for a different request.
 	ReasonKeyReused = "idempotency_key_reused"
 	// ReasonStoreUnavailable: the claim could not be made durable.
 	ReasonStoreUnavailable = "store_unavailable"
-	// ReasonInProgress: the first request under the key has not ended.
+	// ReasonInProgress: the first request with the key has not finished.
 	ReasonInProgress = "in_progress"
-	// ReasonAnswerLost: the claimant died without recording an outcome.
+	// ReasonLost: the claimant ended without storing an outcome.
 	ReasonLost = "outcome_lost"
-	// ReasonUnreadable: the outcome is recorded but can't be read now.
+	// ReasonUnreadable: the outcome is stored but cannot be read now.
 	ReasonUnreadable = "outcome_unreadable"
 )
 
-// retrySoon is when a caller should ask again for an outcome that is on its
-// way.
-const retrySoon = time.Second
+// defaultRetryAfter is the retry delay returned when the outcome may be
+// available soon.
+const defaultRetryAfter = time.Second
 
 func notRun(reason string, after time.Duration) outcome.Refusal {
 	return outcome.Refusal{Kind: outcome.NotRun, Reason: reason, RetryAfter: after}
@@ -32,5 +32,5 @@
 	return outcome.Refusal{Kind: outcome.Unknown, Reason: reason, RetryAfter: after}
 }
 
-// whole is the refusal that goes with an answer.
-func whole() outcome.Refusal { return outcome.Refusal{Kind: outcome.Answered} }
+// answeredRefusal returns the refusal that accompanies a complete response.
+func answeredRefusal() outcome.Refusal { return outcome.Refusal{Kind: outcome.Answered} }
--- a/booking/book.go
+++ b/booking/registry.go
@@ -11,22 +11,25 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// Book claims keys and keeps outcomes. It is safe for concurrent use.
+// Registry claims idempotency keys and stores the outcomes of their requests.
+// It is safe for concurrent use.
 type Registry struct {
 	opt Options
 
 	mu sync.Mutex
-	// flights holds this host's claims by row key until their outcome is
+	// flights holds this host's claims by row key, until their outcome is
 	// durable.
 	flights map[string]*flight
-	// undispatched holds the ids of claims of this process that were never
-	// dispatched but whose row may exist, with when they were given up.
+	// undispatched holds the IDs of this process's claims that were abandoned
+	// before dispatch but whose row may exist, with the time at which they were
+	// abandoned.
 	undispatched map[string]time.Time
-	// background counts outcomes that are being stored.
+	// background counts the requests that are running or whose outcome is being
+	// stored.
 	background sync.WaitGroup
 }
 
-// New returns a Book.
+// New returns a Registry.
 func New(opt Options) *Registry {
 	if opt.InlineBody == 0 {
 		opt.InlineBody = defaultInlineBody
@@ -37,10 +40,11 @@
 	return &Registry{opt: opt, flights: map[string]*flight{}, undispatched: map[string]time.Time{}}
 }
 
-// Do runs the request unless a claim under its key exists, and returns the
-// outcome of the one run. The context's deadline bounds the wait, also for the
-// store; the run itself goes on without its caller, so that a retry finds its
-// outcome. The refusal's kind is Answered when the answer is whole.
+// Do runs the request unless its key is already claimed, and returns the
+// outcome of the only run. The context's deadline bounds the wait for the claim
+// and for the outcome. The run continues if its caller leaves, so that a retry
+// gets its outcome. The Kind of the refusal is Answered if the response is
+// complete.
 func (b *Registry) Do(ctx context.Context, r Request, run Run) (Response, outcome.Refusal) {
 	key := rowKey(r)
 	f, first := b.join(key, r)
@@ -48,9 +52,9 @@
 		return wait(ctx, f, r)
 	}
 	if found, ok := b.claim(ctx, key, f); !ok {
-		b.leave(key, f)
-		f.settle(found.answer, found.refusal)
-		return found.answer, found.refusal
+		b.removeFlight(key, f)
+		f.settle(found.response, found.refusal)
+		return found.response, found.refusal
 	}
 	b.background.Go(func() { b.dispatch(context.WithoutCancel(ctx), key, f, run) })
 	return wait(ctx, f, r)
@@ -58,17 +62,17 @@
 
 // dispatch runs the request and stores its outcome.
 func (b *Registry) dispatch(ctx context.Context, key string, f *flight, run Run) {
-	answer, refusal := run(ctx)
+	response, refusal := run(ctx)
 	if refusal.Kind == outcome.NotRun {
-		b.giveUp(f.id)
-		b.leave(key, f)
+		b.markUndispatched(f.id)
+		b.removeFlight(key, f)
 	}
-	f.settle(answer, refusal)
+	f.settle(response, refusal)
 	b.store(key, f)
 }
 
-// join returns the key's flight on this host, and whether the caller is the
-// one to claim it.
+// join returns the key's flight on this host, and whether the caller must claim
+// the key.
 func (b *Registry) join(key string, r Request) (*flight, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,7 +84,7 @@
 	return f, true
 }
 
-func (b *Registry) leave(key string, f *flight) {
+func (b *Registry) removeFlight(key string, f *flight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.flights[key] == f {
@@ -88,20 +92,21 @@
 	}
 }
 
-// wait returns the outcome of a flight of this host.
+// wait waits for the outcome of a flight on this host.
 func wait(ctx context.Context, f *flight, r Request) (Response, outcome.Refusal) {
 	if !bytes.Equal(f.digest, r.Digest) {
 		return Response{}, notRun(ReasonKeyReused, 0)
 	}
 	select {
 	case <-f.done:
-		return f.answer, f.refusal
+		return f.response, f.refusal
 	case <-ctx.Done():
-		return Response{}, unknownOutcome(ReasonInProgress, retrySoon)
+		return Response{}, unknownOutcome(ReasonInProgress, defaultRetryAfter)
 	}
 }
 
-// Flush waits until every outcome so far is durable, or the context ends.
+// Flush waits until all outcomes so far are durable, or returns the context's
+// error.
 func (b *Registry) Flush(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
--- a/booking/replay.go
+++ b/booking/replay.go
@@ -7,51 +7,52 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// replay returns the outcome that a row keeps.
-func (b *Registry) replay(ctx context.Context, held row) settled {
+// replay returns the outcome stored in a row.
+func (b *Registry) replay(ctx context.Context, held row) existingOutcome {
 	if held.State == unknown || held.Answer == nil {
-		return settled{refusal: unknownOutcome(ReasonLost, 0)}
+		return existingOutcome{refusal: unknownOutcome(ReasonLost, 0)}
 	}
-	answer := *held.Answer
+	response := *held.Answer
 	if held.Object != "" {
 		body, err := b.opt.Objects.Get(ctx, held.Object)
 		if err != nil {
-			return settled{refusal: unknownOutcome(ReasonUnreadable, retrySoon)}
+			return existingOutcome{refusal: unknownOutcome(ReasonUnreadable, defaultRetryAfter)}
 		}
-		answer.Body = body
+		response.Body = body
 	}
-	return settled{answer, whole()}
+	return existingOutcome{response, answeredRefusal()}
 }
 
-// claimedElsewhere returns what is known of a claim without an outcome that
-// another process made, or that the claimant never dispatched it.
-func (b *Registry) claimedElsewhere(ctx context.Context, key string, held row) (found settled, neverRan bool) {
+// askOrReread returns the outcome of an unfinished claim of another process, or
+// reports that the claimant never ran the request. It asks the claimant if that
+// may be alive, and otherwise reads the row again.
+func (b *Registry) askOrReread(ctx context.Context, key string, held row) (found existingOutcome, neverRan bool) {
 	reason, after := ReasonLost, time.Duration(0)
 	if b.opt.Alive(held.Host, held.Incarnation) {
-		reason, after = ReasonInProgress, retrySoon
-		reply, ok := b.ask(ctx, key, held)
+		reason, after = ReasonInProgress, defaultRetryAfter
+		reply, ok := b.askClaimant(ctx, key, held)
 		if ok && reply.NeverRan {
-			return settled{}, true
+			return existingOutcome{}, true
 		}
 		if ok && reply.Known {
-			return settled{reply.Answer, reply.refusal()}, false
+			return existingOutcome{reply.Answer, reply.refusal()}, false
 		}
 	}
-	// The outcome may have been stored since the row was read, also just
-	// before the claimant's end.
+	// The outcome may have been stored since the row was read, even if the
+	// claimant has ended.
 	rows, err := b.opt.Reader.Get(ctx, key)
 	if err != nil {
-		return settled{refusal: unknownOutcome(ReasonUnreadable, retrySoon)}, false
+		return existingOutcome{refusal: unknownOutcome(ReasonUnreadable, defaultRetryAfter)}, false
 	}
-	if now, err := decodeRow(rows[0].Value); err == nil && now.ID == held.ID && now.State != claimed {
-		return b.replay(ctx, now), false
+	if current, err := decodeRow(rows[0].Value); err == nil && current.ID == held.ID && current.State != claimed {
+		return b.replay(ctx, current), false
 	}
-	return settled{refusal: unknownOutcome(reason, after)}, false
+	return existingOutcome{refusal: unknownOutcome(reason, after)}, false
 }
 
-// ask waits for the outcome at the claimant. Without an answer the outcome is
-// unknown: the claimant may be running the request.
-func (b *Registry) ask(ctx context.Context, key string, held row) (waitReply, bool) {
+// askClaimant calls the claimant and waits for the outcome. It returns false if
+// there is no reply; the claimant may then still be running the request.
+func (b *Registry) askClaimant(ctx context.Context, key string, held row) (waitReply, bool) {
 	if held.Host == b.opt.Host || b.opt.Peers == nil {
 		return waitReply{}, false
 	}
--- a/booking/request.go
+++ b/booking/request.go
@@ -7,20 +7,21 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// Request names what is to run at most once.
+// Request identifies a request that runs at most once.
 type Request struct {
-	// Service and Key identify it.
+	// Service and Key identify the request.
 	Service string
 	Key     string
-	// Digest is the hash of what the request asks for; see Digest.
+	// Digest is the hash of the request's content, as returned by the function
+	// Digest.
 	Digest []byte
 }
 
 // Run dispatches the request. It is called at most once per claim.
 type Run func(ctx context.Context) (Response, outcome.Refusal)
 
-// Digest returns the hash of a request's method, path and body, which tells a
-// retry from another request under the same key.
+// Digest returns the hash of a request's method, path and body. It
+// distinguishes a retry from a different request with the same key.
 func Digest(method, path string, body []byte) []byte {
 	h := sha256.New()
 	h.Write([]byte(method))
--- a/booking/answer.go
+++ b/booking/response.go
@@ -2,12 +2,12 @@
 
 import "net/http"
 
-// Answer is an endpoint's whole answer.
+// Response is an endpoint's complete HTTP response.
 type Response struct {
-	// Status is the HTTP status.
+	// Status is the HTTP status code.
 	Status int `msgpack:"s"`
-	// Header is the end-to-end headers.
+	// Header holds the end-to-end headers.
 	Header http.Header `msgpack:"h,omitempty"`
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte `msgpack:"b,omitempty"`
 }
--- a/booking/row.go
+++ b/booking/row.go
@@ -7,10 +7,10 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// prefix begins the key of every claim's row.
+// prefix is the prefix of the row keys of all claims.
 const prefix = "claim/"
 
-// state says how far a claim is.
+// state is the progress of a claim.
 type state uint8
 
 const (
@@ -21,20 +21,21 @@
 
 // row is the value of a claim's row in the table.
 type row struct {
-	// Digest is the hash of the request.
+	// Digest is the hash of the request's content.
 	Digest []byte `msgpack:"d"`
-	// Host and Incarnation name the claimant.
+	// Host and Incarnation identify the claimant.
 	Host        string `msgpack:"h"`
 	Incarnation string `msgpack:"i"`
-	// ID is unique to the claim.
+	// ID is the unique ID of the claim.
 	ID string `msgpack:"c"`
-	// AtMS is when it was claimed, in Unix milliseconds of the claimant's
-	// clock; only the sweep of old rows reads it.
+	// AtMS is the time of the claim by the claimant's clock, in Unix
+	// milliseconds. Only the sweep of expired rows uses it.
 	AtMS  int64 `msgpack:"t"`
 	State state `msgpack:"s"`
-	// Answer is set once answered, without its body when Object is set.
+	// Answer is set in state answered, without its body if Object is set.
 	Answer *Response `msgpack:"a,omitempty"`
-	// Object is the key of the object that holds a large body.
+	// Object is the key of the object that holds a large body; empty if the
+	// body is in the row.
 	Object string `msgpack:"o,omitempty"`
 }
 
@@ -42,16 +43,16 @@
 
 func (r row) encode() ([]byte, error) {
 	b, err := msgpack.Marshal(r)
-	return b, errors.Wrap(err, "encode claim")
+	return b, errors.Wrap(err, "encode claim row")
 }
 
 func decodeRow(b []byte) (row, error) {
 	var r row
 	err := msgpack.Unmarshal(b, &r)
-	return r, errors.Wrap(err, "decode claim")
+	return r, errors.Wrap(err, "decode claim row")
 }
 
-// stateOf returns the state that keeps a request's outcome.
+// stateOf returns the final state of a claim for the kind of its outcome.
 func stateOf(k outcome.Kind) state {
 	if k == outcome.Answered {
 		return answered
--- a/booking/store.go
+++ b/booking/store.go
@@ -12,42 +12,41 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// storeTimeout bounds one try to store an outcome.
+// storeTimeout bounds one attempt to store an outcome.
 const storeTimeout = 5 * time.Second
 
-// storePause is the first pause between tries; it grows while the store is
-// down.
-const storePause = 100 * time.Millisecond
+// storeRetryInterval is the first interval between attempts; it grows
+// exponentially.
+const storeRetryInterval = 100 * time.Millisecond
 
-// errNotStored makes a try be repeated.
+// errNotStored is returned to the retry loop for a failed attempt.
 var errNotStored = errors.New("booking: outcome not stored")
 
-// store makes the outcome of a flight durable, or removes its claim when the
-// request did not run, and tries until it knows that it did. Until then
-// retries of the key are answered from memory. After the booking window the
-// claim is kept no longer: with the store away for so long memory would only
-// grow, and callers no longer ask.
+// store makes the outcome of a flight durable, or removes its claim if the
+// request did not run, and retries until the result is known. Meanwhile retries
+// of the request are answered from memory. After the booking window it gives up
+// and drops the flight, so that memory use stays bounded.
 func (b *Registry) store(key string, f *flight) {
 	object := b.objectName(key, f)
-	try := func() (struct{}, error) {
+	attempt := func() (struct{}, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 		defer cancel()
 		return struct{}{}, b.storeOnce(ctx, key, f, object)
 	}
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = storePause
-	_, err := backoff.Retry(context.Background(), try, backoff.WithBackOff(pause), backoff.WithMaxElapsedTime(b.opt.Window()))
+	interval := backoff.NewExponentialBackOff()
+	interval.InitialInterval = storeRetryInterval
+	_, err := backoff.Retry(context.Background(), attempt, backoff.WithBackOff(interval), backoff.WithMaxElapsedTime(b.opt.Window()))
 	if err != nil {
-		b.leave(key, f)
+		b.removeFlight(key, f)
 		return
 	}
-	b.forget(key, f)
+	b.dropFlight(key, f)
 }
 
-// objectName returns the name of the object for a body too large for the row,
-// or nothing.
+// objectName returns the key of the object for a body too large for the row;
+// empty if the body fits.
 func (b *Registry) objectName(key string, f *flight) string {
-	if len(f.answer.Body) <= b.opt.InlineBody {
+	if len(f.response.Body) <= b.opt.InlineBody {
 		return ""
 	}
 	return "booking/" + hex.EncodeToString([]byte(key)) + "/" + f.id
@@ -62,38 +61,38 @@
 		}
 		write = infra.Write{Key: key, Value: value}
 	}
-	conds := []infra.Condition{{Key: key, Version: f.version}}
-	switch b.opt.Committer.Commit(ctx, conds, []infra.Write{write}).Status {
+	conditions := []infra.Condition{{Key: key, Version: f.version}}
+	switch b.opt.Committer.Commit(ctx, conditions, []infra.Write{write}).Status {
 	case infra.CommitApplied, infra.CommitConflict:
-		// Nobody else writes a live claim's row, so a conflict means that
-		// an earlier try took effect, or that the row was swept as too old.
+		// No other process writes the row of a live claim. A conflict means
+		// that an earlier attempt took effect, or that the row was swept.
 		return nil
 	default:
 		return errNotStored
 	}
 }
 
-// outcomeRow returns the row that keeps the outcome, after its body was put
-// into the object store if it is large.
+// outcomeRow returns the encoded row of the outcome, after storing a large body
+// as an object.
 func (b *Registry) outcomeRow(ctx context.Context, f *flight, object string) ([]byte, error) {
 	r := b.claimRow(f)
 	r.State = stateOf(f.refusal.Kind)
 	if r.State == answered {
-		kept := f.answer
+		stored := f.response
 		if object != "" {
-			if err := b.opt.Objects.Put(ctx, object, kept.Body); err != nil {
-				return nil, errors.Wrap(err, "put answer")
+			if err := b.opt.Objects.Put(ctx, object, stored.Body); err != nil {
+				return nil, errors.Wrap(err, "put response body")
 			}
-			kept.Body = nil
+			stored.Body = nil
 		}
-		r.Answer = &kept
+		r.Answer = &stored
 		r.Object = object
 	}
 	return r.encode()
 }
 
-// forget drops the flight, since its row now tells all.
-func (b *Registry) forget(key string, f *flight) {
+// dropFlight removes the flight once its outcome is stored in the row.
+func (b *Registry) dropFlight(key string, f *flight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.flights[key] == f {
--- a/booking/sweep.go
+++ b/booking/sweep.go
@@ -11,18 +11,19 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// sweepPage is how many rows one scan reads and one commit deletes at most.
+// sweepPage is the maximum number of rows per scan and of deletions per commit.
 const sweepPage = 100
 
-// Sweep removes the claims of a service older than the window. The pace
-// bounds scans per second, so that the store's capacity stays for traffic;
-// mine says which services this host sweeps now, and is asked before each page.
-func (b *Registry) Sweep(ctx context.Context, service string, pace *rate.Limiter, mine func(service string) bool) (removed int, err error) {
+// Sweep removes the claims of a service that are older than the window, and
+// returns how many it removed. limiter bounds the scans per second. assigned
+// reports whether this host is to sweep the service; it is called before each
+// page.
+func (b *Registry) Sweep(ctx context.Context, service string, limiter *rate.Limiter, assigned func(service string) bool) (removed int, err error) {
 	b.pruneUndispatched()
 	scope := prefix + service + "/"
 	after := ""
-	for mine(service) {
-		if err := pace.Wait(ctx); err != nil {
+	for assigned(service) {
+		if err := limiter.Wait(ctx); err != nil {
 			return removed, err
 		}
 		rows, err := b.opt.Reader.Scan(ctx, scope, after, sweepPage)
@@ -38,26 +39,26 @@
 	return removed, nil
 }
 
-// sweepPage deletes the old rows of one page; a row that changed meanwhile
-// makes the page wait for the next sweep.
+// sweepPage deletes the expired rows of one page. If one of them has changed,
+// the page is left to the next sweep.
 func (b *Registry) sweepPage(ctx context.Context, rows []infra.Row) int {
-	var conds []infra.Condition
+	var conditions []infra.Condition
 	var writes []infra.Write
 	for _, r := range rows {
-		if !b.old(r) {
+		if !b.expired(r) {
 			continue
 		}
-		conds = append(conds, infra.Condition{Key: r.Key, Version: r.Version})
+		conditions = append(conditions, infra.Condition{Key: r.Key, Version: r.Version})
 		writes = append(writes, infra.Write{Key: r.Key, Delete: true})
 	}
-	if len(writes) == 0 || b.opt.Committer.Commit(ctx, conds, writes).Status != infra.CommitApplied {
+	if len(writes) == 0 || b.opt.Committer.Commit(ctx, conditions, writes).Status != infra.CommitApplied {
 		return 0
 	}
 	return len(writes)
 }
 
-// old reports whether a claim is past the window.
-func (b *Registry) old(r infra.Row) bool {
+// expired reports whether a claim is older than the window.
+func (b *Registry) expired(r infra.Row) bool {
 	held, err := decodeRow(r.Value)
 	if err != nil {
 		return false
@@ -65,7 +66,8 @@
 	return b.opt.Now().Sub(time.UnixMilli(held.AtMS)) > b.opt.Window()
 }
 
-// pruneUndispatched forgets given-up claims whose row would be swept by now.
+// pruneUndispatched deletes the records of abandoned claims that are older than
+// the window; a sweep removes their rows.
 func (b *Registry) pruneUndispatched() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/booking/table_test.go
+++ b/booking/table_test.go
@@ -8,42 +8,42 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// fault is what a table does to one commit.
+// fault is a fault injected into one commit.
 type fault int
 
 const (
-	none       fault = iota
-	loseAnswer       // takes effect, the answer is lost
-	loseCommit       // takes no effect, nobody knows
-	delay            // as loseCommit, but takes effect at late
-	refuse           // takes no effect, and says so
+	noFault    fault = iota
+	loseAnswer       // the commit is applied, its answer is lost
+	loseCommit       // neither applied nor answered
+	delay            // not answered, applied by applyDelayed
+	refuse           // refused with CommitNotApplied
 )
 
-// table is a small table service with faults.
+// table is an in-memory table service with fault injection.
 type table struct {
 	mu      sync.Mutex
 	version uint64
 	rows    map[string]infra.Row
-	// faults are used up by the commits, in order.
+	// faults are applied to the next commits, in order.
 	faults []fault
 	down   bool
-	// keep makes the table refuse deletions.
-	keep bool
-	late []func()
+	// rejectDeletes makes the table refuse deletions.
+	rejectDeletes bool
+	delayed       []func()
 }
 
 func newTable(faults ...fault) *table {
 	return &table{rows: map[string]infra.Row{}, faults: faults}
 }
 
-func (t *table) Commit(_ context.Context, conds []infra.Condition, writes []infra.Write) infra.CommitResult {
+func (t *table) Commit(_ context.Context, conditions []infra.Condition, writes []infra.Write) infra.CommitResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f := none
+	f := noFault
 	if len(t.faults) > 0 {
 		f, t.faults = t.faults[0], t.faults[1:]
 	}
-	if t.down || (t.keep && writes[0].Delete) {
+	if t.down || (t.rejectDeletes && writes[0].Delete) {
 		f = refuse
 	}
 	switch f {
@@ -52,35 +52,35 @@
 	case loseCommit:
 		return infra.CommitResult{}
 	case delay:
-		t.late = append(t.late, func() { t.apply(conds, writes) })
+		t.delayed = append(t.delayed, func() { t.apply(conditions, writes) })
 		return infra.CommitResult{}
 	case loseAnswer:
-		t.apply(conds, writes)
+		t.apply(conditions, writes)
 		return infra.CommitResult{}
 	default:
-		return t.apply(conds, writes)
+		return t.apply(conditions, writes)
 	}
 }
 
-// setKeep makes the table refuse deletions, or take them again.
-func (t *table) setKeep(keep bool) {
+// setRejectDeletes sets whether the table refuses deletions.
+func (t *table) setRejectDeletes(rejectDeletes bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.keep = keep
+	t.rejectDeletes = rejectDeletes
 }
 
-// arrive lets delayed commits take effect.
-func (t *table) arrive() {
+// applyDelayed applies the delayed commits.
+func (t *table) applyDelayed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, apply := range t.late {
+	for _, apply := range t.delayed {
 		apply()
 	}
-	t.late = nil
+	t.delayed = nil
 }
 
-func (t *table) apply(conds []infra.Condition, writes []infra.Write) infra.CommitResult {
-	for _, c := range conds {
+func (t *table) apply(conditions []infra.Condition, writes []infra.Write) infra.CommitResult {
+	for _, c := range conditions {
 		if r := t.rows[c.Key]; r.Version != c.Version {
 			r.Key = c.Key
 			return infra.CommitResult{Status: infra.CommitConflict, Conflicts: []infra.Row{r}}
@@ -124,7 +124,7 @@
 	return rows, nil
 }
 
-// objects is an object store.
+// objects is an in-memory object store.
 type objects struct{ sync.Map }
 
 func (o *objects) Put(_ context.Context, key string, data []byte) error {
--- a/booking/wait.go
+++ b/booking/wait.go
@@ -8,20 +8,20 @@
 	"github.com/fireflygate/fireflygate/peer"
 )
 
-// MethodWait asks a claimant for the outcome of its claim.
+// MethodWait requests the outcome of a claim from its claimant.
 const MethodWait peer.Method = "booking.wait"
 
-// waitRequest names a claim.
+// waitRequest identifies a claim.
 type waitRequest struct {
 	Key string `msgpack:"k"`
 	ID  string `msgpack:"i"`
 }
 
-// waitReply is the claim's outcome, if it is known.
+// waitReply is the outcome of a claim, if it is known.
 type waitReply struct {
 	Known bool `msgpack:"y"`
-	// NeverRan is set when the claim was given up before its dispatch: its
-	// row may be removed.
+	// NeverRan is set if the claim was abandoned before dispatch. Its row may
+	// be removed.
 	NeverRan bool         `msgpack:"n,omitempty"`
 	Kind     outcome.Kind `msgpack:"o"`
 	Reason   string       `msgpack:"r,omitempty"`
@@ -34,13 +34,12 @@
 	return outcome.Refusal{Kind: r.Kind, Reason: r.Reason, RetryAfter: after}
 }
 
-// Register adds the methods that other entry hosts call.
+// Register registers the handlers for calls from other entry hosts.
 func (b *Registry) Register(mux peer.Mux) {
 	mux.Handle(MethodWait, b.handleWait)
 }
 
-// handleWait answers once the claim's outcome is known or the asker's time is
-// over.
+// handleWait replies once the claim's outcome is known or the context ends.
 func (b *Registry) handleWait(ctx context.Context, _ string, decode func(any) error) (any, error) {
 	var req waitRequest
 	if err := decode(&req); err != nil {
@@ -63,6 +62,6 @@
 		Kind:    f.refusal.Kind,
 		Reason:  f.refusal.Reason,
 		RetryMS: f.refusal.RetryAfter.Milliseconds(),
-		Answer:  f.answer,
+		Answer:  f.response,
 	}, nil
 }
--- a/booking/window_test.go
+++ b/booking/window_test.go
@@ -10,12 +10,12 @@
 )
 
 // TestOutcomeNeverStored checks that a claim whose outcome could not be stored
-// for the whole booking window is not kept for good, and that its key is not run
-// again while the claim's row is there.
+// during the booking window is removed from memory, and that its request does
+// not run again while its row exists.
 func TestOutcomeNeverStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig()
-		r.a.opt.InlineBody = 0 // every answer needs the object store
+		r := newHarness()
+		r.a.opt.InlineBody = 0 // every response needs the object store
 		r.a.opt.Objects = noObjects{}
 		r.do(t, r.a, outcome.Answered, "")
 		<-time.After(r.a.opt.Window() + time.Minute)
@@ -25,19 +25,18 @@
 		kept := len(r.a.flights)
 		r.a.mu.Unlock()
 		if kept != 0 {
-			t.Errorf("%d claims are kept in memory after the booking window", kept)
+			t.Errorf("%d claims in memory after the booking window, want 0", kept)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, refusal := r.a.Do(ctx, ask("x"), r.answer); refusal.Kind != outcome.Unknown {
-			t.Errorf("got %+v for the key again, want its outcome to be unknown", refusal)
+		if _, refusal := r.a.Do(ctx, newRequest("x"), r.response); refusal.Kind != outcome.Unknown {
+			t.Errorf("retry after the booking window: got refusal %+v, want unknown", refusal)
 		}
-		r.ran(t, 1)
+		r.wantRuns(t, 1)
 	})
 }
 
-// noObjects is an object store that is down.
+// noObjects is an object store that refuses all writes.
 type noObjects struct{ *objects }
 
-// Put implements infra.Objects.
 func (noObjects) Put(context.Context, string, []byte) error { return context.DeadlineExceeded }
