--- a/tenure/alive.go
+++ b/tenure/alive.go
@@ -10,13 +10,13 @@
 // aliveTimeout bounds the wait for the control goroutine.
 const aliveTimeout = time.Second
 
-// Alive reports whether a process of an entry host may still run. It says no
-// only of one that was replaced or whose session has lapsed by this host's
-// clock, and yes while it does not know.
-func (k *Driver) Alive(host, incarnation string) bool {
+// Alive reports whether a process of an entry host may still run. It returns
+// false only if the process was replaced or its session has expired by this
+// host's clock, and true if that is not known.
+func (d *Driver) Alive(host, incarnation string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), aliveTimeout)
 	defer cancel()
-	alive, err := ask(ctx, k, func(now time.Time, m *ownership.Machine) (bool, []ownership.Action) {
+	alive, err := query(ctx, d, func(now time.Time, m *ownership.Machine) (bool, []ownership.Action) {
 		return m.Alive(now, host, incarnation)
 	})
 	return alive || err != nil
--- a/tenure/config.go
+++ b/tenure/config.go
@@ -11,34 +11,34 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// Config is what a Keeper needs.
+// Config configures a Driver.
 type Config struct {
 	// Host is this entry host's name in the membership list.
 	Host string
-	// Incarnation is unique to this process.
+	// Incarnation is the unique ID of this process.
 	Incarnation string
 	// Table is the platform's table service.
 	Table infra.Table
-	// Transport reaches the other entry hosts.
+	// Transport calls the other entry hosts.
 	Transport peer.Transport
-	// Mux takes the handlers for their requests.
+	// Mux registers the handlers for their calls.
 	Mux peer.Mux
-	// Lease bounds sessions and shards.
+	// Lease holds the durations of sessions and the limits for shards.
 	Lease settings.Lease
-	// Drain returns nil once nothing is in flight under a shard of which
-	// this host holds no grant any more. An error leads to another try. Nil
-	// means that nothing ever is.
+	// Drain returns nil once nothing is in flight for a shard for which this
+	// host no longer holds a grant. It is called again after an error. Nil
+	// means that nothing is ever in flight.
 	Drain func(ctx context.Context, shard string) error
-	// Log takes events; nil discards them.
+	// Log receives events; nil discards them.
 	Log *slog.Logger
-	// Now reads the monotonic clock; nil for time.Now.
+	// Now returns the monotonic time; nil means time.Now.
 	Now func() time.Time
 }
 
-// ticksPerRenewal is how often time is let pass in each renewal interval.
+// ticksPerRenewal is how often per renewal interval the machine is ticked.
 const ticksPerRenewal = 8
 
-// withDefaults returns c with empty optional fields filled in.
+// withDefaults returns c with defaults for unset optional fields.
 func (c Config) withDefaults() Config {
 	if c.Drain == nil {
 		c.Drain = func(context.Context, string) error { return nil }
@@ -52,7 +52,7 @@
 	return c
 }
 
-// machine returns the configuration of the decisions.
+// machine returns the configuration of the ownership state machine.
 func (c Config) machine() ownership.Config {
 	return ownership.Config{
 		Host:        c.Host,
@@ -62,5 +62,5 @@
 	}
 }
 
-// tableTimeout bounds one request to the table: several must fit in a session.
+// tableTimeout bounds one request to the table. Several must fit in a session.
 func (c Config) tableTimeout() time.Duration { return c.Lease.Session.D() / 4 }
--- a/tenure/doc.go
+++ b/tenure/doc.go
@@ -1,4 +1,5 @@
-// Package tenure runs the decisions of package ownership for one entry host:
-// against the table, the other entry hosts and the clock. One goroutine owns
-// the state; requests run in goroutines of their own and bring results back.
+// Package tenure drives the ownership state machine of one entry host. It
+// connects package ownership with the table, the other entry hosts and the
+// clock. A control goroutine owns the state; requests run in separate
+// goroutines and pass their results to it.
 package tenure
--- a/tenure/keeper_test.go
+++ b/tenure/driver_test.go
@@ -15,13 +15,13 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// cluster is some keepers over one table.
+// cluster has several drivers that share a table.
 type cluster struct {
 	t       *testing.T
 	table   *fakeTable
 	peers   *peernet.Network
 	list    infra.MemberList
-	keepers map[string]*Driver
+	drivers map[string]*Driver
 	cancel  map[string]context.CancelFunc
 	done    sync.WaitGroup
 	drained chan string
@@ -30,7 +30,7 @@
 func newCluster(t *testing.T, hosts ...string) *cluster {
 	c := &cluster{
 		t: t, table: newFakeTable(), peers: peernet.New(),
-		keepers: map[string]*Driver{}, cancel: map[string]context.CancelFunc{}, drained: make(chan string, 100),
+		drivers: map[string]*Driver{}, cancel: map[string]context.CancelFunc{}, drained: make(chan string, 100),
 	}
 	for i := range 16 {
 		c.list.Members = append(c.list.Members, infra.Member{
@@ -56,9 +56,9 @@
 
 func (c *cluster) start(host string) {
 	s := settings.Default()
-	end := c.peers.Port(host)
-	k := New(Config{
-		Host: host, Incarnation: host + "-1", Table: c.table, Transport: end, Mux: end,
+	port := c.peers.Port(host)
+	d := New(Config{
+		Host: host, Incarnation: host + "-1", Table: c.table, Transport: port, Mux: port,
 		Lease: s.Lease,
 		Drain: func(_ context.Context, shard string) error {
 			c.drained <- shard
@@ -66,16 +66,16 @@
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	c.keepers[host], c.cancel[host] = k, cancel
-	c.done.Go(func() { _ = k.Run(ctx) })
-	k.SetRoster(roster.Build(roster.Roster{}, c.list, s.Lease))
+	c.drivers[host], c.cancel[host] = d, cancel
+	c.done.Go(func() { _ = d.Run(ctx) })
+	d.SetRoster(roster.Build(roster.Roster{}, c.list, s.Lease))
 }
 
-// shares adds up the full shares held, by shard.
-func (c *cluster) shares() map[string]int {
+// fullOwners returns the number of hosts with a full share, by shard.
+func (c *cluster) fullOwners() map[string]int {
 	sum := map[string]int{}
-	for _, k := range c.keepers {
-		for shard, g := range k.Snapshot().Grants {
+	for _, d := range c.drivers {
+		for shard, g := range d.Snapshot().Grants {
 			if g.At(time.Now()) == ownership.Full {
 				sum[shard]++
 			}
@@ -84,54 +84,54 @@
 	return sum
 }
 
-// wantAllOwnedOnce checks that each shard has one full owner.
+// wantAllOwnedOnce checks that each shard has exactly one full owner.
 func (c *cluster) wantAllOwnedOnce(when string) {
 	c.t.Helper()
-	sum := c.shares()
+	sum := c.fullOwners()
 	shards := roster.Build(roster.Roster{}, c.list, settings.Default().Lease).Shards()
 	for _, shard := range shards {
 		if sum[shard] != 1 {
-			c.t.Fatalf("%s: %s has %d full owners", when, shard, sum[shard])
+			c.t.Fatalf("%s: shard %s has %d full owners, want 1", when, shard, sum[shard])
 		}
 	}
 }
 
-// pass lets time pass in the bubble.
-func pass(d time.Duration) {
+// advance advances the fake clock of the test.
+func advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
 
-func TestKeepersShareOut(t *testing.T) {
+func TestDriversOwnEachShardOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
-		pass(15 * time.Second)
-		c.wantAllOwnedOnce("settled")
-		for h, k := range c.keepers {
-			if !k.StoreOK() || len(k.Snapshot().Grants) == 0 {
-				t.Errorf("%s: store %v, %d grants", h, k.StoreOK(), len(k.Snapshot().Grants))
+		advance(15 * time.Second)
+		c.wantAllOwnedOnce("after startup")
+		for h, d := range c.drivers {
+			if !d.StoreOK() || len(d.Snapshot().Grants) == 0 {
+				t.Errorf("host %s: table available %v, %d grants; want true and at least 1", h, d.StoreOK(), len(d.Snapshot().Grants))
 			}
 		}
 	})
 }
 
-func TestKeepersKeepFullThroughOutage(t *testing.T) {
+func TestFullSharesKeptThroughOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
-		pass(15 * time.Second)
-		calm := c.shares()
+		advance(15 * time.Second)
+		before := c.fullOwners()
 		c.table.setDown(true)
-		pass(time.Minute)
-		for shard, n := range c.shares() {
+		advance(time.Minute)
+		for shard, n := range c.fullOwners() {
 			if n != 1 {
-				t.Errorf("%s has %d full owners", shard, n)
+				t.Errorf("shard %s has %d full owners during the outage, want 1", shard, n)
 			}
 		}
-		if len(c.shares()) != len(calm) || c.keepers["a"].StoreOK() {
-			t.Errorf("%d shards held, store %v", len(c.shares()), c.keepers["a"].StoreOK())
+		if len(c.fullOwners()) != len(before) || c.drivers["a"].StoreOK() {
+			t.Errorf("%d shards held during the outage, table available %v; want all shards and false", len(c.fullOwners()), c.drivers["a"].StoreOK())
 		}
 		c.table.setDown(false)
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		c.wantAllOwnedOnce("after the outage")
 	})
 }
@@ -139,48 +139,48 @@
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
-		pass(15 * time.Second)
-		held := len(c.keepers["b"].Snapshot().Grants)
+		advance(15 * time.Second)
+		held := len(c.drivers["b"].Snapshot().Grants)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if err := c.keepers["b"].HandOver(ctx); err != nil {
+		if err := c.drivers["b"].HandOver(ctx); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		c.wantAllOwnedOnce("at once after the hand-over")
-		if left := len(c.keepers["b"].Snapshot().Grants); held == 0 || left != 0 || len(c.drained) < held {
-			t.Errorf("held %d, left %d, drained %d", held, left, len(c.drained))
+		c.wantAllOwnedOnce("immediately after the handover")
+		if remaining := len(c.drivers["b"].Snapshot().Grants); held == 0 || remaining != 0 || len(c.drained) < held {
+			t.Errorf("host held %d shards, holds %d after the handover, drained %d; want some, 0 and all of them", held, remaining, len(c.drained))
 		}
 	})
 }
 
-func TestCrashedOwnerIsSucceeded(t *testing.T) {
+func TestCrashedOwnerIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, "a", "b", "c")
-		pass(15 * time.Second)
+		advance(15 * time.Second)
 		c.cancel["a"]()
-		delete(c.keepers, "a")
-		pass(20 * time.Second)
+		delete(c.drivers, "a")
+		advance(20 * time.Second)
 		halves := 0
-		for _, k := range c.keepers {
-			for _, g := range k.Snapshot().Grants {
+		for _, d := range c.drivers {
+			for _, g := range d.Snapshot().Grants {
 				if g.At(time.Now()) == ownership.Half {
 					halves++
 				}
 			}
 		}
 		if halves == 0 {
-			t.Error("no shard is held by half though the crashed owner is still on the list")
+			t.Error("no shard is held with a half share while the crashed owner is still in the list")
 		}
 		c.list.Revision++
 		c.list.Members = c.list.Members[:len(c.list.Members)-3]
 		for _, h := range []string{"b", "c"} {
 			c.list.Members = append(c.list.Members, infra.Member{Kind: infra.EntryHost, Name: h, Zone: h, State: infra.Live})
 		}
-		for _, k := range c.keepers {
-			k.SetRoster(roster.Build(roster.Roster{}, c.list, settings.Default().Lease))
+		for _, d := range c.drivers {
+			d.SetRoster(roster.Build(roster.Roster{}, c.list, settings.Default().Lease))
 		}
-		pass(15 * time.Second)
+		advance(15 * time.Second)
 		c.wantAllOwnedOnce("after the list dropped the crashed owner")
 	})
 }
--- a/tenure/execute.go
+++ b/tenure/execute.go
@@ -11,54 +11,54 @@
 	"github.com/fireflygate/fireflygate/ownership"
 )
 
-// scanPage is how many rows one scan asks for.
+// scanPage is the number of rows requested per scan.
 const scanPage = 1000
 
-// execute carries an action out without holding up the control goroutine.
-func (k *Driver) execute(ctx context.Context, a ownership.Action) {
+// execute performs an action without blocking the control goroutine.
+func (d *Driver) execute(ctx context.Context, a ownership.Action) {
 	switch a := a.(type) {
 	case ownership.Report:
-		k.report(a)
+		d.report(a)
 	case ownership.Commit:
-		go k.commit(ctx, a)
+		go d.commit(ctx, a)
 	case ownership.Read:
-		go k.read(ctx, a)
+		go d.read(ctx, a)
 	case ownership.AskPromise:
-		go k.askPromise(ctx, a)
+		go d.askPromise(ctx, a)
 	case ownership.AskStopped:
-		go k.askStopped(ctx, a)
+		go d.askStopped(ctx, a)
 	case ownership.Notify:
-		go k.notify(ctx, a)
+		go d.notify(ctx, a)
 	case ownership.Drain:
-		go k.drain(ctx, a)
+		go d.drain(ctx, a)
 	default:
 		panic("tenure: unknown action")
 	}
 }
 
-// commit sends a transaction and brings its result back.
-func (k *Driver) commit(ctx context.Context, a ownership.Commit) {
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.tableTimeout())
+// commit sends a transaction and passes its result to the machine.
+func (d *Driver) commit(ctx context.Context, a ownership.Commit) {
+	ctx, cancel := context.WithTimeout(ctx, d.cfg.tableTimeout())
 	defer cancel()
-	result := k.cfg.Table.Commit(ctx, a.Tx)
-	answered := result.Status == infra.CommitApplied || result.Status == infra.CommitConflict
-	k.post(func(now time.Time, m *ownership.Machine) []ownership.Action {
-		k.answered(now, answered)
+	result := d.cfg.Table.Commit(ctx, a.Tx)
+	tableAnswered := result.Status == infra.CommitApplied || result.Status == infra.CommitConflict
+	d.post(func(now time.Time, m *ownership.Machine) []ownership.Action {
+		d.tableAnswered(now, tableAnswered)
 		return m.Committed(now, a.ID, result)
 	})
 }
 
-// read brings rows back: everything, or those asked for.
-func (k *Driver) read(ctx context.Context, a ownership.Read) {
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.tableTimeout())
+// read reads all rows or the requested ones, and passes them to the machine.
+func (d *Driver) read(ctx context.Context, a ownership.Read) {
+	ctx, cancel := context.WithTimeout(ctx, d.cfg.tableTimeout())
 	defer cancel()
-	take := k.readKeys
+	readRows := d.readKeys
 	if a.Full {
-		take = k.readAll
+		readRows = d.readAll
 	}
-	rows, err := take(ctx, a)
-	k.post(func(now time.Time, m *ownership.Machine) []ownership.Action {
-		k.answered(now, err == nil)
+	rows, err := readRows(ctx, a)
+	d.post(func(now time.Time, m *ownership.Machine) []ownership.Action {
+		d.tableAnswered(now, err == nil)
 		if err != nil {
 			return m.ReadFailed(now, a.ID)
 		}
@@ -67,38 +67,39 @@
 }
 
 // readAll scans the sessions, then the shards.
-func (k *Driver) readAll(ctx context.Context, a ownership.Read) (input, error) {
-	sessions, err := k.scan(ctx, ownership.SessionPrefix)
+func (d *Driver) readAll(ctx context.Context, a ownership.Read) (input, error) {
+	sessions, err := d.scan(ctx, ownership.SessionPrefix)
 	if err != nil {
 		return nil, err
 	}
-	shards, err := k.scan(ctx, ownership.ShardPrefix)
+	shards, err := d.scan(ctx, ownership.ShardPrefix)
 	return func(now time.Time, m *ownership.Machine) []ownership.Action {
 		return m.RowsRead(now, a.ID, sessions, shards)
 	}, err
 }
 
-// readKeys gets the rows named, then a page of the shards' rows.
-func (k *Driver) readKeys(ctx context.Context, a ownership.Read) (input, error) {
+// readKeys gets the rows of the given keys, then scans one page of the shards'
+// rows.
+func (d *Driver) readKeys(ctx context.Context, a ownership.Read) (input, error) {
 	var rows []infra.Row
 	if len(a.Keys) > 0 {
 		var err error
-		if rows, err = k.cfg.Table.Get(ctx, a.Keys...); err != nil {
+		if rows, err = d.cfg.Table.Get(ctx, a.Keys...); err != nil {
 			return nil, err
 		}
 	}
-	page, err := k.cfg.Table.Scan(ctx, ownership.ShardPrefix, a.After, a.Limit)
+	page, err := d.cfg.Table.Scan(ctx, ownership.ShardPrefix, a.After, a.Limit)
 	return func(now time.Time, m *ownership.Machine) []ownership.Action {
 		return m.KeysRead(now, a.ID, rows, page, a.Limit)
 	}, err
 }
 
-// scan reads every row under a prefix.
-func (k *Driver) scan(ctx context.Context, prefix string) ([]infra.Row, error) {
+// scan reads all rows with a prefix.
+func (d *Driver) scan(ctx context.Context, prefix string) ([]infra.Row, error) {
 	var all []infra.Row
 	after := ""
 	for {
-		rows, err := k.cfg.Table.Scan(ctx, prefix, after, scanPage)
+		rows, err := d.cfg.Table.Scan(ctx, prefix, after, scanPage)
 		if err != nil {
 			return nil, err
 		}
@@ -110,20 +111,22 @@
 	}
 }
 
-// answered notes whether the table answered; control goroutine only.
-func (k *Driver) answered(now time.Time, ok bool) {
+// tableAnswered records whether the table answered. It must be called in
+// the control goroutine.
+func (d *Driver) tableAnswered(now time.Time, ok bool) {
 	if ok {
-		k.lastAnswer = now
+		d.lastAnswer = now
 	}
 }
 
-// askPromise asks a successor for a promise and brings its reply back.
-func (k *Driver) askPromise(ctx context.Context, a ownership.AskPromise) {
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Lease.Renew.D())
+// askPromise requests a promise from a successor and passes the reply to the
+// machine.
+func (d *Driver) askPromise(ctx context.Context, a ownership.AskPromise) {
+	ctx, cancel := context.WithTimeout(ctx, d.cfg.Lease.Renew.D())
 	defer cancel()
 	var reply ownership.PromiseReply
-	r := k.cfg.Transport.Call(ctx, a.Host, methodPromise, a.Request, &reply)
-	k.post(func(now time.Time, m *ownership.Machine) []ownership.Action {
+	r := d.cfg.Transport.Call(ctx, a.Host, methodPromise, a.Request, &reply)
+	d.post(func(now time.Time, m *ownership.Machine) []ownership.Action {
 		if r.Kind != outcome.Answered {
 			return m.AskFailed(now, a.ID)
 		}
@@ -131,14 +134,14 @@
 	})
 }
 
-// askStopped asks a previous owner whether it has stopped and brings its reply
-// back.
-func (k *Driver) askStopped(ctx context.Context, a ownership.AskStopped) {
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Lease.Renew.D())
+// askStopped asks a previous owner whether it has stopped, and passes the reply
+// to the machine.
+func (d *Driver) askStopped(ctx context.Context, a ownership.AskStopped) {
+	ctx, cancel := context.WithTimeout(ctx, d.cfg.Lease.Renew.D())
 	defer cancel()
 	var reply ownership.StoppedReply
-	r := k.cfg.Transport.Call(ctx, a.Host, methodStopped, a.Request, &reply)
-	k.post(func(now time.Time, m *ownership.Machine) []ownership.Action {
+	r := d.cfg.Transport.Call(ctx, a.Host, methodStopped, a.Request, &reply)
+	d.post(func(now time.Time, m *ownership.Machine) []ownership.Action {
 		if r.Kind != outcome.Answered {
 			return m.AskFailed(now, a.ID)
 		}
@@ -146,31 +149,31 @@
 	})
 }
 
-// notify tells a peer of owners.
-func (k *Driver) notify(ctx context.Context, a ownership.Notify) {
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Lease.Renew.D())
+// notify sends owner updates to a peer.
+func (d *Driver) notify(ctx context.Context, a ownership.Notify) {
+	ctx, cancel := context.WithTimeout(ctx, d.cfg.Lease.Renew.D())
 	defer cancel()
-	k.cfg.Transport.Call(ctx, a.Host, methodOwned, ownedMessage{Owned: a.Updates}, nil)
+	d.cfg.Transport.Call(ctx, a.Host, methodOwned, ownedMessage{Owned: a.Updates}, nil)
 }
 
-// drain waits until nothing is in flight under a shard, however long it takes.
-func (k *Driver) drain(ctx context.Context, a ownership.Drain) {
+// drain waits until nothing is in flight for a shard, without a time limit.
+func (d *Driver) drain(ctx context.Context, a ownership.Drain) {
 	for {
-		err := k.cfg.Drain(ctx, a.Shard)
+		err := d.cfg.Drain(ctx, a.Shard)
 		if err == nil {
 			break
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		event.DrainFailed.Log(k.cfg.Log, slog.String("shard", a.Shard), slog.Any("error", err))
+		event.DrainFailed.Log(d.cfg.Log, slog.String("shard", a.Shard), slog.Any("error", err))
 		select {
-		case <-time.After(k.cfg.Lease.Renew.D()):
+		case <-time.After(d.cfg.Lease.Renew.D()):
 		case <-ctx.Done():
 			return
 		}
 	}
-	k.post(func(now time.Time, m *ownership.Machine) []ownership.Action {
+	d.post(func(now time.Time, m *ownership.Machine) []ownership.Action {
 		return m.Drained(now, a.Shard, a.Epoch)
 	})
 }
--- a/tenure/fake_test.go
+++ b/tenure/fake_test.go
@@ -9,7 +9,7 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// fakeTable is a table in memory that can be down.
+// fakeTable is an in-memory table that can be made unavailable.
 type fakeTable struct {
 	mu      sync.Mutex
 	rows    map[string]infra.Row
--- a/tenure/report.go
+++ b/tenure/report.go
@@ -7,7 +7,7 @@
 	"github.com/fireflygate/fireflygate/ownership"
 )
 
-// events are the log events of what the machine reports.
+// events maps the machine's reports to log events.
 var events = map[ownership.ReportKind]event.Event{
 	ownership.SessionOpened:   event.SessionOpened,
 	ownership.SessionReplaced: event.SessionReplaced,
@@ -19,8 +19,8 @@
 	ownership.ShardReleased:   event.ShardReleased,
 }
 
-// report logs what happened.
-func (k *Driver) report(r ownership.Report) {
+// report logs a report of the machine.
+func (d *Driver) report(r ownership.Report) {
 	attrs := []slog.Attr{}
 	if r.Shard != "" {
 		attrs = append(attrs, slog.String("shard", r.Shard), slog.Uint64("epoch", r.Epoch))
@@ -28,5 +28,5 @@
 	if r.Host != "" {
 		attrs = append(attrs, slog.String("peer", r.Host))
 	}
-	events[r.Kind].Log(k.cfg.Log, attrs...)
+	events[r.Kind].Log(d.cfg.Log, attrs...)
 }
