--- a/routing/budget.go
+++ b/routing/budget.go
@@ -8,7 +8,7 @@
 	limit  float64
 }
 
-// budgetBurst is how many retries may be saved up.
+// budgetBurst is the maximum number of retries that can accumulate.
 const budgetBurst = 20
 
 // NewRetryBudget returns a budget that allows ratio retries per request.
@@ -19,12 +19,12 @@
 // SetRatio changes the share of requests that may be retried.
 func (b *RetryBudget) SetRatio(ratio float64) { b.ratio = ratio }
 
-// AddRequest counts one first attempt.
+// AddRequest counts the first attempt of a request.
 func (b *RetryBudget) AddRequest() {
 	b.tokens = min(b.limit, b.tokens+b.ratio)
 }
 
-// TakeRetry spends one retry and reports whether there was one.
+// TakeRetry uses one retry and reports whether one was available.
 func (b *RetryBudget) TakeRetry() bool {
 	if b.tokens < 1 {
 		return false
@@ -33,5 +33,5 @@
 	return true
 }
 
-// Available returns how many retries may be made now.
+// Available returns the number of retries that may be made now.
 func (b *RetryBudget) Available() float64 { return b.tokens }
