--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -7,44 +7,45 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// HandleStartAnswer takes in what became of a start. It reports whether the
-// worker must be asked under a higher token what became of it.
+// HandleStartAnswer applies the answer to a start order. It returns true if the
+// caller must poll the worker under a raised token to learn whether the start
+// was carried out.
 func (s *State) HandleStartAnswer(now time.Time, o StartOrder, a runner.Answer) (resolve bool) {
 	w := s.workers[o.Worker.ID]
 	if w == nil {
 		return false
 	}
-	w.tick(now, a.ClockMS)
+	w.setClock(now, a.ClockMS)
 	r := w.runs[o.Start.Task]
 	if r == nil || r.number != o.Start.Run || r.confirmed || r.phase == uncertain {
-		return false // a report was faster
+		return false // a report has already settled this run
 	}
-	// The run may have been ordered to stop meanwhile. Where its start came to
-	// nothing there is no end to wait for, and the reservation would stay.
+	// The run may have been ordered to stop meanwhile. A start that was never
+	// carried out reports no end, so its reservation is released here.
 	switch a.Status {
 	case runner.Done:
-		r.confirm()
-		s.begin(r.task.step.job)
+		r.markConfirmed()
+		s.markStarted(r.task.step.job)
 		s.Stats.Starts++
 	case runner.Unknown:
 		s.Stats.StartsUnknown++
 		r.phase = uncertain
-		s.unheard(now, w)
+		s.markUnresponsive(now, w)
 		return s.raiseToken(w)
 	case runner.Restarted:
 		s.HandleRestart(now, w.info.ID)
 	default:
 		s.Stats.StartsRefused++
-		s.refused(now, w, r, a.Status)
+		s.handleRefusal(now, w, r, a.Status)
 	}
 	return false
 }
 
-// refused gives back what a start that never ran had reserved, and keeps new
-// tasks from the worker for as long as the reason may last.
-func (s *State) refused(now time.Time, w *worker, r *run, why runner.Status) {
-	s.release(r)
-	switch why {
+// handleRefusal releases the reservation of a refused start and, depending on
+// the reason, keeps new tasks off the worker for a while.
+func (s *State) handleRefusal(now time.Time, w *worker, r *run, status runner.Status) {
+	s.releaseRun(r)
+	switch status {
 	case runner.NoPermit:
 		r.task.step.dropTicket(w)
 	case runner.NoCapacity:
@@ -57,37 +58,39 @@
 	}
 }
 
-// raiseToken makes every order given so far that hasn't been carried out
-// void, once the worker has seen the new token.
+// raiseToken raises the worker's fencing token, which voids all earlier orders
+// that haven't been carried out once the worker has seen it. It returns false
+// if a raised token is already on its way.
 func (s *State) raiseToken(w *worker) bool {
 	if w.token != w.tokenSeen {
-		return false // raised already
+		return false // already raised
 	}
 	w.token++
 	s.topToken = max(s.topToken, w.token)
 	return true
 }
 
-// HandleStopAnswer takes in what became of a stop; the end itself comes with a
-// report.
+// HandleStopAnswer applies the answer to a stop order. The end of the run
+// itself arrives with a report.
 func (s *State) HandleStopAnswer(now time.Time, o StopOrder, a runner.Answer) {
 	w := s.workers[o.Worker.ID]
 	if w == nil {
 		return
 	}
-	w.tick(now, a.ClockMS)
+	w.setClock(now, a.ClockMS)
 	if a.Status == runner.Restarted {
 		s.HandleRestart(now, w.info.ID)
 	}
 }
 
-// HandleCPULimitAnswer takes in what became of a change of pace.
+// HandleCPULimitAnswer applies the answer to a CPU limit order; an order that
+// failed is sent again.
 func (s *State) HandleCPULimitAnswer(o CPULimitOrder, a runner.Answer) {
 	w := s.workers[o.Worker.ID]
 	if w == nil || a.Status == runner.Done {
 		return
 	}
-	if r := w.runs[o.CPULimit.Task]; r != nil && r.number == o.CPULimit.Run && r.pace == o.CPULimit.Percent {
-		r.paceOpen = true
+	if r := w.runs[o.CPULimit.Task]; r != nil && r.number == o.CPULimit.Run && r.cpuLimit == o.CPULimit.Percent {
+		r.cpuLimitUnconfirmed = true
 	}
 }
--- a/dispatch/benchlarge_test.go
+++ b/dispatch/benchlarge_test.go
@@ -10,21 +10,20 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// The load of a large pool in its steady state: some 1,500 starts a second in
-// cycles 30 ms apart.
+// The load of a large pool in its steady state.
 const (
-	largeWorkers = 890
-	largeLasting = 240 // jobs of four long-running tasks
-	largeCycle   = 30 * time.Millisecond
-	// largeRuns is how many cycles a run takes.
-	largeRuns = 30
+	largeWorkers         = 890
+	largeLongRunningJobs = 240 // jobs of four tasks
+	largeCycle           = 30 * time.Millisecond
+	// largeRunCycles is how many cycles a run takes.
+	largeRunCycles = 30
 )
 
-// newLargeRig returns 890 workers on which long-running tasks serve.
+// newLargeRig returns a rig whose workers run long-running serving tasks.
 func newLargeRig() *rig {
 	r := newRig(&testing.T{}, largeWorkers)
-	for i := range largeLasting {
-		r.submit(queueShort, fmt.Sprintf("lasting%d", i), step(4, 3, longRunning, func(s *workload.Step) {
+	for i := range largeLongRunningJobs {
+		r.submit(queueShort, fmt.Sprintf("service%d", i), step(4, 3, longRunning, func(s *workload.Step) {
 			s.Image, s.TailTarget = fmt.Sprintf("serve%d", i%16), 50*time.Millisecond
 		}))
 	}
@@ -32,23 +31,23 @@
 	return r
 }
 
-// BenchmarkPlanLarge plans on 890 workers that serve. In each cycle a job of 39
-// fillers and one of 10 short tasks come, and those of an earlier cycle end.
+// BenchmarkPlanLarge plans on workers with serving tasks. In each cycle one
+// best-effort and one short job arrive, and the runs of an earlier cycle end.
 func BenchmarkPlanLarge(b *testing.B) {
 	r := newLargeRig()
 	numbers := map[string]uint64{}
 	var running [][]dispatch.StartOrder
 	cycle := func(i int) {
-		r.submit(queueLong, fmt.Sprintf("fill%d", i), step(39, 3, func(s *workload.Step) {
-			s.BestEffort, s.Image, s.Checkpointing = true, fmt.Sprintf("fill%d", i%30), true
+		r.submit(queueLong, fmt.Sprintf("batch%d", i), step(39, 3, func(s *workload.Step) {
+			s.BestEffort, s.Image, s.Checkpointing = true, fmt.Sprintf("batch%d", i%30), true
 		}))
 		r.submit(queueShort, fmt.Sprintf("short%d", i), step(10, 4))
-		r.pass(largeCycle)
+		r.advance(largeCycle)
 		b.StartTimer()
 		starts := r.plan()
 		b.StopTimer()
 		running = append(running, starts)
-		if len(running) <= largeRuns {
+		if len(running) <= largeRunCycles {
 			return
 		}
 		for _, o := range running[0] {
@@ -58,34 +57,33 @@
 		running = running[1:]
 		r.flush()
 	}
-	for i := range 2 * largeRuns {
+	for i := range 2 * largeRunCycles {
 		cycle(i)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	starts := 0
 	for i := range b.N {
-		cycle(2*largeRuns + i)
+		cycle(2*largeRunCycles + i)
 		starts += len(running[len(running)-1])
 	}
 	b.ReportMetric(float64(starts)/float64(b.N), "starts/op")
 }
 
-// BenchmarkPlanHeldBack plans eight starts at a time on 890 workers that serve
-// and have room, with 100 steps of fillers waiting, as an owner does whose orders
-// are slow.
-func BenchmarkPlanHeldBack(b *testing.B) {
+// BenchmarkPlanLimitedStarts plans eight starts at a time on workers with free
+// capacity while many best-effort steps wait.
+func BenchmarkPlanLimitedStarts(b *testing.B) {
 	r := newLargeRig()
 	numbers := map[string]uint64{}
 	for i := range 100 {
-		r.submit(queueLong, fmt.Sprintf("fill%d", i), step(160, 3, func(s *workload.Step) {
-			s.BestEffort, s.Image, s.Checkpointing = true, fmt.Sprintf("fill%d", i%30), true
+		r.submit(queueLong, fmt.Sprintf("batch%d", i), step(160, 3, func(s *workload.Step) {
+			s.BestEffort, s.Image, s.Checkpointing = true, fmt.Sprintf("batch%d", i%30), true
 		}))
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		r.pass(largeCycle)
+		r.advance(largeCycle)
 		b.StartTimer()
 		starts := r.state.PlanAtMost(r.now, 8).Starts
 		b.StopTimer()
--- a/dispatch/fill_test.go
+++ b/dispatch/besteffort_test.go
@@ -9,11 +9,10 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// TestFillersTakeWhatServingTasksLeave replays a burst of fillers on a worker
-// whose serving tasks reserve 14 of 16 cores and use half of them, far below
-// their target: three fillers of 4 cores run there, where two did while serving
-// tasks were taken to use more and a filler waited for most of what it asks for.
-func TestFillersTakeWhatServingTasksLeave(t *testing.T) {
+// TestBestEffortUsesIdleProcessors checks that best-effort tasks use the
+// reserved but idle processors of serving tasks that are far below their
+// target.
+func TestBestEffortUsesIdleProcessors(t *testing.T) {
 	r := newRig(t, 1)
 	r.submit(queueShort, "serving", step(2, 7, longRunning, func(s *workload.Step) {
 		s.Image, s.TailTarget = "web", 50*time.Millisecond
@@ -23,16 +22,16 @@
 		at = append(at, withTail(o, 5))
 	}
 	for range 10 {
-		r.pass(500 * time.Millisecond)
+		r.advance(500 * time.Millisecond)
 		r.report(worker(0), at, nil)
 	}
-	r.submit(queueLong, "filling", step(6, 4, func(s *workload.Step) { s.BestEffort, s.Image = true, "plan" }))
+	r.submit(queueLong, "batch", step(6, 4, func(s *workload.Step) { s.BestEffort, s.Image = true, "plan" }))
 	started := len(r.plan())
 	if started != 3 {
-		t.Errorf("%d fillers started, want 3", started)
+		t.Errorf("%d best-effort tasks started, want 3", started)
 	}
 	r.state.AttributeTime(r.now)
 	if sum := r.state.AttributeTime(r.now); sum.WaitingByCause[dispatch.NoProcessors] != 3 {
-		t.Errorf("waiting by cause: %v, want the other 3 for processors", sum.WaitingByCause)
+		t.Errorf("waiting by cause: %v, want the other 3 for lack of processors", sum.WaitingByCause)
 	}
 }
--- a/dispatch/burst_test.go
+++ b/dispatch/burst_test.go
@@ -8,18 +8,18 @@
 	"github.com/fireflygate/fireflygate/mechanism"
 )
 
-// result is what a burst came to.
-type result struct {
+// burstResult sums up the outcome of the bursts.
+type burstResult struct {
 	onTime, jobs int
-	over         time.Duration
+	overTarget   time.Duration
 }
 
-// replayBurst plays 30 s of fillers that ask for most of what serving tasks
-// leave, a third more of them for 6 s, on each seed. If an owner is gone, another
-// takes over in mid-burst.
-func replayBurst(t *testing.T, without mechanism.Set, ownerGone bool) result {
+// runBurst simulates, for each seed, 30 s of best-effort jobs that request most
+// of the capacity left by serving tasks, with higher load in between. With
+// takeover set, another owner takes over during the burst.
+func runBurst(t *testing.T, without mechanism.Set, takeover bool) burstResult {
 	t.Helper()
-	var sum result
+	var sum burstResult
 	for seed := range uint64(3) {
 		b := newBurst(t, seed, without)
 		n := 0
@@ -29,10 +29,10 @@
 				jobs = 7
 			}
 			for range jobs {
-				b.draft(fmt.Sprint("draft", n))
+				b.submitBestEffort(fmt.Sprint("batch", n))
 				n++
 			}
-			if ownerGone && second == 13 {
+			if takeover && second == 13 {
 				b.replaceOwner()
 			}
 			b.run(time.Second)
@@ -44,33 +44,33 @@
 				sum.onTime++
 			}
 		}
-		sum.over += b.over
+		sum.overTarget += b.overTarget
 	}
 	return sum
 }
 
-// TestBurst holds the policy against first come first served, and against
-// placing without what is learned of images, in the same burst.
+// TestBurst checks that the policy beats order of arrival, and placement
+// without interference estimates, in the same burst.
 func TestBurst(t *testing.T) {
-	ours := replayBurst(t, 0, false)
-	firstCome := replayBurst(t, mechanism.Of(mechanism.Timeliness), false)
-	blind := replayBurst(t, mechanism.Of(mechanism.PairEffects, mechanism.ClassAffinity), false)
-	t.Logf("on time, and time of serving tasks over their target: %+v; first come %+v; without pairs %+v", ours, firstCome, blind)
-	if ours.onTime <= firstCome.onTime || ours.onTime <= blind.onTime {
-		t.Errorf("%d jobs on time, want more than %d (first come) and %d (without pairs)", ours.onTime, firstCome.onTime, blind.onTime)
+	full := runBurst(t, 0, false)
+	byArrival := runBurst(t, mechanism.Of(mechanism.Timeliness), false)
+	withoutPairs := runBurst(t, mechanism.Of(mechanism.PairEffects, mechanism.ClassAffinity), false)
+	t.Logf("full policy %+v; in order of arrival %+v; without interference estimates %+v", full, byArrival, withoutPairs)
+	if full.onTime <= byArrival.onTime || full.onTime <= withoutPairs.onTime {
+		t.Errorf("%d jobs on time, want more than %d (in order of arrival) and %d (without interference estimates)", full.onTime, byArrival.onTime, withoutPairs.onTime)
 	}
-	if ours.over >= blind.over {
-		t.Errorf("serving tasks were over their target for %v, want less than the %v without pairs", ours.over, blind.over)
+	if full.overTarget >= withoutPairs.overTarget {
+		t.Errorf("serving tasks were over their target for %v, want less than the %v without interference estimates", full.overTarget, withoutPairs.overTarget)
 	}
 }
 
-// TestBurstOwnerGone loses the owner in mid-burst: what was learned of images is
-// kept, and nine tenths of what is on time with one owner still is.
-func TestBurstOwnerGone(t *testing.T) {
-	one := replayBurst(t, 0, false)
-	two := replayBurst(t, 0, true)
-	t.Logf("one owner %+v, two %+v", one, two)
+// TestBurstWithTakeover checks that a takeover during the burst keeps the
+// interference estimates and costs at most a tenth of the jobs on time.
+func TestBurstWithTakeover(t *testing.T) {
+	one := runBurst(t, 0, false)
+	two := runBurst(t, 0, true)
+	t.Logf("without a takeover %+v, with one %+v", one, two)
 	if two.onTime < one.onTime*9/10 {
-		t.Errorf("%d jobs on time with a change of owner, want nine tenths of %d", two.onTime, one.onTime)
+		t.Errorf("%d jobs on time with a takeover, want at least nine tenths of %d", two.onTime, one.onTime)
 	}
 }
--- a/dispatch/burstrig_test.go
+++ b/dispatch/burstrig_test.go
@@ -17,42 +17,41 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// The load of a burst: serving tasks reserve four fifths of the workers, and
-// fillers ask for most of what these leave, for a while for more.
+// The load of a burst: serving tasks reserve about four fifths of the workers.
 const (
-	burstWorkers  = 24
-	burstImages   = 4 // of those who serve
-	burstFillers  = 6 // images that fill
-	burstTarget   = 60 * time.Millisecond
-	burstSwing    = 20 * time.Second
-	quietTakes    = 1.5  // of the slack, a filler with a whole worker
-	loudTakes     = 13.0 // the same for a pair that disturbs
-	loudShare     = 0.55
-	burstTick     = 100 * time.Millisecond
-	ticksToReport = 5
+	burstWorkers          = 24
+	burstServingImages    = 4 // images of serving tasks
+	burstBestEffortImages = 6 // images of best-effort tasks
+	burstTarget           = 60 * time.Millisecond
+	burstLoadPeriod       = 20 * time.Second
+	lowImpactEffect       = 1.5  // slack lost to a best-effort task with a whole worker
+	highImpactEffect      = 13.0 // the same for a high-impact pair of images
+	highImpactShare       = 0.55
+	burstTick             = 100 * time.Millisecond
+	ticksPerReport        = 5
 )
 
-// burst replays a burst of fillers on simulated workers whose tails follow
-// what runs there.
+// burst simulates a burst of best-effort jobs on workers whose tails depend on
+// what they run.
 type burst struct {
 	*rig
 	random *rand.Rand
-	// takes is what a filler's image takes from the slack of an image.
-	takes   map[[2]string]float64
+	// effects holds the slack lost by pair of best-effort and serving image.
+	effects map[[2]string]float64
 	phase   map[string]float64
 	workers map[string]*simWorker
-	// ended and due are when each job was complete, and should have been.
+	// ended and due hold when each job was complete and when it should be.
 	ended, due map[string]time.Time
-	// over is the time that serving tasks spent over their target.
-	over time.Duration
-	tick int
+	// overTarget is the total time that serving tasks spent over their target.
+	overTarget time.Duration
+	tick       int
 }
 
 // simWorker is a simulated worker.
 type simWorker struct {
-	runs map[workload.TaskID]*simRun
-	ends []runner.RunEnd
-	last uint64
+	runs    map[workload.TaskID]*simRun
+	ends    []runner.RunEnd
+	lastEnd uint64
 }
 
 // simRun is a run on a simulated worker.
@@ -60,29 +59,30 @@
 	number uint64
 	step   workload.Step
 	job    string
-	// done is the work done and need the work in all, at full pace.
-	done, need time.Duration
-	pace       int
+	// progress and total are the work done and all work, as time at the full
+	// CPU limit.
+	progress, total time.Duration
+	cpuLimit        int
 }
 
-// newBurst returns workers that serve, before the first filler.
+// newBurst returns workers with serving tasks and no best-effort jobs.
 func newBurst(t *testing.T, seed uint64, without mechanism.Set) *burst {
 	b := &burst{
-		rig:    &rig{t: t, now: time.Unix(1000, 0), rows: map[string][]byte{}, without: without},
-		random: rand.New(rand.NewPCG(seed, 1)), takes: map[[2]string]float64{}, phase: map[string]float64{},
+		rig:    &rig{t: t, now: time.Unix(1000, 0), rows: map[string][]byte{}, disabled: without},
+		random: rand.New(rand.NewPCG(seed, 1)), effects: map[[2]string]float64{}, phase: map[string]float64{},
 		workers: map[string]*simWorker{}, ended: map[string]time.Time{}, due: map[string]time.Time{},
 	}
-	b.began = b.now
-	b.own(1)
+	b.startedAt = b.now
+	b.startOwner(1)
 	b.members(burstWorkers)
 	for i := range burstWorkers {
 		b.workers[worker(i)] = &simWorker{runs: map[workload.TaskID]*simRun{}}
 	}
-	for f := range burstFillers {
-		for s := range burstImages {
-			b.takes[[2]string{fmt.Sprint("fill", f), fmt.Sprint("serve", s)}] = quietTakes
-			if b.random.Float64() < loudShare {
-				b.takes[[2]string{fmt.Sprint("fill", f), fmt.Sprint("serve", s)}] = loudTakes
+	for f := range burstBestEffortImages {
+		for s := range burstServingImages {
+			b.effects[[2]string{fmt.Sprint("batch", f), fmt.Sprint("serve", s)}] = lowImpactEffect
+			if b.random.Float64() < highImpactShare {
+				b.effects[[2]string{fmt.Sprint("batch", f), fmt.Sprint("serve", s)}] = highImpactEffect
 			}
 		}
 	}
@@ -91,17 +91,17 @@
 		b.phase[id] = b.random.Float64()
 		b.submit(queueShort, id, step(4, 0, longRunning, func(s *workload.Step) {
 			s.Needs = infra.Resources{MilliCPU: 2800 + int64(b.random.IntN(800)), MemoryMB: 2000}
-			s.Image, s.TailTarget = fmt.Sprint("serve", i%burstImages), burstTarget
+			s.Image, s.TailTarget = fmt.Sprint("serve", i%burstServingImages), burstTarget
 		}))
 	}
 	b.run(5 * time.Second)
 	return b
 }
 
-// draft submits a job of fillers.
-func (b *burst) draft(id string) {
+// submitBestEffort submits a random best-effort job.
+func (b *burst) submitBestEffort(id string) {
 	b.t.Helper()
-	image := fmt.Sprint("fill", b.random.IntN(burstFillers))
+	image := fmt.Sprint("batch", b.random.IntN(burstBestEffortImages))
 	var steps []workload.Step
 	for i := range 1 + b.random.IntN(2) {
 		steps = append(steps, step(4+b.random.IntN(6), 0, func(s *workload.Step) {
@@ -124,20 +124,20 @@
 	b.flush()
 }
 
-// run lets time pass on the workers and at the scheduler.
+// run advances the workers and the scheduler by d.
 func (b *burst) run(d time.Duration) {
 	for range d / burstTick {
-		b.pass(burstTick)
+		b.advance(burstTick)
 		b.tick++
 		for i := range burstWorkers {
 			id := worker(i)
 			b.work(b.workers[id])
-			if (b.tick+i)%ticksToReport == 0 || len(b.workers[id].ends) > 0 {
-				b.tell(id)
+			if (b.tick+i)%ticksPerReport == 0 || len(b.workers[id].ends) > 0 {
+				b.sendReport(id)
 			}
 		}
 		b.flush()
-		b.carryOut(b.state.Plan(b.now))
+		b.execute(b.state.Plan(b.now))
 		for id := range b.due {
 			if state, ok := b.state.JobState(id); ok && state == workload.Complete && b.ended[id].IsZero() {
 				b.ended[id] = b.now
@@ -146,56 +146,56 @@
 	}
 }
 
-// work advances the runs of a worker by a tick.
+// work advances the runs of a worker by one tick.
 func (b *burst) work(c *simWorker) {
 	for _, id := range c.tasks() {
 		r := c.runs[id]
 		if r.step.LongRunning {
 			if b.slack(c, r) < 1 {
-				b.over += burstTick
+				b.overTarget += burstTick
 			}
 			continue
 		}
-		r.done += burstTick * time.Duration(r.pace) / 100
-		if r.done >= r.need {
+		r.progress += burstTick * time.Duration(r.cpuLimit) / 100
+		if r.progress >= r.total {
 			c.end(id, r, runner.EndDone)
 		}
 	}
 }
 
-// slack returns the target over the tail of a serving run.
+// slack returns the ratio of target to tail of a serving run.
 func (b *burst) slack(c *simWorker, serving *simRun) float64 {
-	at := b.now.Sub(b.began).Seconds()/burstSwing.Seconds() + b.phase[serving.job]
+	at := b.now.Sub(b.startedAt).Seconds()/burstLoadPeriod.Seconds() + b.phase[serving.job]
 	slack := 3 - 1.4*math.Sin(2*math.Pi*at)
 	for _, r := range c.runs {
 		if r.step.BestEffort {
-			part := float64(r.step.Needs.MilliCPU) / 16_000 * float64(r.pace) / 100
-			slack -= part * b.takes[[2]string{r.step.Image, serving.step.Image}]
+			part := float64(r.step.Needs.MilliCPU) / 16_000 * float64(r.cpuLimit) / 100
+			slack -= part * b.effects[[2]string{r.step.Image, serving.step.Image}]
 		}
 	}
 	return max(slack, 0.1)
 }
 
-// tasks returns the tasks that run, in the order of their runs.
+// tasks returns the tasks with a run, in order of run numbers.
 func (c *simWorker) tasks() []workload.TaskID {
 	return slices.SortedFunc(maps.Keys(c.runs), func(a, b workload.TaskID) int {
 		return cmp.Compare(c.runs[a].number, c.runs[b].number)
 	})
 }
 
-// end lists an end.
+// end ends a run and records its end.
 func (c *simWorker) end(id workload.TaskID, r *simRun, kind runner.EndKind) {
 	delete(c.runs, id)
-	c.last++
+	c.lastEnd++
 	saved := ""
 	if kind == runner.EndStopped && r.step.Checkpointing {
-		saved = fmt.Sprint(r.done.Milliseconds())
+		saved = fmt.Sprint(r.progress.Milliseconds())
 	}
-	c.ends = append(c.ends, runner.RunEnd{Number: c.last, Task: id, Run: r.number, Kind: kind, Checkpoint: saved})
+	c.ends = append(c.ends, runner.RunEnd{Number: c.lastEnd, Task: id, Run: r.number, Kind: kind, Checkpoint: saved})
 }
 
-// tell reports what runs on a worker and what has ended.
-func (b *burst) tell(id string) {
+// sendReport reports a worker's runs and ends to the scheduler.
+func (b *burst) sendReport(id string) {
 	b.t.Helper()
 	c := b.workers[id]
 	var at []runner.ActiveRun
@@ -205,8 +205,8 @@
 		if r.step.LongRunning {
 			a.Usage = int64(float64(burstTarget.Milliseconds()) / b.slack(c, r))
 		} else {
-			a.Percent = int(100 * r.done / r.need)
-			a.Usage = r.step.Needs.MilliCPU * int64(r.pace) / 100
+			a.Percent = int(100 * r.progress / r.total)
+			a.Usage = r.step.Needs.MilliCPU * int64(r.cpuLimit) / 100
 		}
 		at = append(at, a)
 	}
@@ -214,8 +214,8 @@
 	c.ends = nil
 }
 
-// carryOut has the workers carry the orders out.
-func (b *burst) carryOut(p dispatch.Plan) {
+// execute carries out the orders of a plan.
+func (b *burst) execute(p dispatch.Plan) {
 	for _, o := range p.Stops {
 		c := b.workers[o.Worker.ID]
 		if r := c.runs[o.Stop.Task]; r != nil && r.number == o.Stop.Run {
@@ -224,42 +224,41 @@
 	}
 	for _, o := range p.CPULimits {
 		if r := b.workers[o.Worker.ID].runs[o.CPULimit.Task]; r != nil {
-			r.pace = o.CPULimit.Percent
+			r.cpuLimit = o.CPULimit.Percent
 		}
 	}
 	for _, o := range p.Starts {
-		b.begin(o)
+		b.startRun(o)
 		b.state.HandleStartAnswer(b.now, o, runner.Answer{Status: runner.Done, ClockMS: b.clock()})
 	}
 }
 
-// begin starts a run, from its checkpoint if it has one.
-func (b *burst) begin(o dispatch.StartOrder) {
+// startRun starts a run, from its checkpoint if it has one.
+func (b *burst) startRun(o dispatch.StartOrder) {
 	job := b.job(o.Start.Task.Job)
-	r := &simRun{number: o.Start.Run, step: job.Steps[o.Start.Task.Step], job: job.ID, pace: 100}
-	r.need = r.step.Estimate
+	r := &simRun{number: o.Start.Run, step: job.Steps[o.Start.Task.Step], job: job.ID, cpuLimit: 100}
+	r.total = r.step.Estimate
 	if o.Start.Checkpoint != "" {
 		var ms int64
 		if _, err := fmt.Sscan(o.Start.Checkpoint, &ms); err != nil {
 			b.t.Fatal(err)
 		}
-		r.done = time.Duration(ms) * time.Millisecond
+		r.progress = time.Duration(ms) * time.Millisecond
 	}
 	b.workers[o.Worker.ID].runs[o.Start.Task] = r
 }
 
-// job returns a job that was submitted.
 func (b *burst) job(id string) *workload.Job {
 	for _, j := range b.jobs {
 		if j.ID == id {
 			return j
 		}
 	}
-	b.t.Fatalf("job %s was never submitted", id)
+	b.t.Fatalf("job %s wasn't submitted", id)
 	return nil
 }
 
-// replaceOwner has another owner take over from what is durable.
+// replaceOwner lets a new owner take over from the committed rows.
 func (b *burst) replaceOwner() {
 	b.t.Helper()
 	var roster []string
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -7,81 +7,83 @@
 	"github.com/fireflygate/fireflygate/rank"
 )
 
-// allowed reports whether a worker may run tasks of a step at all.
+// allowed reports whether a worker is in the step's pool and has its label.
 func (c *cycle) allowed(st *step, w *worker) bool {
 	return w.info.Pool == st.job.queue.Pool && w.info.HasLabel(st.spec.Label)
 }
 
-// fits reports whether the worker may take one more task of the step now.
+// fits reports whether the worker can take one more task of the step now.
 func (c *cycle) fits(st *step, w *worker) bool {
-	if c.kept[w.slot] || !c.allowed(st, w) || !st.spec.Reserved().Fits(w.free) {
+	if c.reserved[w.index] || !c.allowed(st, w) || !st.spec.Reserved().Fits(w.free) {
 		return false
 	}
 	if _, ok := st.ticketFor(c.now, w); !ok {
 		return false
 	}
-	return c.fillable(st, w) && !c.crowded(st, w)
+	return c.hasUnusedCPU(st, w) && !c.atPerWorkerLimit(st, w)
 }
 
-// fillable reports whether a filler finds processors worth having on a worker.
-func (c *cycle) fillable(st *step, w *worker) bool {
-	return !st.spec.BestEffort || float64(c.view(w).unused) >= leastFill*float64(st.spec.Needs.MilliCPU)
+// hasUnusedCPU reports whether a best-effort task would find enough unused
+// processors on a worker.
+func (c *cycle) hasUnusedCPU(st *step, w *worker) bool {
+	return !st.spec.BestEffort || float64(c.load(w).unusedCPU) >= minUnusedShare*float64(st.spec.Needs.MilliCPU)
 }
 
-// crowded reports whether a worker has as many tasks of the step as it may.
-func (c *cycle) crowded(st *step, w *worker) bool {
+// atPerWorkerLimit reports whether a worker runs as many tasks of the step as
+// MaxPerWorker allows.
+func (c *cycle) atPerWorkerLimit(st *step, w *worker) bool {
 	return st.spec.MaxPerWorker > 0 && st.onWorker(w) >= st.spec.MaxPerWorker
 }
 
-// leastFill is the share of the processors it asks for that a filler should
-// find unused. By recorded reports fillers that ask for a third more than is left
-// still go on at 0.8 to 0.9 of their speed, so little is enough; what they may
-// take is bounded by those who serve.
-const leastFill = 0.3
+// minUnusedShare is the share of its requested processors that a best-effort
+// task must find unused. It is low because such tasks still progress when the
+// worker is oversubscribed.
+const minUnusedShare = 0.3
 
-// harm returns what placing the task would do to those who serve, and whether
-// it may be placed all the same.
-func (c *cycle) harm(st *step, w *worker) (float64, bool) {
+// impact returns the estimated effect of placing a task of the step on the
+// worker's serving tasks, and whether the placement is allowed.
+func (c *cycle) impact(st *step, w *worker) (float64, bool) {
 	switch {
 	case st.spec.BestEffort:
-		v := c.view(w)
-		if v.serving == 0 {
+		l := c.load(w)
+		if l.serving == 0 {
 			return 0, true
 		}
-		h := v.harmOf(c, st)
-		return h.Effect, h.Shortfall <= 0
+		impact := l.impactOf(c, st)
+		return impact.Effect, impact.Shortfall <= 0
 	case st.class != "":
-		return c.s.model.EffectOn(c.view(w).colocation(c), st.class), true
+		return c.s.model.EffectOn(c.load(w).colocation(c), st.class), true
 	default:
 		return 0, true
 	}
 }
 
-// rankTask describes a step's tasks to the ranking.
+// rankTask returns the ranking input for a step's tasks.
 func (c *cycle) rankTask(st *step) rank.Task {
 	return rank.Task{
 		Request: st.spec.Needs, Serving: st.spec.Serving(), BestEffort: st.spec.BestEffort, Spread: st.spec.LongRunning,
-		LowImpact: c.wanted.quiet[st.spec.Image], IgnoreClasses: c.s.cfg.Disabled.Has(mechanism.ClassAffinity),
+		LowImpact: c.demand.lowImpact[st.spec.Image], IgnoreClasses: c.s.cfg.Disabled.Has(mechanism.ClassAffinity),
 	}
 }
 
-// cost returns how bad a worker is for one more task of the step, and whether
-// the task fits there. Failed tells whether it failed there before.
+// cost returns the ranking cost of placing one more task of the step on a
+// worker, and whether it fits there. failed says whether a run of the task
+// failed there before.
 func (c *cycle) cost(st *step, rt *rank.Task, w *worker, failed bool) (float64, bool) {
 	if !c.fits(st, w) {
 		return 0, false
 	}
-	harm, ok := c.harm(st, w)
+	impact, ok := c.impact(st, w)
 	if !ok {
 		return 0, false
 	}
 	candidate := c.candidate(st, w)
-	candidate.Impact, candidate.FailedBefore = harm, failed
+	candidate.Impact, candidate.FailedBefore = impact, failed
 	return rank.Cost(rt, &candidate), true
 }
 
-// choose returns the best worker for a task by what is known of the task
-// itself, nil if it fits nowhere. A filter, if given, leaves out workers.
+// choose returns the worker with the lowest cost for a task, or nil if it fits
+// nowhere. A non-nil filter excludes workers.
 func (c *cycle) choose(t *task, filter func(*worker) bool) *worker {
 	st := t.step
 	rt := c.rankTask(st)
@@ -93,27 +95,27 @@
 		since = c.triedSince(st)
 	}
 	var best *worker
-	var least float64
+	var leastCost float64
 	for _, w := range c.workers {
-		if w.changed < since {
-			continue // didn't fit, and nothing has changed there
+		if w.lastChange < since {
+			continue // didn't fit before, and nothing has changed since
 		}
 		if (filter != nil && !filter(w)) || w.runs[t.id()] != nil {
 			continue
 		}
-		if cost, ok := c.cost(st, &rt, w, t.avoids(w.info.ID)); ok && (best == nil || cost < least) {
-			best, least = w, cost
+		if cost, ok := c.cost(st, &rt, w, t.avoids(w.info.ID)); ok && (best == nil || cost < leastCost) {
+			best, leastCost = w, cost
 		}
 	}
 	if best == nil && filter == nil {
-		c.noteTried(st, since)
+		c.recordTried(st, since)
 	}
 	return best
 }
 
-// candidate describes a worker to the ranking.
+// candidate returns the ranking input for a worker.
 func (c *cycle) candidate(st *step, w *worker) rank.Worker {
-	v := c.view(w)
+	l := c.load(w)
 	siblings := 0
 	if st.spec.LongRunning {
 		siblings = st.onWorker(w)
@@ -121,23 +123,23 @@
 	return rank.Worker{
 		Free:           w.free,
 		Capacity:       w.info.Capacity,
-		UnusedMilliCPU: v.unused,
-		Serving:        v.serving,
-		BestEffort:     v.fillers,
-		OtherClasses:   v.serving - v.byClass[st.class],
-		Demand:         v.wanted,
+		UnusedMilliCPU: l.unusedCPU,
+		Serving:        l.serving,
+		BestEffort:     l.bestEffort,
+		OtherClasses:   l.serving - l.byClass[st.class],
+		Demand:         l.demand,
 		SameStep:       siblings,
 		DataLocal:      w.info.HasLabel(st.spec.DataRack),
-		Suspect:        w.health.suspect(c.now) && !c.s.cfg.Disabled.Has(mechanism.FailingWorkers),
+		Suspect:        w.health.failing(c.now) && !c.s.cfg.Disabled.Has(mechanism.FailingWorkers),
 	}
 }
 
-// placeGang starts all tasks of a gang, or none. A gang that runs slower over
-// several racks is placed within one if any rack has the room.
+// placeGang starts all tasks of a gang, or none. A gang with SameRack is placed
+// within one rack if any has the capacity.
 func (c *cycle) placeGang(st *step) {
 	for i := range st.tasks {
-		if t := &st.tasks[i]; t.done || len(t.runs) > 0 || !c.settled(t) {
-			return // members of the last run aren't all over yet
+		if t := &st.tasks[i]; t.done || len(t.runs) > 0 || !c.safeToStart(t) {
+			return // a member of the previous run may still be alive
 		}
 	}
 	placed := []*worker(nil)
@@ -153,13 +155,13 @@
 		placed = c.tryGang(st, nil)
 	}
 	if placed == nil {
-		c.keepRoom(st)
+		c.reserveCapacity(st)
 		return
 	}
 	c.s.nextRun++
-	saved := gangCheckpoint(st)
+	checkpoint := gangCheckpoint(st)
 	for i := range st.tasks {
-		st.tasks[i].saved = saved
+		st.tasks[i].checkpoint = checkpoint
 		c.start(&st.tasks[i], placed[i], c.s.nextRun)
 	}
 }
@@ -167,15 +169,15 @@
 // gangCheckpoint returns one member's checkpoint, which holds for the gang.
 func gangCheckpoint(st *step) string {
 	for i := range st.tasks {
-		if st.tasks[i].saved != "" {
-			return st.tasks[i].saved
+		if st.tasks[i].checkpoint != "" {
+			return st.tasks[i].checkpoint
 		}
 	}
 	return ""
 }
 
-// racks returns every label of the workers; a label that isn't a rack makes a
-// wider set and does no harm.
+// racks returns all labels of the workers. Labels that aren't racks only yield
+// larger groups of workers.
 func (c *cycle) racks() []string {
 	var all []string
 	for _, w := range c.workers {
@@ -189,7 +191,8 @@
 	return all
 }
 
-// tryGang finds workers for all tasks of a gang, nil if they don't all fit.
+// tryGang returns a worker for each task of a gang, or nil if they don't all
+// fit.
 func (c *cycle) tryGang(st *step, filter func(*worker) bool) []*worker {
 	placed := make([]*worker, 0, len(st.tasks))
 	var taken []*run
@@ -200,12 +203,12 @@
 			break
 		}
 		r := &run{task: t, worker: w, reserved: st.spec.Reserved()}
-		w.add(r)
+		w.addRun(r)
 		taken = append(taken, r)
 		placed = append(placed, w)
 	}
 	for _, r := range taken {
-		r.worker.drop(r)
+		r.worker.removeRun(r)
 	}
 	if len(placed) < len(st.tasks) {
 		return nil
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -6,41 +6,41 @@
 	"github.com/fireflygate/fireflygate/mechanism"
 )
 
-// Config sets the limits of a State.
+// Config holds the parameters of a State.
 type Config struct {
-	// Epoch is the ownership epoch; fencing tokens and run numbers are built
-	// on it, so that those of a later owner are always higher.
+	// Epoch is the ownership epoch. Fencing tokens and run numbers are derived
+	// from it, so that those of a later owner are always higher.
 	Epoch uint64
 	// Lease is how far a renewal extends a worker's lease.
 	Lease time.Duration
-	// InheritedLease bounds how long runs that an earlier owner started may
-	// go on at a worker that this owner can't reach.
+	// InheritedLease bounds how long runs started by an earlier owner may
+	// survive on a worker that this owner can't reach.
 	InheritedLease time.Duration
-	// Retention is how long a job that is over can still be asked for.
+	// Retention is how long a finished job can still be queried.
 	Retention time.Duration
-	// TailBound is how long fillers may keep a serving task's tail over its
-	// target.
+	// TailBound is how long best-effort tasks may keep a serving task's tail
+	// over its target.
 	TailBound time.Duration
-	// NoCapacityPause is how long a worker that refused a start for want of room gets
-	// no other.
+	// NoCapacityPause is how long a worker that refused a start for lack of
+	// capacity gets no new tasks.
 	NoCapacityPause time.Duration
-	// Without names what the policy leaves out, for experiments.
+	// Disabled names the policy mechanisms that are switched off, for
+	// experiments.
 	Disabled mechanism.Set
 }
 
 const (
-	// epochShift leaves 24 bits below the epoch for tokens and runs of one
-	// ownership: 16 million starts, 14 hours at 320 starts a second. The sum
-	// stays below 2^53, which JSON numbers carry exactly, for 500 million
-	// epochs.
+	// epochShift leaves 24 bits below the epoch for the tokens and run numbers
+	// of one ownership. The sum must stay below 2^53, which JSON numbers carry
+	// exactly.
 	epochShift = 24
-	// clockDrift is how much slower than ours a worker's clock may run, from
-	// the worker's protocol.
-	clockDrift = 0.02
-	// lostMargin is added to a lease's end before its runs count as over; it
-	// covers the rounding of clocks to milliseconds and a late timer.
-	lostMargin = 100 * time.Millisecond
-	// unhealthyPause keeps new tasks from a worker that refused an order
-	// because it is unhealthy; about one membership interval.
+	// maxClockDrift is how much slower than the owner's a worker's clock may
+	// run, as the worker protocol specifies.
+	maxClockDrift = 0.02
+	// leaseExpiryMargin is added to the end of a lease before its runs count as
+	// lost. It covers clocks rounded to milliseconds and late timers.
+	leaseExpiryMargin = 100 * time.Millisecond
+	// unhealthyPause keeps new tasks off a worker that refused an order because
+	// it is unhealthy; about one membership interval.
 	unhealthyPause = time.Second
 )
--- a/dispatch/copies.go
+++ b/dispatch/copies.go
@@ -8,23 +8,23 @@
 
 const (
 	// copyAfter is the share of a task's estimate after which its progress is
-	// judged; earlier the percent is too coarse.
+	// judged; earlier the percentage is too coarse.
 	copyAfter = 0.5
-	// copyFactor is how many estimates the rest of a run must still take for
-	// a copy elsewhere to pay: the copy takes one itself.
+	// copyFactor is how many estimates the rest of a run must take for a copy
+	// to pay off; the copy itself takes one.
 	copyFactor = 1.5
 )
 
-// copySlow starts second runs of speculative tasks whose first run is far
+// copySlowRuns starts a second run of speculative tasks whose first run is far
 // behind, as on a slow worker. The first to finish counts.
-func (c *cycle) copySlow() {
+func (c *cycle) copySlowRuns() {
 	if c.s.cfg.Disabled.Has(mechanism.SpeculativeRuns) {
 		return
 	}
 	for _, j := range c.s.open {
 		for _, o := range j.occurrences {
 			for _, st := range o.steps {
-				if st.spec.Speculative && st.blockedBy == 0 && st.undone > 0 {
+				if st.spec.Speculative && st.blockedBy == 0 && st.unfinishedTasks > 0 {
 					c.copyStep(st)
 				}
 			}
@@ -32,7 +32,6 @@
 	}
 }
 
-// copyStep starts copies for one step.
 func (c *cycle) copyStep(st *step) {
 	for i := range st.tasks {
 		t := &st.tasks[i]
@@ -50,17 +49,18 @@
 	}
 }
 
-// behind reports whether the rest of a run will take longer than a copy.
+// behind reports whether the rest of a run is expected to take longer than a
+// copy.
 func (c *cycle) behind(r *run) bool {
 	estimate := r.task.step.spec.Estimate
-	passed := c.now.Sub(r.since)
-	if estimate == 0 || passed < time.Duration(copyAfter*float64(estimate)) {
+	elapsed := c.now.Sub(r.startedAt)
+	if estimate == 0 || elapsed < time.Duration(copyAfter*float64(estimate)) {
 		return false
 	}
-	if r.worker.silent {
+	if r.worker.suspected {
 		return true
 	}
 	percent := max(r.percent, 1)
-	rest := passed * time.Duration(100-percent) / time.Duration(percent)
-	return rest > time.Duration(copyFactor*float64(estimate)) && passed > estimate
+	remaining := elapsed * time.Duration(100-percent) / time.Duration(percent)
+	return remaining > time.Duration(copyFactor*float64(estimate)) && elapsed > estimate
 }
--- /dev/null
+++ b/dispatch/cpulimit.go
@@ -0,0 +1,200 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+
+	"github.com/fireflygate/fireflygate/colocate"
+	"github.com/fireflygate/fireflygate/runner"
+)
+
+const (
+	// tailWindow is the period covered by the figures of a report.
+	tailWindow = 500 * time.Millisecond
+	// maxLowImpactEffect is the slack that a best-effort image with all
+	// processors may take from any class and still count as low-impact.
+	maxLowImpactEffect = 3.0
+	// effectDelay is how long a best-effort task's start, end or change of CPU
+	// limit takes to show fully in the tails.
+	effectDelay = tailWindow
+	// cpuLimitRetry is the time between two CPU limit orders for a run whose
+	// first order failed.
+	cpuLimitRetry = 300 * time.Millisecond
+)
+
+// colocation returns the worker as package colocate describes it, and its
+// best-effort runs in the same order.
+func (w *worker) colocation(now time.Time) (*colocate.Worker, []*run) {
+	c := &colocate.Worker{}
+	var bestEffort []*run
+	for _, r := range w.runsByNumber {
+		st := r.task.step
+		switch {
+		case st.class != "" && r.phase == running:
+			s := colocate.Serving{Class: st.class, Step: st.id(), Target: st.spec.TailTarget}
+			if r.percent >= 100 {
+				s.Tail = time.Duration(r.usage) * time.Millisecond
+			}
+			if !r.overTargetSince.IsZero() {
+				s.OverTargetFor = now.Sub(r.overTargetSince)
+			}
+			c.Serving = append(c.Serving, s)
+		case st.spec.BestEffort && r.phase != stopping:
+			c.BestEffort = append(c.BestEffort, r.bestEffortTask(now))
+			bestEffort = append(bestEffort, r)
+		}
+	}
+	for i := range w.recentlyEnded {
+		if t := &w.recentlyEnded[i]; now.Sub(t.endedAt) < effectDelay {
+			c.RecentlyEnded = append(c.RecentlyEnded, t.task)
+		}
+	}
+	return c, bestEffort
+}
+
+// endedTask is a best-effort task that has ended.
+type endedTask struct {
+	task    colocate.BestEffortTask
+	endedAt time.Time
+}
+
+// rememberEnded keeps an ended best-effort run until the tails no longer reflect
+// it.
+func (w *worker) rememberEnded(now time.Time, r *run) {
+	w.recentlyEnded = slices.DeleteFunc(w.recentlyEnded, func(t endedTask) bool { return now.Sub(t.endedAt) >= effectDelay })
+	w.recentlyEnded = append(w.recentlyEnded, endedTask{task: r.bestEffortTask(now), endedAt: now})
+}
+
+// bestEffortTask returns the run as package colocate describes it.
+func (r *run) bestEffortTask(now time.Time) colocate.BestEffortTask {
+	spec := r.task.step.spec
+	limit := r.cpuLimit
+	if r.cpuLimitUnconfirmed {
+		limit = fullCPU // the lower limit may not be in force
+	}
+	allowed := max(spec.Needs.MilliCPU*int64(limit)/100, 1)
+	return colocate.BestEffortTask{
+		Image: spec.Image, CPUShare: float64(spec.Needs.MilliCPU) / float64(max(r.worker.info.Capacity.MilliCPU, 1)),
+		Utilization: float64(r.usage) / float64(allowed), CPULimit: limit, Resumable: spec.Checkpointing, ProgressPercent: r.percent, Settled: r.settled(now),
+	}
+}
+
+// fullCPU is the CPU limit, in percent, of an unrestricted run.
+const fullCPU = 100
+
+// settled reports whether the last report covers a full window of the run at
+// its current CPU limit.
+func (r *run) settled(now time.Time) bool {
+	return (r.usage > 0 || r.cpuLimit == 0) && now.Sub(r.startedAt) > effectDelay && now.Sub(r.cpuLimitSetAt) > effectDelay
+}
+
+// bestEffortUse returns the processors, in thousandths of a core, that a
+// best-effort run uses, or may use once it is settled.
+func (r *run) bestEffortUse(now time.Time) int64 {
+	if r.settled(now) {
+		return r.usage
+	}
+	return max(r.usage, r.task.step.spec.Needs.MilliCPU)
+}
+
+// learnFromTails updates the interference model with the tails of a report. A
+// report with unchanged figures covers the same window and is skipped.
+func (s *State) learnFromTails(now time.Time, w *worker) {
+	sum, serving := int64(0), false
+	for _, r := range w.runsByNumber {
+		sum += int64(r.number|1) * (r.usage + 1) // independent of the order
+		if c := r.task.step.class; c != "" && r.phase == running {
+			serving = true
+			r.updateOverTarget(now)
+		}
+	}
+	if !serving {
+		return
+	}
+	w.newTails = true
+	if sum == w.reportSum {
+		return
+	}
+	w.reportSum = sum
+	c, _ := w.colocation(now)
+	s.model.Learn(now, c)
+	s.estimatesChanged = true
+}
+
+// updateOverTarget records when a tail went over its target.
+func (r *run) updateOverTarget(now time.Time) {
+	tail := time.Duration(r.usage) * time.Millisecond
+	switch {
+	case r.percent < 100 || tail <= r.task.step.spec.TailTarget:
+		r.overTargetSince = time.Time{}
+	case r.overTargetSince.IsZero():
+		r.overTargetSince = now
+	}
+}
+
+// adjustCPULimits limits or stops best-effort runs next to serving tasks whose
+// tail is too long, and returns the CPU limit orders.
+func (s *State) adjustCPULimits(now time.Time) []CPULimitOrder {
+	var orders []CPULimitOrder
+	for _, w := range s.workers {
+		if w.suspected || w.counts.bestEffort == 0 {
+			continue
+		}
+		orders = w.retryCPULimits(now, orders)
+		if now.Sub(w.lastActionAt) < colocate.ActionCooldown || !w.needsCPULimitDecision() {
+			continue
+		}
+		w.newTails = false
+		c, runs := w.colocation(now)
+		for i, action := range s.model.Actions(now, c, s.cfg.TailBound) {
+			r := runs[i]
+			if action.Kind == colocate.NoAction || r.phase != running {
+				continue
+			}
+			w.lastActionAt = now
+			if action.Kind == colocate.Migrate {
+				s.Stats.BestEffortMoved++
+				s.orderStop(now, r, TailTooLong)
+				continue
+			}
+			r.setCPULimit(action.CPULimit)
+			s.markChanged(w)
+			orders = append(orders, r.cpuLimitOrder(now))
+		}
+	}
+	return orders
+}
+
+// needsCPULimitDecision reports whether the worker has new tails or, without
+// serving tasks, a best-effort run that is still limited.
+func (w *worker) needsCPULimitDecision() bool {
+	if w.counts.serving > 0 {
+		return w.newTails
+	}
+	return w.counts.cpuLimited > 0
+}
+
+func (r *run) setCPULimit(percent int) {
+	r.worker.counts.drop(r)
+	r.cpuLimit = percent
+	r.worker.counts.add(r)
+}
+
+// retryCPULimits repeats the CPU limit orders that failed.
+func (w *worker) retryCPULimits(now time.Time, orders []CPULimitOrder) []CPULimitOrder {
+	for _, r := range w.runsByNumber {
+		if r.cpuLimitUnconfirmed && r.phase == running && now.Sub(r.cpuLimitSetAt) >= cpuLimitRetry {
+			orders = append(orders, r.cpuLimitOrder(now))
+		}
+	}
+	return orders
+}
+
+// cpuLimitOrder returns the order that sets the run's CPU limit.
+func (r *run) cpuLimitOrder(now time.Time) CPULimitOrder {
+	r.cpuLimitSetAt, r.cpuLimitUnconfirmed = now, false
+	return CPULimitOrder{
+		Worker: r.worker.info, Snapshot: r.worker.snapshot(now),
+		CPULimit: runner.CPULimit{Task: r.task.id(), Run: r.number, Percent: r.cpuLimit, Token: r.worker.token},
+	}
+}
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,13 +1,11 @@
-// Package dispatch decides which worker runs which task of stepped jobs. It
-// holds the whole state of one scheduling domain and is pure: time, reports
-// and answers are passed in, orders and rows to write come out. One goroutine
-// uses a State; nothing in it blocks.
+// Package dispatch decides which worker runs which task of stepped jobs. A
+// State holds one scheduling domain and does no I/O: time, reports and answers
+// are passed in; orders and rows to write are returned. A State must be used by
+// one goroutine at a time, and no method blocks.
 //
-// What is true of a run is what its worker reports under the newest fencing
-// token. What must outlive the scheduler's process comes out of State.Flush:
-// accepted jobs, ends of tasks, cancellations and the roster of workers that
-// may hold runs.
+// The authority on a run is its worker's report under the newest fencing token.
+// State.Flush returns what must survive the scheduler's process: accepted jobs,
+// ends of tasks, cancellations and the roster of workers that may hold runs.
 //
-// Which decision answers which load, and where it stands, is told on one page:
-// docs/decisions/policy.md.
+// docs/decisions/policy.md describes the scheduling policy.
 package dispatch
--- a/dispatch/drain.go
+++ b/dispatch/drain.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// leaveMargin is how long before a draining worker may leave that the tasks
-// it won't finish are stopped, so that their progress is saved.
-const leaveMargin = 700 * time.Millisecond
+// drainStopMargin is how long before a draining worker's departure its
+// unfinished tasks are stopped, so that their checkpoints are saved.
+const drainStopMargin = 700 * time.Millisecond
 
-// drain moves tasks off draining workers. Long-running ones go at once: they
-// never finish there. Others may finish; those that save progress are stopped
-// just before the worker may leave.
+// drain moves tasks off draining workers. Long-running ones are stopped at
+// once, since they never finish there. Others may finish; those that save
+// checkpoints are stopped just before the worker may leave.
 func (s *State) drain(now time.Time) {
 	for _, w := range s.workers {
 		if !w.info.Draining {
 			continue
 		}
-		leaving := !now.Before(w.drainingAt.Add(w.info.LeavesIn - leaveMargin))
+		leaving := !now.Before(w.drainingAt.Add(w.info.LeavesIn - drainStopMargin))
 		for _, r := range w.runs {
 			if r.phase != running {
 				continue
@@ -22,7 +22,7 @@
 			spec := r.task.step.spec
 			if spec.LongRunning || (leaving && spec.Checkpointing) {
 				s.Stats.Evictions++
-				s.stop(now, r, WorkerDraining)
+				s.orderStop(now, r, WorkerDraining)
 			}
 		}
 	}
--- a/dispatch/export_test.go
+++ b/dispatch/export_test.go
@@ -6,35 +6,34 @@
 )
 
 // PlanCompared places the waiting tasks as Plan does, and compares each choice
-// with that of a look at all workers for this task alone.
+// from the shortlist with that of a search over all workers.
 func (s *State) PlanCompared(now time.Time) (starts []StartOrder, differences []string) {
 	c := newCycle(s, now)
-	waiting := s.waiting(now)
-	c.rooms(waiting)
+	waiting := s.waitingSteps(now)
+	c.computeCapacity(waiting)
 	for _, wt := range waiting {
 		list := c.shortlist(wt.step)
 		for i := range wt.step.tasks {
 			t := &wt.step.tasks[i]
-			if t.done || len(t.runs) > 0 || !c.mayBegin(t) {
+			if t.done || len(t.runs) > 0 || !c.headroomAllows(t) {
 				continue
 			}
-			alone, listed := c.choose(t, nil), list.best()
-			if alone != listed {
-				differences = append(differences, fmt.Sprintf("%v: %s by itself, %s from the list", t.id(), nameOf(alone), nameOf(listed)))
+			full, listed := c.choose(t, nil), list.best()
+			if full != listed {
+				differences = append(differences, fmt.Sprintf("%v: %s by full search, %s from the shortlist", t.id(), workerID(full), workerID(listed)))
 			}
 			if listed == nil {
 				break
 			}
 			s.nextRun++
 			c.start(t, listed, s.nextRun)
-			list.placed()
+			list.updateBest()
 		}
 	}
 	return c.starts, differences
 }
 
-// nameOf returns a worker's ID.
-func nameOf(w *worker) string {
+func workerID(w *worker) string {
 	if w == nil {
 		return "none"
 	}
--- a/dispatch/faultchecks_test.go
+++ b/dispatch/faultchecks_test.go
@@ -6,28 +6,29 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// check holds the rules that always hold.
-func (s *faultSite) check() {
+// checkInvariants fails the test if a task runs on two workers or a worker
+// exceeds its capacity.
+func (s *faultSim) checkInvariants() {
 	seen := map[workload.TaskID]string{}
-	for _, w := range s.living() {
+	for _, w := range s.alive() {
 		for id, r := range w.runs {
-			if other, twice := seen[id]; twice && !r.step.Speculative {
+			if other, duplicate := seen[id]; duplicate && !r.step.Speculative {
 				s.t.Fatalf("%v runs on %s and %s", id, other, w.info.ID)
 			}
 			seen[id] = w.info.ID
 		}
-		if room := w.room(); room.MilliCPU < 0 || room.MemoryMB < 0 {
-			s.t.Fatalf("%s is over its capacity: %+v", w.info.ID, room)
+		if free := w.free(); free.MilliCPU < 0 || free.MemoryMB < 0 {
+			s.t.Fatalf("%s exceeds its capacity: %+v is free", w.info.ID, free)
 		}
 	}
 }
 
-// waitsBesideRoom returns the tasks of lasting jobs that run nowhere although a
-// worker has the room and may take them.
-func (s *faultSite) waitsBesideRoom() []string {
+// waitingDespiteCapacity returns the long-running tasks without a run that a
+// worker could take.
+func (s *faultSim) waitingDespiteCapacity() []string {
 	var found []string
 	running := map[workload.TaskID]bool{}
-	for _, w := range s.living() {
+	for _, w := range s.alive() {
 		for id := range w.runs {
 			running[id] = true
 		}
@@ -41,9 +42,9 @@
 			if !j.Steps[0].LongRunning || running[id] {
 				continue
 			}
-			for _, w := range s.living() {
-				if s.takes(w, j, &j.Steps[0]) {
-					found = append(found, fmt.Sprintf("%v beside %s", id, w.info.ID))
+			for _, w := range s.alive() {
+				if s.canRun(w, j, &j.Steps[0]) {
+					found = append(found, fmt.Sprintf("%v while %s could run it", id, w.info.ID))
 				}
 			}
 		}
@@ -51,22 +52,22 @@
 	return found
 }
 
-// takes reports whether a worker has the room for a task and may take it.
-func (s *faultSite) takes(w *faultWorker, j *workload.Job, step *workload.Step) bool {
+// canRun reports whether a worker has the capacity for a task and may run it.
+func (s *faultSim) canRun(w *faultWorker, j *workload.Job, step *workload.Step) bool {
 	n := 0
 	for id := range w.runs {
 		if id.Job == j.ID {
 			n++
 		}
 	}
-	crowded := step.MaxPerWorker > 0 && n >= step.MaxPerWorker
-	return w.leavesAt.IsZero() && !crowded && step.Reserved().Fits(w.room())
+	limited := step.MaxPerWorker > 0 && n >= step.MaxPerWorker
+	return w.leavesAt.IsZero() && !limited && step.Reserved().Fits(w.free())
 }
 
 // running counts the runs of a job.
-func (s *faultSite) running(job string) int {
+func (s *faultSim) running(job string) int {
 	n := 0
-	for _, w := range s.living() {
+	for _, w := range s.alive() {
 		for id := range w.runs {
 			if id.Job == job {
 				n++
--- a/dispatch/faultjobs_test.go
+++ b/dispatch/faultjobs_test.go
@@ -7,15 +7,15 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// accept has a job accepted; it starts once it is durable.
-func (s *faultSite) accept(q workload.Queue, id string, steps ...workload.Step) {
+// accept passes a job to the owner; it starts once it is durable.
+func (s *faultSim) accept(q workload.Queue, id string, steps ...workload.Step) {
 	job := &workload.Job{ID: id, Queue: q.Name, Steps: steps, Submitted: s.now.UnixMilli()}
 	s.jobs = append(s.jobs, job)
 	s.state.Accept(s.now, s.now.UnixMilli(), job, q)
 }
 
-// draw accepts a random job.
-func (s *faultSite) draw(id string) {
+// submitRandom submits a random job.
+func (s *faultSim) submitRandom(id string) {
 	cores := func(least, most int) func(*workload.Step) {
 		n := least + s.random.IntN(most-least+1)
 		return func(st *workload.Step) {
@@ -32,16 +32,16 @@
 	case kind < 7:
 		s.accept(queueLong, id, step(2, 1, cores(1, 4), func(st *workload.Step) { st.Gang = true }))
 	case kind < 8:
-		s.accept(queueLong, id, step(n, 1, cores(2, 6), func(st *workload.Step) { st.BestEffort, st.Image = true, "fill" }))
+		s.accept(queueLong, id, step(n, 1, cores(2, 6), func(st *workload.Step) { st.BestEffort, st.Image = true, "batch" }))
 	default:
-		if s.lastingCores() < 50_000 {
+		if s.longRunningMilliCPU() < 50_000 {
 			s.accept(queueShort, id, step(n, 1, cores(2, 6), longRunning, func(st *workload.Step) { st.MaxPerWorker = s.random.IntN(3) }))
 		}
 	}
 }
 
-// lastingCores returns what long-running jobs ask for, in thousandths.
-func (s *faultSite) lastingCores() int64 {
+// longRunningMilliCPU returns what long-running jobs request.
+func (s *faultSim) longRunningMilliCPU() int64 {
 	var sum int64
 	for _, j := range s.jobs {
 		if state, ok := s.state.JobState(j.ID); j.Steps[0].LongRunning && (!ok || !state.Final()) {
--- a/dispatch/faultworker_test.go
+++ b/dispatch/faultworker_test.go
@@ -11,47 +11,48 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// faultWorker is one life of a worker. It carries out what reaches it as the
-// workers' protocol says, whatever the scheduler believes of it.
+// faultWorker is one incarnation of a worker. It follows the worker protocol,
+// whatever state the scheduler assumes.
 type faultWorker struct {
 	info runner.Worker
 	// token is the highest fencing token seen, leaseUntil the end of the lease
-	// on its clock.
+	// on the worker's clock.
 	token      uint64
 	leaseUntil int64
 	runs       map[workload.TaskID]*faultRun
-	// highest is the highest run of a task that was stopped or ended here.
-	highest map[workload.TaskID]uint64
-	ends    []runner.RunEnd
-	last    uint64
-	// darkUntil is until when nothing reaches it, hiddenUntil until when the
-	// membership list lacks it.
-	darkUntil, hiddenUntil time.Time
-	// leavesAt is when it leaves, zero unless it drains; overAt when its life
-	// ended, zero while it lives. Reborn is set if another life came at its
-	// address.
-	leavesAt, overAt time.Time
-	reborn           bool
+	// highestRun holds, by task, the highest run that was stopped or ended
+	// here.
+	highestRun map[workload.TaskID]uint64
+	ends       []runner.RunEnd
+	lastEnd    uint64
+	// unreachableUntil is when orders arrive again, unlistedUntil when the
+	// membership list includes the worker again.
+	unreachableUntil, unlistedUntil time.Time
+	// leavesAt is when it leaves, zero unless it drains; terminatedAt when it
+	// terminated, zero while it is alive. restarted is set if another
+	// incarnation answers at its address.
+	leavesAt, terminatedAt time.Time
+	restarted              bool
 }
 
 // faultRun is a run on a faultWorker.
 type faultRun struct {
-	number uint64
-	step   *workload.Step
-	began  time.Time
-	need   time.Duration
-	fails  bool
+	number    uint64
+	step      *workload.Step
+	startedAt time.Time
+	duration  time.Duration
+	fails     bool
 }
 
-// newFaultWorker returns a life without runs.
+// newFaultWorker returns a worker without runs.
 func newFaultWorker(id string) *faultWorker {
 	return &faultWorker{
-		info: workerInfo(id), runs: map[workload.TaskID]*faultRun{}, highest: map[workload.TaskID]uint64{},
+		info: workerInfo(id), runs: map[workload.TaskID]*faultRun{}, highestRun: map[workload.TaskID]uint64{},
 	}
 }
 
-// room returns what is truly free.
-func (w *faultWorker) room() infra.Resources {
+// free returns the capacity that is actually free.
+func (w *faultWorker) free() infra.Resources {
 	free := w.info.Capacity
 	for _, r := range w.runs {
 		free = free.Sub(r.step.Reserved())
@@ -59,12 +60,12 @@
 	return free
 }
 
-// tasks returns the tasks that run, in the order of their names.
+// tasks returns the tasks with a run, in order of their IDs.
 func (w *faultWorker) tasks() []workload.TaskID {
 	return slices.SortedFunc(maps.Keys(w.runs), func(a, b workload.TaskID) int { return strings.Compare(a.String(), b.String()) })
 }
 
-// fence takes in the token of an order and reports whether it may act.
+// fence records the token of an order and reports whether the order is valid.
 func (w *faultWorker) fence(token uint64) bool {
 	if token < w.token {
 		return false
@@ -73,7 +74,7 @@
 	return true
 }
 
-// start carries a start out; run is what it would begin.
+// start carries out a start order; run is the run to add.
 func (w *faultWorker) start(clock int64, o runner.Start, run *faultRun) runner.Status {
 	switch old := w.runs[o.Task]; {
 	case !w.fence(o.Token):
@@ -82,9 +83,9 @@
 		return runner.LeaseExpired
 	case old != nil && old.number == o.Run:
 		return runner.Done
-	case old != nil || o.Run <= w.highest[o.Task]:
+	case old != nil || o.Run <= w.highestRun[o.Task]:
 		return runner.Superseded
-	case !run.step.Reserved().Fits(w.room()):
+	case !run.step.Reserved().Fits(w.free()):
 		return runner.NoCapacity
 	}
 	w.leaseUntil = max(w.leaseUntil, o.LeaseUntil)
@@ -92,20 +93,20 @@
 	return runner.Done
 }
 
-// stop carries a stop out.
+// stop carries out a stop order.
 func (w *faultWorker) stop(o runner.Stop) runner.Status {
 	if !w.fence(o.Token) {
 		return runner.Fenced
 	}
 	if r := w.runs[o.Task]; r != nil && r.number == o.Run {
-		w.end(o.Task, runner.EndStopped)
+		w.endRun(o.Task, runner.EndStopped)
 	}
-	w.highest[o.Task] = max(w.highest[o.Task], o.Run)
+	w.highestRun[o.Task] = max(w.highestRun[o.Task], o.Run)
 	return runner.Done
 }
 
-// hold renews the lease and reports.
-func (w *faultWorker) hold(clock int64, o runner.Renewal) (runner.Status, runner.Report) {
+// renew renews the lease and returns a report.
+func (w *faultWorker) renew(clock int64, o runner.Renewal) (runner.Status, runner.Report) {
 	if !w.fence(o.Token) {
 		return runner.Fenced, runner.Report{}
 	}
@@ -122,38 +123,38 @@
 	return runner.Done, rep
 }
 
-// end lists an end.
-func (w *faultWorker) end(id workload.TaskID, kind runner.EndKind) {
+// endRun ends a run and records its end.
+func (w *faultWorker) endRun(id workload.TaskID, kind runner.EndKind) {
 	r := w.runs[id]
 	delete(w.runs, id)
-	w.highest[id] = max(w.highest[id], r.number)
-	w.last++
-	w.ends = append(w.ends, runner.RunEnd{Number: w.last, Task: id, Run: r.number, Kind: kind})
+	w.highestRun[id] = max(w.highestRun[id], r.number)
+	w.lastEnd++
+	w.ends = append(w.ends, runner.RunEnd{Number: w.lastEnd, Task: id, Run: r.number, Kind: kind})
 }
 
-// work ends the runs whose work or lease is over.
-func (w *faultWorker) work(now time.Time, clock int64) {
+// advance ends the runs whose work is done or whose lease has expired.
+func (w *faultWorker) advance(now time.Time, clock int64) {
 	for _, id := range w.tasks() {
 		r := w.runs[id]
 		switch {
 		case clock > w.leaseUntil:
-			w.end(id, runner.EndExpired)
-		case r.step.LongRunning || r.step.Gang || now.Sub(r.began) < r.need:
+			w.endRun(id, runner.EndExpired)
+		case r.step.LongRunning || r.step.Gang || now.Sub(r.startedAt) < r.duration:
 		case r.fails:
-			w.end(id, runner.EndFailed)
+			w.endRun(id, runner.EndFailed)
 		default:
-			w.end(id, runner.EndDone)
+			w.endRun(id, runner.EndDone)
 		}
 	}
 }
 
-// die ends the life and all that runs in it.
-func (w *faultWorker) die(now time.Time, reborn bool) {
-	w.overAt, w.reborn = now, reborn
+// terminate ends the incarnation and all its runs.
+func (w *faultWorker) terminate(now time.Time, restarted bool) {
+	w.terminatedAt, w.restarted = now, restarted
 	clear(w.runs)
 }
 
-// reachable reports whether an order reaches it now.
+// reachable reports whether an order arrives now.
 func (w *faultWorker) reachable(now time.Time) bool {
-	return w.overAt.IsZero() && !now.Before(w.darkUntil)
+	return w.terminatedAt.IsZero() && !now.Before(w.unreachableUntil)
 }
--- a/dispatch/flush.go
+++ b/dispatch/flush.go
@@ -19,74 +19,76 @@
 	ProgressPrefix = "progress/"
 	// RosterPrefix begins the key of a part of the roster; its number follows.
 	RosterPrefix = "roster/"
-	// EstimatesKey is the key of what is known of pairs of images.
+	// EstimatesKey is the key of the interference estimates.
 	EstimatesKey = "lessons"
 )
 
-// Batch is a set of changes that become durable together.
+// Batch is a set of changes that are committed together.
 type Batch struct {
 	Writes []infra.Write
-	// jobs holds the jobs in the batch and the states that it writes.
-	jobs   []flushed
+	// jobs holds the jobs of the batch with the states that it writes.
+	jobs   []batchJob
 	roster []string
-	// seen holds the ends that are durable once the batch is.
-	seen map[string]uint64
+	// ends holds, by worker, the last end that is durable once the batch is.
+	ends map[string]uint64
 }
 
-// flushed is a job as a batch writes it.
-type flushed struct {
+// batchJob is a job as a batch writes it.
+type batchJob struct {
 	job   *job
 	state workload.State
-	// marks are the workers of its runs.
-	marks map[*task][]uint32
+	// locations holds, by task, the hashes of the workers of its runs.
+	locations map[*task][]uint32
 }
 
 // Empty reports whether the batch changes nothing.
-func (b *Batch) Empty() bool { return len(b.Writes) == 0 && len(b.seen) == 0 }
+func (b *Batch) Empty() bool { return len(b.Writes) == 0 && len(b.ends) == 0 }
 
-// Flush collects what must become durable, in at most limit writes. The
-// caller commits the batch and reports it with Flushed, or drops the state.
+// Flush collects the changes that must become durable, in at most limit writes.
+// The caller commits the batch and passes it to MarkFlushed, or discards the
+// State.
 func (s *State) Flush(now time.Time, limit int) (*Batch, error) {
 	return s.flush(now, limit, func(*job) bool { return true })
 }
 
-// FlushUrgent is Flush for what somebody waits for: new jobs, those that are
-// over, and those that were hastened. The progress of others changes several
-// times while it waits, and is written once.
+// FlushUrgent collects like Flush, but only changes that a caller waits for:
+// new jobs, finished jobs and those marked urgent. The progress of other jobs
+// is written less often, several changes at once.
 func (s *State) FlushUrgent(now time.Time, limit int) (*Batch, error) {
-	return s.flush(now, limit, (*job).waitedFor)
+	return s.flush(now, limit, (*job).needsUrgentFlush)
 }
 
-// waitedFor reports whether somebody waits for the job's change to be durable.
-func (j *job) waitedFor() bool { return j.urgent || !j.rowStored || j.state.Final() }
+// needsUrgentFlush reports whether a caller may wait for the job's change to
+// become durable.
+func (j *job) needsUrgentFlush() bool { return j.urgent || !j.rowStored || j.state.Final() }
 
-// Urgent reports whether there is something that FlushUrgent would collect.
+// HasUrgentChanges reports whether FlushUrgent would collect anything.
 func (s *State) HasUrgentChanges() bool {
-	return len(s.rosterChanged) > 0 || slices.ContainsFunc(s.dirty, (*job).waitedFor)
+	return len(s.dirtyRosterParts) > 0 || slices.ContainsFunc(s.dirty, (*job).needsUrgentFlush)
 }
 
-// Hasten makes a job's change urgent.
+// MarkUrgent makes a job's unflushed change urgent.
 func (s *State) MarkUrgent(id string) {
 	if j := s.jobs[id]; j != nil && j.dirty {
 		j.urgent = true
 	}
 }
 
-// flush collects what must become durable of the jobs that are wanted.
-func (s *State) flush(now time.Time, limit int, wanted func(*job) bool) (*Batch, error) {
+// flush collects the changes of the jobs that include accepts.
+func (s *State) flush(now time.Time, limit int, include func(*job) bool) (*Batch, error) {
 	b := &Batch{}
 	if err := s.flushRoster(b); err != nil {
 		return nil, err
 	}
-	if s.learned && now.Sub(s.lessonsAt) >= lessonsEvery {
-		if err := s.flushLessons(now, b); err != nil {
+	if s.estimatesChanged && now.Sub(s.estimatesFlushedAt) >= estimatesInterval {
+		if err := s.flushEstimates(now, b); err != nil {
 			return nil, err
 		}
 	}
-	var rest []*job
+	var remaining []*job
 	for _, j := range s.dirty {
-		if len(b.Writes)+2 > limit || !wanted(j) {
-			rest = append(rest, j)
+		if len(b.Writes)+2 > limit || !include(j) {
+			remaining = append(remaining, j)
 			continue
 		}
 		if err := b.addJob(j); err != nil {
@@ -94,17 +96,17 @@
 		}
 		j.dirty, j.urgent = false, false
 	}
-	s.dirty = rest
+	s.dirty = remaining
 	if len(s.dirty) == 0 {
-		b.seen = s.unacknowledged()
-		s.flushRemoved(now, b, limit)
+		b.ends = s.unacknowledged()
+		s.flushExpired(now, b, limit)
 	}
 	return b, nil
 }
 
-// addJob writes a job's progress and, the first time, its row. What it says of
-// runs counts from now on: while the batch is under way, a task that was started
-// elsewhere could run a second time under the next owner, who goes by it.
+// addJob writes a job's progress and, the first time, its row. The run
+// locations in the row count as durable from now on: a later owner may read
+// them before this one learns that the commit succeeded.
 func (b *Batch) addJob(j *job) error {
 	if !j.rowStored {
 		value, err := msgpack.Marshal(JobRow{Job: *j.spec, Queue: j.queue})
@@ -120,60 +122,59 @@
 		}
 		b.Writes = append(b.Writes, infra.Write{Key: ProgressPrefix + j.spec.ID, Value: value})
 	}
-	marks := j.marks()
-	for t, workers := range marks {
-		t.marks = appendMissing(t.marks, workers)
+	locations := j.locations()
+	for t, workers := range locations {
+		t.locations = appendMissing(t.locations, workers)
 	}
-	b.jobs = append(b.jobs, flushed{j, j.state, marks})
+	b.jobs = append(b.jobs, batchJob{j, j.state, locations})
 	return nil
 }
 
-// appendMissing appends the marks that aren't there yet.
-func appendMissing(marks, more []uint32) []uint32 {
-	for _, m := range more {
-		if !slices.Contains(marks, m) {
-			marks = append(marks, m)
+// appendMissing appends the hashes that aren't in the list yet.
+func appendMissing(hashes, more []uint32) []uint32 {
+	for _, hash := range more {
+		if !slices.Contains(hashes, hash) {
+			hashes = append(hashes, hash)
 		}
 	}
-	return marks
+	return hashes
 }
 
-// marks returns the workers of the job's runs.
-func (j *job) marks() map[*task][]uint32 {
+// locations returns, by task, the hashes of the workers of the job's runs.
+func (j *job) locations() map[*task][]uint32 {
 	if j.state.Final() {
 		return nil
 	}
-	marks := map[*task][]uint32{}
+	locations := map[*task][]uint32{}
 	j.eachTask(func(t *task) {
 		for _, r := range t.runs {
-			marks[t] = append(marks[t], r.worker.mark)
+			locations[t] = append(locations[t], r.worker.hash)
 		}
 	})
-	return marks
+	return locations
 }
 
-// unacknowledged returns the last end seen at each worker that isn't durable.
+// unacknowledged returns, by worker, the last recorded end if it isn't durable.
 func (s *State) unacknowledged() map[string]uint64 {
-	var seen map[string]uint64
+	var ends map[string]uint64
 	for id, w := range s.workers {
-		if w.seen > w.acknowledged {
-			if seen == nil {
-				seen = map[string]uint64{}
+		if w.lastEnd > w.acknowledged {
+			if ends == nil {
+				ends = map[string]uint64{}
 			}
-			seen[id] = w.seen
+			ends[id] = w.lastEnd
 		}
 	}
-	return seen
+	return ends
 }
 
-// flushRemoved deletes the rows of jobs that are over for longer than they
-// can be asked for.
-func (s *State) flushRemoved(now time.Time, b *Batch, limit int) {
+// flushExpired deletes the rows of jobs that finished more than Retention ago.
+func (s *State) flushExpired(now time.Time, b *Batch, limit int) {
 	for id, j := range s.jobs {
 		if len(b.Writes)+2 > limit {
 			return
 		}
-		if j.state.Final() && j.durable == j.state && now.Sub(j.overAt) > s.cfg.Retention && !j.hasRuns() {
+		if j.state.Final() && j.durable == j.state && now.Sub(j.finishedAt) > s.cfg.Retention && !j.hasRuns() {
 			delete(s.jobs, id)
 			b.Writes = append(b.Writes,
 				infra.Write{Key: JobPrefix + id, Delete: true}, infra.Write{Key: ProgressPrefix + id, Delete: true})
@@ -188,26 +189,26 @@
 	return found
 }
 
-// Flushed takes in that a batch is durable.
+// MarkFlushed records that a batch is durable.
 func (s *State) MarkFlushed(b *Batch) {
 	for _, f := range b.jobs {
 		f.job.rowStored = true
 		f.job.durable = f.state
-		f.job.eachTask(func(t *task) { t.marks = f.marks[t] })
+		f.job.eachTask(func(t *task) { t.locations = f.locations[t] })
 	}
 	for _, id := range b.roster {
 		if w := s.workers[id]; w != nil {
-			w.rostered = true
+			w.inRoster = true
 		}
 	}
-	for id, n := range b.seen {
+	for id, n := range b.ends {
 		if w := s.workers[id]; w != nil {
 			w.acknowledged = max(w.acknowledged, n)
 		}
 	}
 }
 
-// Unflushed reports whether changes wait to become durable.
+// HasUnflushedChanges reports whether any change isn't durable yet.
 func (s *State) HasUnflushedChanges() bool {
-	return len(s.dirty) > 0 || len(s.rosterChanged) > 0 || len(s.unacknowledged()) > 0
+	return len(s.dirty) > 0 || len(s.dirtyRosterParts) > 0 || len(s.unacknowledged()) > 0
 }
--- a/dispatch/flushroster.go
+++ b/dispatch/flushroster.go
@@ -13,21 +13,21 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// rosterParts is how many rows hold the roster. A worker takes some 80 bytes:
-// with 20,000 workers a part still fits the 64 KB of a row, and a worker that
-// comes or goes rewrites one part only.
+// rosterParts is the number of rows that hold the roster. It keeps a row below
+// the 64 KB limit with 20,000 workers, and a change of one worker rewrites only
+// one row.
 const rosterParts = 64
 
 // rosterPart returns the part of the roster that holds a worker.
-func (w *worker) rosterPart() int { return int(w.mark % rosterParts) }
+func (w *worker) rosterPart() int { return int(w.hash % rosterParts) }
 
 // flushRoster writes the parts of the roster that have changed.
 func (s *State) flushRoster(b *Batch) error {
-	if len(s.rosterChanged) == 0 {
+	if len(s.dirtyRosterParts) == 0 {
 		return nil
 	}
 	parts := map[int]*RosterRow{}
-	for part := range s.rosterChanged {
+	for part := range s.dirtyRosterParts {
 		parts[part] = &RosterRow{}
 	}
 	for _, w := range s.workers {
@@ -41,40 +41,40 @@
 		if !write.Delete {
 			value, err := msgpack.Marshal(row)
 			if err != nil {
-				return errors.Wrap(err, "encode roster")
+				return errors.Wrap(err, "encode roster row")
 			}
 			write.Value = value
 		}
 		b.Writes = append(b.Writes, write)
 	}
-	s.rosterChanged = map[int]bool{}
+	s.dirtyRosterParts = map[int]bool{}
 	return nil
 }
 
-// lessonsEvery is the time between two writes of what was learned. A later
-// owner that begins without it tries one filler a second on each worker.
-const lessonsEvery = 4 * time.Second
+// estimatesInterval is the minimum time between two writes of the interference
+// estimates.
+const estimatesInterval = 4 * time.Second
 
-// flushLessons writes what is known of pairs of images.
-func (s *State) flushLessons(now time.Time, b *Batch) error {
+// flushEstimates writes the interference estimates.
+func (s *State) flushEstimates(now time.Time, b *Batch) error {
 	value, err := msgpack.Marshal(s.model.Export())
 	if err != nil {
-		return errors.Wrap(err, "encode lessons")
+		return errors.Wrap(err, "encode interference estimates")
 	}
 	b.Writes = append(b.Writes, infra.Write{Key: EstimatesKey, Value: value})
-	s.learned, s.lessonsAt = false, now
+	s.estimatesChanged, s.estimatesFlushedAt = false, now
 	return nil
 }
 
-// ImportEstimates takes in what an earlier owner has learned.
+// ImportEstimates loads the interference estimates stored by an earlier owner.
 func (s *State) ImportEstimates(value []byte) error {
 	if s.cfg.Disabled.Has(mechanism.StoredEstimates) {
 		return nil
 	}
-	var lessons []interference.ClassEstimate
-	if err := msgpack.Unmarshal(value, &lessons); err != nil {
-		return errors.Wrap(err, "decode lessons")
+	var estimates []interference.ClassEstimate
+	if err := msgpack.Unmarshal(value, &estimates); err != nil {
+		return errors.Wrap(err, "decode interference estimates")
 	}
-	s.model.Import(lessons)
+	s.model.Import(estimates)
 	return nil
 }
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -3,38 +3,36 @@
 import "time"
 
 const (
-	// failureWindow is how long a worker's recent failures count. Several
-	// times the mean run of a task, so that one worker that fails all it gets
-	// collects several in it.
+	// failureWindow is how long a worker's recent failures count; several times
+	// the usual run of a task, so that a worker that fails every task collects
+	// several.
 	failureWindow = 10 * time.Second
-	// failuresSuspect is how many failures without a success in between make
-	// a worker suspect. Tasks fail by themselves a few times in a hundred:
-	// two in a row by chance on a sound worker are one in a thousand.
-	failuresSuspect = 2
-	// probeAfter is when a suspect worker gets one task again as a probe.
+	// failingThreshold is the number of failures without a success in between
+	// at which a worker counts as failing. Single failures are usually the
+	// task's own.
+	failingThreshold = 2
+	// probeAfter is when a failing worker gets another task as a probe.
 	probeAfter = 5 * time.Second
 )
 
-// health is what the ends at a worker say of it.
+// health counts the recent failures of runs on a worker.
 type health struct {
-	// failures counts failed runs since the last one that was done.
-	failures int
-	lastFail time.Time
+	// failures counts failed runs since the last success.
+	failures    int
+	lastFailure time.Time
 }
 
-// failed counts a failed run.
-func (h *health) failed(now time.Time) {
-	if now.Sub(h.lastFail) > failureWindow {
+func (h *health) recordFailure(now time.Time) {
+	if now.Sub(h.lastFailure) > failureWindow {
 		h.failures = 0
 	}
 	h.failures++
-	h.lastFail = now
+	h.lastFailure = now
 }
 
-// done counts a run that finished its work.
-func (h *health) done() { h.failures = 0 }
+func (h *health) recordSuccess() { h.failures = 0 }
 
-// suspect reports whether the worker seems to fail whatever it gets.
-func (h *health) suspect(now time.Time) bool {
-	return h.failures >= failuresSuspect && now.Sub(h.lastFail) < probeAfter
+// failing reports whether the worker seems to fail every task it gets.
+func (h *health) failing(now time.Time) bool {
+	return h.failures >= failingThreshold && now.Sub(h.lastFailure) < probeAfter
 }
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -11,66 +11,68 @@
 	spec  *workload.Job
 	queue workload.Queue
 	state workload.State
-	// durable is the newest state that the store holds.
+	// durable is the newest state in the store.
 	durable workload.State
 	// rowStored is set once the job's own row is durable.
 	rowStored bool
-	// lasting jobs have long-running tasks and end only when cancelled.
-	lasting bool
-	// inherited jobs were accepted by an earlier owner, so runs of theirs may
-	// exist at workers that haven't reported yet.
+	// longRunning is set for jobs with long-running tasks, which end only when
+	// cancelled.
+	longRunning bool
+	// inherited is set for jobs accepted by an earlier owner. Workers that
+	// haven't reported yet may hold runs of them.
 	inherited bool
-	// accepted is the time of submission on the steady clock.
-	accepted    time.Time
-	path        []time.Duration
-	occurrences []*occurrence
-	// unfinished counts occurrences that aren't over.
-	unfinished int
-	overAt     time.Time
-	// dirty is set while its progress isn't durable, urgent while somebody waits
-	// for that.
+	// submittedAt is the time of submission on the monotonic clock.
+	submittedAt   time.Time
+	criticalPaths []time.Duration
+	occurrences   []*occurrence
+	// unfinishedOccurrences counts occurrences with unfinished steps.
+	unfinishedOccurrences int
+	finishedAt            time.Time
+	// dirty is set while the job's progress isn't durable, urgent while a
+	// caller waits for that.
 	dirty, urgent bool
-	ledger        TimeBreakdown
-	// toldLost is set once it has been told that the job is past its use.
-	toldLost bool
+	breakdown     TimeBreakdown
+	// expiryReported is set once the job has been reported as expired.
+	expiryReported bool
 }
 
 // occurrence is one repetition of a job's steps.
 type occurrence struct {
-	index  int
-	due    time.Time
-	steps  []*step
-	undone int
+	index           int
+	due             time.Time
+	steps           []*step
+	unfinishedSteps int
 }
 
-// newJob lays out a job's tasks; the submission lies age before now.
+// newJob returns the state of a submitted job. now and wallNow are the same
+// moment on the monotonic and the wall clock.
 func newJob(now time.Time, wallNow int64, spec *workload.Job, q workload.Queue) *job {
 	age := max(wallNow-spec.Submitted, 0)
 	j := &job{
-		spec: spec, queue: q, path: spec.CriticalPath(),
-		accepted: now.Add(-time.Duration(age) * time.Millisecond),
+		spec: spec, queue: q, criticalPaths: spec.CriticalPath(),
+		submittedAt: now.Add(-time.Duration(age) * time.Millisecond),
 	}
 	for i := range spec.Steps {
-		j.lasting = j.lasting || spec.Steps[i].LongRunning
+		j.longRunning = j.longRunning || spec.Steps[i].LongRunning
 	}
 	for k := range spec.Occurrences() {
-		due := j.accepted
+		due := j.submittedAt
 		if spec.Timed() {
 			at := spec.FirstDue + int64(k)*spec.Interval.Milliseconds()
 			due = now.Add(time.Duration(at-wallNow) * time.Millisecond)
 		}
 		j.occurrences = append(j.occurrences, newOccurrence(j, k, due))
 	}
-	j.unfinished = len(j.occurrences)
+	j.unfinishedOccurrences = len(j.occurrences)
 	return j
 }
 
-// newOccurrence lays out one occurrence, all of its tasks undone.
+// newOccurrence returns an occurrence whose tasks are all unfinished.
 func newOccurrence(j *job, index int, due time.Time) *occurrence {
-	o := &occurrence{index: index, due: due, undone: len(j.spec.Steps)}
+	o := &occurrence{index: index, due: due, unfinishedSteps: len(j.spec.Steps)}
 	for i := range j.spec.Steps {
 		spec := &j.spec.Steps[i]
-		s := &step{job: j, occurrence: o, spec: spec, index: i, undone: spec.Tasks, idle: spec.Tasks}
+		s := &step{job: j, occurrence: o, spec: spec, index: i, unfinishedTasks: spec.Tasks, idle: spec.Tasks}
 		s.blockedBy = len(spec.After)
 		if spec.Serving() {
 			s.class = spec.Image + "/" + spec.TailTarget.String()
@@ -84,10 +86,10 @@
 	return o
 }
 
-// criticalPath returns the longest estimated chain of one occurrence.
+// criticalPath returns the longest estimated chain of steps of one occurrence.
 func (j *job) criticalPath() time.Duration {
 	var longest time.Duration
-	for _, d := range j.path {
+	for _, d := range j.criticalPaths {
 		longest = max(longest, d)
 	}
 	return longest
@@ -98,13 +100,13 @@
 	return o.due.Add(time.Duration(j.queue.Stretch*float64(j.criticalPath())) + j.queue.Target)
 }
 
-// lateLimit returns when an occurrence is of no more use to its caller than
-// one that never ends: three times the objective, from the users' accounting.
-func (j *job) lateLimit(o *occurrence) time.Time {
+// expiry returns the time from which a completed occurrence has no value to its
+// caller: three times its objective after it was due.
+func (j *job) expiry(o *occurrence) time.Time {
 	return o.due.Add(3 * j.objective(o).Sub(o.due))
 }
 
-// task returns the task of that name, nil if the job has none.
+// task returns a task by its ID, or nil if the job has no such task.
 func (j *job) task(id workload.TaskID) *task {
 	if id.Occurrence < 0 || id.Occurrence >= len(j.occurrences) {
 		return nil
@@ -120,7 +122,6 @@
 	return &s.tasks[id.Index]
 }
 
-// eachTask calls f for every task of every occurrence.
 func (j *job) eachTask(f func(*task)) {
 	for _, o := range j.occurrences {
 		for _, s := range o.steps {
--- a/dispatch/loststop_test.go
+++ b/dispatch/loststop_test.go
@@ -8,18 +8,15 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// TestLostStopIsOrderedAgain replays how a run that was to stop went on for
-// good. Its stop got no answer, or was refused since the worker's fencing token
-// had risen meanwhile. Only runs of jobs and tasks that were over were ordered to
-// stop again. A filler went on beside the tail that it made too long, and wasn't
-// even seen as disturbing any more; a duplicate ran beside its twin; a long-running
-// task stayed on a worker that was about to leave.
-func TestLostStopIsOrderedAgain(t *testing.T) {
+// TestLostStopIsRetried checks that a stop without an answer, or refused
+// because of a newer fencing token, is ordered again for every cause. Otherwise
+// the run would go on.
+func TestLostStopIsRetried(t *testing.T) {
 	for cause, stopped := range map[dispatch.StopCause]func(*testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder){
-		dispatch.WorkerDraining: onLeavingWorker,
-		dispatch.TailTooLong:    besideTailTooLong,
-		dispatch.Preempted:      beforeUrgentWork,
-		dispatch.Duplicate:      besideTwin,
+		dispatch.WorkerDraining: stopForDrain,
+		dispatch.TailTooLong:    stopForTail,
+		dispatch.Preempted:      stopForPreemption,
+		dispatch.Duplicate:      stopForDuplicate,
 	} {
 		for _, status := range []runner.Status{runner.Unknown, runner.Fenced, runner.Unhealthy} {
 			t.Run(cause.String()+"/"+status.String(), func(t *testing.T) {
@@ -28,7 +25,7 @@
 					t.Fatalf("got stop %+v, want one for %v", first, cause)
 				}
 				r.state.HandleStopAnswer(r.now, *first, runner.Answer{Status: status})
-				r.pass(1500 * time.Millisecond)
+				r.advance(1500 * time.Millisecond)
 				r.report(victim.Worker.ID, []runner.ActiveRun{halfDone(victim)}, nil)
 				if again := r.stopOf(victim); again == nil || again.Cause != cause {
 					t.Errorf("got stop %+v after the first was lost, want one for %v", again, cause)
@@ -38,20 +35,20 @@
 	}
 }
 
-// TestStopUnderWayIsNotRepeated leaves a stop that was just ordered its time.
-func TestStopUnderWayIsNotRepeated(t *testing.T) {
-	r, victim, first := onLeavingWorker(t)
+// TestStopInFlightIsNotRetried checks that a recent stop isn't repeated.
+func TestStopInFlightIsNotRetried(t *testing.T) {
+	r, victim, first := stopForDrain(t)
 	if first == nil {
 		t.Fatal("no stop")
 	}
-	r.pass(300 * time.Millisecond)
+	r.advance(300 * time.Millisecond)
 	r.report(victim.Worker.ID, []runner.ActiveRun{active(victim)}, nil)
 	if again := r.stopOf(victim); again != nil {
-		t.Errorf("got stop %+v while the first is under way", again)
+		t.Errorf("got stop %+v while the first is in flight", again)
 	}
 }
 
-// stopOf plans and returns the stop of a run, nil if there is none.
+// stopOf plans and returns the stop of a run, or nil if there is none.
 func (r *rig) stopOf(victim dispatch.StartOrder) *dispatch.StopOrder {
 	for _, o := range r.state.Plan(r.now).Stops {
 		if o.Stop.Run == victim.Start.Run && o.Worker.ID == victim.Worker.ID {
@@ -61,8 +58,8 @@
 	return nil
 }
 
-// onLeavingWorker has a long-running task on a worker that drains.
-func onLeavingWorker(t *testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder) {
+// stopForDrain returns a long-running run on a draining worker, and its stop.
+func stopForDrain(t *testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder) {
 	t.Helper()
 	r := newRig(t, 1)
 	r.submit(queueShort, "forever", step(1, 4, longRunning))
@@ -73,23 +70,24 @@
 	return r, victim, r.stopOf(victim)
 }
 
-// besideTailTooLong has a filler beside a serving task whose tail has been over
-// its target for too long.
-func besideTailTooLong(t *testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder) {
+// stopForTail returns a best-effort run next to a serving task whose tail has
+// been over its target for too long, and its stop.
+func stopForTail(t *testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder) {
 	t.Helper()
-	r, serving, filler := besideServing(t)
+	r, serving, bestEffort := startBestEffort(t)
 	for range 60 {
-		r.pass(testTick)
-		r.report(worker(0), []runner.ActiveRun{withTail(serving, 400), {Task: filler.Start.Task, Run: filler.Start.Run, Percent: 10, Usage: 1000}}, nil)
-		if stop := r.stopOf(filler); stop != nil {
-			return r, filler, stop
+		r.advance(testTick)
+		r.report(worker(0), []runner.ActiveRun{withTail(serving, 400), {Task: bestEffort.Start.Task, Run: bestEffort.Start.Run, Percent: 10, Usage: 1000}}, nil)
+		if stop := r.stopOf(bestEffort); stop != nil {
+			return r, bestEffort, stop
 		}
 	}
-	return r, filler, nil
+	return r, bestEffort, nil
 }
 
-// beforeUrgentWork has a task that fills a worker and must give way.
-func beforeUrgentWork(t *testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder) {
+// stopForPreemption returns a run preempted by a queue of higher priority, and
+// its stop.
+func stopForPreemption(t *testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder) {
 	t.Helper()
 	r := newRig(t, 1)
 	r.submit(queueLong, "later", step(1, 16))
@@ -97,19 +95,20 @@
 	r.report(worker(0), []runner.ActiveRun{halfDone(victim)}, nil)
 	r.submit(queueShort, "urgent", step(1, 16))
 	r.plan()
-	r.pass(200 * time.Millisecond)
+	r.advance(200 * time.Millisecond)
 	return r, victim, r.stopOf(victim)
 }
 
-// besideTwin has a run that is found beside another of its task.
-func besideTwin(t *testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder) {
+// stopForDuplicate returns a reported run whose task already has another run,
+// and its stop.
+func stopForDuplicate(t *testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder) {
 	t.Helper()
 	r := newRig(t, 2)
 	r.submit(queueShort, "forever", step(1, 4, longRunning))
 	first := r.plan()[0]
-	twin := first
-	twin.Worker = workerInfo(other(first.Worker.ID))
-	twin.Start.Run++
-	r.report(twin.Worker.ID, []runner.ActiveRun{active(twin)}, nil)
-	return r, twin, r.stopOf(twin)
+	duplicate := first
+	duplicate.Worker = workerInfo(otherWorker(first.Worker.ID))
+	duplicate.Start.Run++
+	r.report(duplicate.Worker.ID, []runner.ActiveRun{active(duplicate)}, nil)
+	return r, duplicate, r.stopOf(duplicate)
 }
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -10,18 +10,18 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// SetMembers takes in the whole membership list. Workers that are no longer
-// on it keep their runs until these are known to be over.
+// SetMembers applies the complete membership list. Workers that are no longer
+// on it keep their runs until these are known to have ended.
 func (s *State) SetMembers(now time.Time, members []runner.Worker) {
-	pools := s.pools()
+	pools := s.usedPools()
 	present := make(map[string]bool, len(members))
 	for _, m := range members {
 		present[m.ID] = true
-		if m.Malformed || !pools[m.Pool] || s.elsewhere(&m) {
-			s.unlist(now, m.ID)
+		if m.Malformed || !pools[m.Pool] || s.addressConflicts(&m) {
+			s.rejectEntry(now, m.ID)
 			continue
 		}
-		s.member(now, m)
+		s.updateMember(now, m)
 	}
 	for id, w := range s.workers {
 		if !present[id] {
@@ -29,14 +29,14 @@
 			if w.missingSince.IsZero() {
 				w.missingSince = now
 			}
-			s.forget(w, now)
+			s.removeIfExpired(w, now)
 		}
 	}
 }
 
-// pools returns the pools that a queue of the configuration or an open job is
-// for; jobs of a queue that is gone still run.
-func (s *State) pools() map[string]bool {
+// usedPools returns the pools of the configured queues and of the open jobs. A
+// job keeps its pool when its queue is removed.
+func (s *State) usedPools() map[string]bool {
 	pools := map[string]bool{}
 	for _, q := range s.queues {
 		pools[q.Pool] = true
@@ -47,35 +47,35 @@
 	return pools
 }
 
-// elsewhere reports whether an entry puts a worker whose runs may be alive at
-// another address. A life keeps its address, and the answer of another life at a
-// wrong one would count as the end of those runs.
-func (s *State) elsewhere(m *runner.Worker) bool {
+// addressConflicts reports whether an entry changes the address of a worker
+// that may hold runs. An incarnation keeps its address; another incarnation's
+// answer at a wrong address would count as the end of those runs.
+func (s *State) addressConflicts(m *runner.Worker) bool {
 	w := s.workers[m.ID]
-	return w != nil && w.info.Address != m.Address && (w.reported || s.awaited[m.ID] != nil)
+	return w != nil && w.info.Address != m.Address && (w.reported || s.awaitingReport[m.ID] != nil)
 }
 
-// unlist takes in an entry that names no worker to use. It says nothing of
-// whether the worker lives: counted as gone, its runs would be started again
-// beside themselves.
-func (s *State) unlist(now time.Time, id string) {
+// rejectEntry handles an entry that can't be used. The worker may still be
+// alive, so it isn't treated as missing, which would start its runs a second
+// time.
+func (s *State) rejectEntry(now time.Time, id string) {
 	w := s.workers[id]
 	if w == nil {
 		return
 	}
 	w.listed, w.missingSince = false, time.Time{}
-	s.forget(w, now)
+	s.removeIfExpired(w, now)
 }
 
-// member takes in one entry of the list.
-func (s *State) member(now time.Time, m runner.Worker) {
+// updateMember applies one entry of the list.
+func (s *State) updateMember(now time.Time, m runner.Worker) {
 	w := s.workers[m.ID]
 	if w == nil {
 		w = s.addWorker(m)
-		s.rosterChanged[w.rosterPart()] = true
+		s.dirtyRosterParts[w.rosterPart()] = true
 	}
 	if !w.listed || w.info.Capacity != m.Capacity || w.info.Draining != m.Draining {
-		s.changed(w)
+		s.markChanged(w)
 	}
 	w.listed, w.missingSince = true, time.Time{}
 	used := w.info.Capacity.Sub(w.free)
@@ -87,131 +87,130 @@
 	}
 }
 
-// addWorker begins to know a worker. It may be known again: it was taken for
-// gone, and comes back with the token that it had seen. A lower one would fence
-// its owner off for good.
+// addWorker adds a worker. It begins with the highest token given so far: a
+// returning worker would refuse orders under a lower token than it has seen.
 func (s *State) addWorker(m runner.Worker) *worker {
 	w := &worker{
-		info: m, mark: workerMark(m.ID), free: m.Capacity, runs: map[workload.TaskID]*run{},
+		info: m, hash: workerHash(m.ID), free: m.Capacity, runs: map[workload.TaskID]*run{},
 		token: s.topToken,
 	}
-	s.workers[m.ID], s.sorted = w, nil
+	s.workers[m.ID], s.sortedWorkers = w, nil
 	return w
 }
 
-// Inherit adds a worker of an earlier owner's roster. Until it reports, or
-// until any lease that the earlier owner gave is over, runs of inherited jobs
-// that no other worker reports may be alive there.
+// InheritWorker adds a worker of an earlier owner's roster. Until it reports,
+// or any lease from the earlier owner has expired, it may hold runs of
+// inherited jobs that no other worker reports.
 func (s *State) InheritWorker(now time.Time, m runner.Worker) {
 	w := s.addWorker(m)
-	w.rostered = true
+	w.inRoster = true
 	w.inheritedUntil = now.Add(s.cfg.InheritedLease)
-	s.awaited[m.ID] = w
+	s.awaitingReport[m.ID] = w
 }
 
-// PredecessorStopped takes in that the owner before gives no more orders: what
-// it left at silent workers is over after one lease.
+// PredecessorStopped records that the previous owner gives no more orders, so
+// that its leases expire one lease from now.
 func (s *State) PredecessorStopped(now time.Time) {
-	over := now.Add(time.Duration(float64(s.cfg.Lease)*(1+clockDrift)) + lostMargin)
-	for _, w := range s.awaited {
-		if over.Before(w.inheritedUntil) {
-			w.inheritedUntil = over
+	expiry := now.Add(time.Duration(float64(s.cfg.Lease)*(1+maxClockDrift)) + leaseExpiryMargin)
+	for _, w := range s.awaitingReport {
+		if expiry.Before(w.inheritedUntil) {
+			w.inheritedUntil = expiry
 		}
 	}
 }
 
-// EachWorker visits the IDs of all workers that orders may go to.
+// EachWorker visits, in order, the IDs of all workers that may get orders.
 func (s *State) EachWorker(visit func(id string)) {
 	for _, w := range s.byID() {
-		if w.rostered {
+		if w.inRoster {
 			visit(w.info.ID)
 		}
 	}
 }
 
-// byID returns the workers in the order of IDs.
+// byID returns the workers in order of their IDs.
 func (s *State) byID() []*worker {
-	if s.sorted == nil {
-		s.sorted = slices.SortedFunc(maps.Values(s.workers), func(a, b *worker) int { return strings.Compare(a.info.ID, b.info.ID) })
+	if s.sortedWorkers == nil {
+		s.sortedWorkers = slices.SortedFunc(maps.Values(s.workers), func(a, b *worker) int { return strings.Compare(a.info.ID, b.info.ID) })
 	}
-	return s.sorted
+	return s.sortedWorkers
 }
 
-// Known reports whether the worker is still of interest.
+// HasWorker reports whether the worker is known.
 func (s *State) HasWorker(id string) bool { return s.workers[id] != nil }
 
-// forget drops a worker that is no longer listed once nothing can be alive
-// there.
-func (s *State) forget(w *worker, now time.Time) {
-	if w.listed || len(w.runs) > 0 || !w.leaseOver(now) {
+// removeIfExpired removes an unlisted worker once no run can be alive there.
+func (s *State) removeIfExpired(w *worker, now time.Time) {
+	if w.listed || len(w.runs) > 0 || !w.leaseExpired(now) {
 		return
 	}
 	delete(s.workers, w.info.ID)
-	s.sorted = nil
-	delete(s.awaited, w.info.ID)
-	s.rosterChanged[w.rosterPart()] = true
+	s.sortedWorkers = nil
+	delete(s.awaitingReport, w.info.ID)
+	s.dirtyRosterParts[w.rosterPart()] = true
 }
 
-// Reborn takes in that another life of the worker answered at its address:
-// all that ran in the life known is over.
+// HandleRestart records that another incarnation of the worker answered at its
+// address, which ends all runs of the known one.
 func (s *State) HandleRestart(now time.Time, id string) {
 	w := s.workers[id]
 	if w == nil {
 		return
 	}
-	s.loseRuns(w)
+	s.dropLostRuns(w)
 	w.leaseUntil, w.inheritedUntil = 0, time.Time{}
 	w.listed = false
-	delete(s.awaited, id)
-	s.forget(w, now)
+	delete(s.awaitingReport, id)
+	s.removeIfExpired(w, now)
 }
 
-// loseRuns ends the runs at a worker whose leases are over.
-func (s *State) loseRuns(w *worker) {
-	for _, r := range slices.Clone(w.inOrder) {
+// dropLostRuns ends all runs of a worker and keeps their checkpoints.
+func (s *State) dropLostRuns(w *worker) {
+	for _, r := range slices.Clone(w.runsByNumber) {
 		s.Stats.LostRuns++
-		if r.saved != "" {
-			r.task.saved = r.saved
+		if r.checkpoint != "" {
+			r.task.checkpoint = r.checkpoint
 		}
-		s.release(r)
+		s.releaseRun(r)
 	}
 }
 
-// release takes a run that is over out of its worker and task.
-func (s *State) release(r *run) {
+// releaseRun removes an ended run from its worker and task.
+func (s *State) releaseRun(r *run) {
 	w := r.worker
-	s.changed(w)
-	w.drop(r)
+	s.markChanged(w)
+	w.removeRun(r)
 	r.task.detach(r)
 }
 
-// goneAfter is how long an inherited worker may be missing from the list until
-// it counts as gone: a worker that lives and reaches the store is listed again
-// within two seconds, and the list is read a few times a second.
-const goneAfter = 2500 * time.Millisecond
+// departedAfter is how long an inherited worker must be missing from the list
+// to count as departed. It exceeds the time in which a live worker is listed
+// again.
+const departedAfter = 2500 * time.Millisecond
 
-// gone reports whether a worker that hasn't reported to this owner is missing
-// from the list for so long that it is gone, and all that ran there.
-func (w *worker) gone(now time.Time) bool {
-	return !w.reported && !w.missingSince.IsZero() && now.Sub(w.missingSince) >= goneAfter
+// departed reports whether a worker that hasn't reported to this owner has been
+// missing from the list long enough to count as departed, with all its runs.
+func (w *worker) departed(now time.Time) bool {
+	return !w.reported && !w.missingSince.IsZero() && now.Sub(w.missingSince) >= departedAfter
 }
 
-// ExpireLeases ends the runs at silent workers whose leases are over.
+// ExpireLeases ends the runs of suspected workers whose leases have expired,
+// and removes workers that have departed.
 func (s *State) ExpireLeases(now time.Time) {
 	for id, w := range s.workers {
-		if w.gone(now) {
+		if w.departed(now) {
 			s.HandleRestart(now, id)
 			continue
 		}
-		if !w.leaseOver(now) {
+		if !w.leaseExpired(now) {
 			continue
 		}
-		if s.awaited[id] != nil && !w.reported {
-			delete(s.awaited, id)
+		if s.awaitingReport[id] != nil && !w.reported {
+			delete(s.awaitingReport, id)
 		}
-		if w.silent && len(w.runs) > 0 {
-			s.loseRuns(w)
+		if w.suspected && len(w.runs) > 0 {
+			s.dropLostRuns(w)
 		}
-		s.forget(w, now)
+		s.removeIfExpired(w, now)
 	}
 }
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -2,15 +2,15 @@
 
 import "github.com/fireflygate/fireflygate/runner"
 
-// StartOrder is a start for one worker.
+// StartOrder is an order to start a run on a worker.
 type StartOrder struct {
 	Worker runner.Worker
 	Start  runner.Start
-	// Known is what the choice of the worker went by.
+	// Snapshot is what was known of the worker when it was chosen.
 	Snapshot WorkerSnapshot
 }
 
-// StopOrder is a stop for one worker.
+// StopOrder is an order to stop a run on a worker.
 type StopOrder struct {
 	Worker   runner.Worker
 	Stop     runner.Stop
@@ -18,18 +18,18 @@
 	Snapshot WorkerSnapshot
 }
 
-// CPULimitOrder is a change of pace for one worker.
+// CPULimitOrder is an order to change the CPU limit of a run on a worker.
 type CPULimitOrder struct {
 	Worker   runner.Worker
 	CPULimit runner.CPULimit
 	Snapshot WorkerSnapshot
 }
 
-// Plan is what a planning cycle orders.
+// Plan holds the orders of one planning cycle.
 type Plan struct {
 	Starts    []StartOrder
 	Stops     []StopOrder
 	CPULimits []CPULimitOrder
-	// StartLimitReached is set if there may be more starts than were allowed.
+	// StartLimitReached is set if the limit on starts may have cut off others.
 	StartLimitReached bool
 }
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// permitWorkers is how many workers are asked about at once, and
-	// permitMost for a step with many tasks: the policy service takes its time
-	// for each, and no more than a hundred.
-	permitWorkers = 30
-	permitMost    = 100
-	// permitMargin is kept of a permit's validity for the start's way.
+	// permitBatch is how many workers a request names, and maxPermitBatch how
+	// many for a step with many tasks; the policy service accepts no more than
+	// 100.
+	permitBatch    = 30
+	maxPermitBatch = 100
+	// permitMargin is the remaining validity that a permit needs to reach the
+	// worker.
 	permitMargin = 300 * time.Millisecond
-	// permitRetry is the wait after a question that wasn't answered.
+	// permitRetry is the wait after a request that failed.
 	permitRetry = 200 * time.Millisecond
 )
 
-// permits is what the policy service has said of a step.
+// permits holds the policy service's decisions on a step.
 type permits struct {
-	// tickets holds valid permits by worker, until when they hold; denied the
-	// workers that may not run it, which doesn't change.
+	// tickets holds permits by worker. denied holds workers that may not run
+	// the step, which is final.
 	tickets map[string]ticket
 	denied  map[string]bool
-	// nextAsk is when it may be asked about again.
-	nextAsk time.Time
+	// nextRequest is when the next request may be made.
+	nextRequest time.Time
 }
 
-// ticket is one permit.
+// ticket is one permit and the end of its validity.
 type ticket struct {
 	text  string
 	until time.Time
 }
 
-// PermitRequest asks the policy service about a step.
+// PermitRequest asks the policy service which workers may run a step.
 type PermitRequest struct {
 	Step    workload.StepID
 	Workers []string
 }
 
-// id returns the step's name.
 func (s *step) id() workload.StepID {
 	return workload.StepID{Job: s.job.spec.ID, Occurrence: s.occurrence.index, Step: s.index}
 }
@@ -58,14 +58,14 @@
 	return t.text, ok && now.Add(permitMargin).Before(t.until)
 }
 
-// NextPermitRequest returns the next question for the policy service: for the first
-// step in the queue that has too few permits, then for one whose turn comes
-// next, so that its permits are there when it does. One question should be
-// under way at a time.
+// NextPermitRequest returns the next request for the policy service: for the
+// first step in the queue that lacks permits, then for one that becomes ready
+// next, so that its permits arrive in time. Only one request should be in
+// flight.
 func (s *State) NextPermitRequest(now time.Time) (PermitRequest, bool) {
 	c := newCycle(s, now)
-	for _, w := range s.waiting(now) {
-		if q, ok := c.question(w.step); ok {
+	for _, w := range s.waitingSteps(now) {
+		if q, ok := c.permitRequest(w.step); ok {
 			return q, true
 		}
 	}
@@ -75,10 +75,10 @@
 		}
 		for _, o := range j.occurrences {
 			for _, st := range o.steps {
-				if st.blockedBy == 0 || st.undone == 0 || !o.nextAfter(st) {
+				if st.blockedBy == 0 || st.unfinishedTasks == 0 || !o.predecessorsStarted(st) {
 					continue
 				}
-				if q, ok := c.question(st); ok {
+				if q, ok := c.permitRequest(st); ok {
 					return q, true
 				}
 			}
@@ -87,8 +87,9 @@
 	return PermitRequest{}, false
 }
 
-// nextAfter reports whether all tasks of the steps before are at work.
-func (o *occurrence) nextAfter(st *step) bool {
+// predecessorsStarted reports whether all tasks of the steps that st depends on
+// have started.
+func (o *occurrence) predecessorsStarted(st *step) bool {
 	for _, before := range st.spec.After {
 		if b := o.steps[before]; b.blockedBy > 0 || b.idle > 0 {
 			return false
@@ -97,36 +98,37 @@
 	return true
 }
 
-// question returns what to ask about a step, false if nothing is needed.
-func (c *cycle) question(st *step) (PermitRequest, bool) {
-	if !st.job.queue.NeedsPermit || c.now.Before(st.permits.nextAsk) {
+// permitRequest returns the request for a step, false if none is needed.
+func (c *cycle) permitRequest(st *step) (PermitRequest, bool) {
+	if !st.job.queue.NeedsPermit || c.now.Before(st.permits.nextRequest) {
 		return PermitRequest{}, false
 	}
-	var ask []*worker
+	var candidates []*worker
 	for _, w := range c.workers {
 		if !c.allowed(st, w) || st.permits.denied[w.info.ID] {
 			continue
 		}
 		if _, ok := st.ticketFor(c.now, w); ok {
 			if st.spec.Reserved().Fits(w.free) {
-				return PermitRequest{}, false // a start is possible as it is
+				return PermitRequest{}, false // a start is possible already
 			}
 			continue
 		}
-		ask = append(ask, w)
+		candidates = append(candidates, w)
 	}
-	if len(ask) == 0 {
+	if len(candidates) == 0 {
 		return PermitRequest{}, false
 	}
-	slices.SortStableFunc(ask, func(a, b *worker) int { return cmp.Compare(b.free.MilliCPU, a.free.MilliCPU) })
+	slices.SortStableFunc(candidates, func(a, b *worker) int { return cmp.Compare(b.free.MilliCPU, a.free.MilliCPU) })
 	q := PermitRequest{Step: st.id()}
-	for _, w := range ask[:min(len(ask), max(permitWorkers, min(2*st.idle, permitMost)))] {
+	for _, w := range candidates[:min(len(candidates), max(permitBatch, min(2*st.idle, maxPermitBatch)))] {
 		q.Workers = append(q.Workers, w.info.ID)
 	}
 	return q, true
 }
 
-// Permitted takes in the answer to a question; err is set if there was none.
+// HandlePermits applies the answer to a request; err is set if the request
+// failed.
 func (s *State) HandlePermits(now time.Time, q PermitRequest, p runner.Permits, err error) {
 	j := s.jobs[q.Step.Job]
 	if j == nil {
@@ -138,13 +140,13 @@
 	}
 	st := t.step
 	if err != nil {
-		st.permits.nextAsk = now.Add(permitRetry)
+		st.permits.nextRequest = now.Add(permitRetry)
 		return
 	}
 	if st.permits.tickets == nil {
 		st.permits.tickets, st.permits.denied = map[string]ticket{}, map[string]bool{}
 	}
-	st.allTriedAt = time.Time{} // it may fit where it didn't for want of one
+	st.allTriedAt = time.Time{} // it may fit where only a permit was missing
 	for _, id := range q.Workers {
 		if text, ok := p.Tickets[id]; ok {
 			st.permits.tickets[id] = ticket{text: text, until: now.Add(p.Valid)}
@@ -154,5 +156,5 @@
 	}
 }
 
-// dropTicket forgets a permit that a worker no longer takes.
+// dropTicket removes a permit that the worker refused.
 func (s *step) dropTicket(w *worker) { delete(s.permits.tickets, w.info.ID) }
--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -9,13 +9,13 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// queuePermit is a queue whose workers a policy service decides.
+// queuePermit is a queue whose tasks need permits from the policy service.
 var queuePermit = workload.Queue{
 	Name: "permit", Pool: pool, MaxAttempts: 2, Stretch: 2, Target: time.Second, NeedsPermit: true,
 }
 
-// TestPermits starts tasks only where the policy service permits it, with its
-// ticket, and asks about the next step before its turn comes.
+// TestPermits checks that tasks start only on permitted workers and with the
+// ticket, and that permits for the next step are requested in advance.
 func TestPermits(t *testing.T) {
 	r := newRig(t, 3)
 	r.submit(queuePermit, "job", step(1, 4), step(1, 4, func(s *workload.Step) { s.After = []int{0} }))
@@ -24,13 +24,13 @@
 	}
 	q, ok := r.state.NextPermitRequest(r.now)
 	if !ok || q.Step.Step != 0 || len(q.Workers) != 3 {
-		t.Fatalf("asks %+v, want all workers about the first step", q)
+		t.Fatalf("got request %+v, want all workers for the first step", q)
 	}
 	r.state.HandlePermits(r.now, q, runner.Permits{}, errors.New("busy"))
 	if _, ok := r.state.NextPermitRequest(r.now); ok {
-		t.Error("asks again at once after it was refused")
+		t.Error("got a request right after one failed")
 	}
-	r.pass(time.Second)
+	r.advance(time.Second)
 	q, _ = r.state.NextPermitRequest(r.now)
 	r.state.HandlePermits(r.now, q, runner.Permits{Tickets: map[string]string{worker(1): "ticket"}, Valid: 2 * time.Second}, nil)
 	starts := r.plan()
@@ -39,24 +39,24 @@
 	}
 	next, ok := r.state.NextPermitRequest(r.now)
 	if !ok || next.Step.Step != 1 {
-		t.Errorf("asks %+v, want the next step's permits ahead of its turn", next)
+		t.Errorf("got request %+v, want one for the next step in advance", next)
 	}
 }
 
-// TestPermitEnds asks again for a permit that is over, not for workers that
-// were denied.
-func TestPermitEnds(t *testing.T) {
+// TestExpiredPermit checks that an expired or refused permit isn't used, and
+// that permits are requested again only for workers that weren't denied.
+func TestExpiredPermit(t *testing.T) {
 	r := newRig(t, 2)
 	r.submit(queuePermit, "job", step(1, 4))
 	q, _ := r.state.NextPermitRequest(r.now)
 	r.state.HandlePermits(r.now, q, runner.Permits{Tickets: map[string]string{worker(0): "a"}, Valid: time.Second}, nil)
-	r.pass(2 * time.Second)
+	r.advance(2 * time.Second)
 	if starts := r.plan(); len(starts) != 0 {
-		t.Fatalf("started %v with a permit that is over", starts)
+		t.Fatalf("started %v with an expired permit", starts)
 	}
 	q, ok := r.state.NextPermitRequest(r.now)
 	if !ok || len(q.Workers) != 1 || q.Workers[0] != worker(0) {
-		t.Fatalf("asks %+v, want only the worker that was permitted", q)
+		t.Fatalf("got request %+v, want only the worker that was permitted", q)
 	}
 	r.state.HandlePermits(r.now, q, runner.Permits{Tickets: map[string]string{worker(0): "b"}, Valid: time.Second}, nil)
 	p := r.state.Plan(r.now)
--- a/dispatch/flood_test.go
+++ b/dispatch/placetogether_test.go
@@ -9,22 +9,20 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// TestFloodOfLongRunningJobs replays a start of day: 37 jobs of long-running
-// tasks of five images come at once and fill three quarters of 48 workers; half
-// of the jobs may have one or two tasks on a worker. Fillers suit some images and
-// not others, so workers that serve one image only are worth most to them. Placed
-// together, the jobs keep images apart; one after the other they don't.
-func TestFloodOfLongRunningJobs(t *testing.T) {
-	together := mixedWorkers(t, func(*rig) []dispatch.StartOrder { return nil })
-	inTurn := mixedWorkers(t, (*rig).plan)
-	t.Logf("of 48 workers serve several images: %d placed together, %d in turn", together, inTurn)
-	if together > 2 || inTurn <= together {
-		t.Errorf("%d workers serve several images, want at most 2 and fewer than the %d when placed in turn", together, inTurn)
+// TestLongRunningJobsPlacedTogether checks that long-running jobs of several
+// images that arrive at the same time are placed together, which keeps images
+// on separate workers; placed one by one they mix.
+func TestLongRunningJobsPlacedTogether(t *testing.T) {
+	batched := mixedWorkers(t, func(*rig) []dispatch.StartOrder { return nil })
+	oneByOne := mixedWorkers(t, (*rig).plan)
+	t.Logf("workers with several images: %d when placed together, %d when placed one by one", batched, oneByOne)
+	if batched > 2 || oneByOne <= batched {
+		t.Errorf("%d workers serve several images, want at most 2 and fewer than the %d when placed one by one", batched, oneByOne)
 	}
 }
 
-// mixedWorkers submits the jobs, calling after for each, and counts the workers
-// that then serve more than one image.
+// mixedWorkers submits the jobs, calls after following each, and counts the
+// workers that serve more than one image.
 func mixedWorkers(t *testing.T, after func(*rig) []dispatch.StartOrder) int {
 	t.Helper()
 	const jobs, workers = 37, 48
@@ -43,10 +41,10 @@
 	for i := range jobs {
 		n := 3 + i*5%7 // 3 to 9 tasks
 		tasks += n
-		bound := []int{0, 1, 0, 2}[i%4]
+		maxPerWorker := []int{0, 1, 0, 2}[i%4]
 		r.submit(queueShort, fmt.Sprintf("image%d-%d", i*i%5, i), step(n, 0, longRunning, func(s *workload.Step) {
 			s.Needs.MilliCPU = int64(2200 + i*700%2100) // 2.2 to 4.2 of 16 cores
-			s.Image, s.TailTarget, s.MaxPerWorker = imageOf(fmt.Sprintf("image%d-%d", i*i%5, i)), 100*time.Millisecond, bound
+			s.Image, s.TailTarget, s.MaxPerWorker = imageOf(fmt.Sprintf("image%d-%d", i*i%5, i)), 100*time.Millisecond, maxPerWorker
 		}))
 		place(after(r))
 	}
@@ -59,10 +57,10 @@
 		}
 	}
 	if placed < workers/2 {
-		t.Fatalf("%d workers got tasks, the load of %d tasks should fill most", placed, tasks)
+		t.Fatalf("%d workers got tasks, want most of them in use by %d tasks", placed, tasks)
 	}
 	return mixed
 }
 
-// imageOf returns the image of a job: what stands before the dash in its ID.
+// imageOf returns the image of a job, which begins its ID.
 func imageOf(job string) string { return job[:len("image0")] }
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -11,56 +11,56 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// waiting is a step with tasks that may start, and its place in the queue.
-type waiting struct {
+// waitingStep is a step with tasks that may start, and its queue entry.
+type waitingStep struct {
 	entry queue.Entry
 	step  *step
 }
 
-// Plan decides what to order now.
+// Plan returns the orders to give now.
 func (s *State) Plan(now time.Time) Plan { return s.PlanAtMost(now, math.MaxInt) }
 
-// PlanAtMost decides what to order now, with at most so many starts, those first
-// that are first in the queue. What isn't ordered reserves no room. A gang that
-// has begun to fit within them is ordered whole.
+// PlanAtMost returns the orders to give now, with a limit on starts; the steps
+// first in the queue get them, and the rest reserve no capacity. A gang that
+// starts below the limit starts whole, even if that exceeds the limit.
 func (s *State) PlanAtMost(now time.Time, starts int) Plan {
 	s.ExpireLeases(now)
 	s.drain(now)
 	var p Plan
-	p.CPULimits = s.pace(now)
+	p.CPULimits = s.adjustCPULimits(now)
 	c := newCycle(s, now)
-	c.most = starts
-	list := s.waiting(now)
-	c.rooms(list)
+	c.maxStarts = starts
+	list := s.waitingSteps(now)
+	c.computeCapacity(list)
 	for _, w := range list {
-		if c.full() {
+		if c.startLimitReached() {
 			p.StartLimitReached = true
 			break
 		}
 		c.placeStep(w.step)
 	}
-	if !c.full() {
-		c.copySlow()
+	if !c.startLimitReached() {
+		c.copySlowRuns()
 	}
 	p.Starts = c.starts
 	p.Stops, s.stops = s.stops, nil
 	return p
 }
 
-// waiting returns the steps with tasks that may start, best first.
-func (s *State) waiting(now time.Time) []*waiting {
-	var list []*waiting
+// waitingSteps returns the steps with tasks that may start, in queue order.
+func (s *State) waitingSteps(now time.Time) []*waitingStep {
+	var list []*waitingStep
 	for _, j := range s.open {
-		if !j.rowStored || s.gathering(now, j) {
+		if !j.rowStored || s.waitsForArrivals(now, j) {
 			continue
 		}
 		for _, o := range j.occurrences {
-			if o.undone == 0 || o.due.After(now) {
+			if o.unfinishedSteps == 0 || o.due.After(now) {
 				continue
 			}
 			for _, st := range o.steps {
 				if st.ready() {
-					list = append(list, &waiting{entry: s.entryOf(st), step: st})
+					list = append(list, &waitingStep{entry: s.queueEntry(st), step: st})
 				}
 			}
 		}
@@ -69,22 +69,21 @@
 	if s.cfg.Disabled.Has(mechanism.Timeliness) {
 		compare = queue.CompareArrival
 	}
-	slices.SortFunc(list, func(a, b *waiting) int { return compare(&a.entry, &b.entry, now) })
+	slices.SortFunc(list, func(a, b *waitingStep) int { return compare(&a.entry, &b.entry, now) })
 	return list
 }
 
-// entryOf describes a step to the queue.
-func (s *State) entryOf(st *step) queue.Entry {
+func (s *State) queueEntry(st *step) queue.Entry {
 	j, o := st.job, st.occurrence
-	rest := j.path[st.index]
+	remaining := j.criticalPaths[st.index]
 	return queue.Entry{
 		Priority:    j.queue.Priority,
-		Restart:     st.spec.LongRunning && st.began(),
-		LongRunning: st.spec.LongRunning && !st.began() && !s.cfg.Disabled.Has(mechanism.SpreadFirst), MaxPerWorker: st.spec.MaxPerWorker,
-		LatestStart:       j.objective(o).Add(-rest),
-		LatestUsefulStart: j.lateLimit(o).Add(-rest),
+		Restart:     st.spec.LongRunning && st.waitsForRestart(),
+		LongRunning: st.spec.LongRunning && !st.waitsForRestart() && !s.cfg.Disabled.Has(mechanism.SpreadFirst), MaxPerWorker: st.spec.MaxPerWorker,
+		LatestStart:       j.objective(o).Add(-remaining),
+		LatestUsefulStart: j.expiry(o).Add(-remaining),
 		Arrived:           o.due,
-		RemainingWork:     int64(st.undone) * st.spec.Needs.MilliCPU * st.spec.Estimate.Milliseconds() / 1000,
+		RemainingWork:     int64(st.unfinishedTasks) * st.spec.Needs.MilliCPU * st.spec.Estimate.Milliseconds() / 1000,
 		ID:                j.spec.ID,
 	}
 }
@@ -94,49 +93,49 @@
 	s       *State
 	now     time.Time
 	workers []*worker
-	// kept marks workers, by slot, whose room is kept for a step that is before
-	// others in the queue and fits nowhere yet; keeps counts them.
-	kept   []bool
-	keeps  int
-	starts []StartOrder
-	// most bounds the starts.
-	most   int
-	pools  map[string]*room
-	wanted *wanted
-	// tries counts the steps that others were asked to give way to.
-	tries int
-	// spare is the storage of the last step's shortlist.
-	spare ranked
-	// noRoom holds, by kind, the needs that fit nowhere in this cycle.
-	noRoom map[kindKey][]infra.Resources
+	// reserved marks the workers, by index, whose capacity is reserved for a
+	// step that fits nowhere yet; reservedCount counts them.
+	reserved      []bool
+	reservedCount int
+	starts        []StartOrder
+	// maxStarts bounds starts.
+	maxStarts int
+	pools     map[string]*poolCapacity
+	demand    *bestEffortDemand
+	// preemptAttempts counts the steps for which victims were sought.
+	preemptAttempts int
+	// shortlistBuffer is the storage of the last shortlist, for reuse.
+	shortlistBuffer workerHeap
+	// noFit holds, by kind of step, the needs that fit nowhere in this cycle.
+	noFit map[stepKind][]infra.Resources
 }
 
-// newCycle collects the workers that may take tasks, in the order of IDs.
+// newCycle collects the usable workers, in order of their IDs.
 func newCycle(s *State, now time.Time) *cycle {
 	c := &cycle{
-		s: s, now: now, noRoom: map[kindKey][]infra.Resources{}, wanted: s.wantedNow(now),
-		workers: make([]*worker, 0, len(s.workers)), most: math.MaxInt,
+		s: s, now: now, noFit: map[stepKind][]infra.Resources{}, demand: s.currentDemand(now),
+		workers: make([]*worker, 0, len(s.workers)), maxStarts: math.MaxInt,
 	}
 	for _, w := range s.byID() {
-		if w.usable(now) && w.rostered && !w.clockAt.IsZero() {
+		if w.usable(now) && w.inRoster && !w.clockAt.IsZero() {
 			c.workers = append(c.workers, w)
 		}
 	}
-	c.kept = make([]bool, len(c.workers))
+	c.reserved = make([]bool, len(c.workers))
 	for i, w := range c.workers {
-		w.slot = i
+		w.index = i
 	}
 	return c
 }
 
-// full reports whether as many starts are ordered as may be.
-func (c *cycle) full() bool { return len(c.starts) >= c.most }
+// startLimitReached reports whether the cycle has given all starts it may.
+func (c *cycle) startLimitReached() bool { return len(c.starts) >= c.maxStarts }
 
-// keep keeps a worker's room from steps later in the queue.
-func (c *cycle) keep(w *worker) {
-	if !c.kept[w.slot] {
-		c.kept[w.slot] = true
-		c.keeps++
+// reserveWorker withholds a worker's capacity from steps later in the queue.
+func (c *cycle) reserveWorker(w *worker) {
+	if !c.reserved[w.index] {
+		c.reserved[w.index] = true
+		c.reservedCount++
 	}
 }
 
@@ -146,21 +145,21 @@
 		c.placeGang(st)
 		return
 	}
-	var list *shortlist // made when the first task needs it
+	var list *shortlist // built when the first task needs it
 	for i := range st.tasks {
 		t := &st.tasks[i]
 		if t.done || len(t.runs) > 0 {
 			continue
 		}
-		if !c.settled(t) || !c.mayBegin(t) {
+		if !c.safeToStart(t) || !c.headroomAllows(t) {
 			continue
 		}
-		if c.full() {
+		if c.startLimitReached() {
 			return
 		}
 		var w *worker
 		if len(t.failedOn) > 0 {
-			w, list = c.choose(t, nil), nil // it avoids workers that others don't
+			w, list = c.choose(t, nil), nil // unlike the others, it avoids the workers where it failed
 		} else {
 			if list == nil {
 				list = c.shortlist(st)
@@ -168,83 +167,83 @@
 			w = list.best()
 		}
 		if w == nil {
-			c.makeRoom(st)
-			c.keepRoom(st)
+			c.freeUpCapacity(st)
+			c.reserveCapacity(st)
 			return // its other tasks need as much
 		}
 		st.blockedSince = time.Time{}
 		c.s.nextRun++
 		c.start(t, w, c.s.nextRun)
 		if list != nil {
-			list.placed()
+			list.updateBest()
 		}
 	}
 }
 
-// settled reports whether no other run of a task can be alive. What the store
-// says of its runs must be out of date nowhere: a later owner goes by it. And
-// while workers haven't reported to this owner, a task that it inherited may
-// be alive on one of them, unless the store names others.
-func (c *cycle) settled(t *task) bool {
+// safeToStart reports whether no other run of a task can be alive. Run
+// locations in the store that no longer hold must be overwritten first, since a
+// later owner relies on them. An inherited task waits for the workers that the
+// store names or, if it names none, for all workers that haven't reported.
+func (c *cycle) safeToStart(t *task) bool {
 	j := t.step.job
-	if j.inherited && !t.known {
-		if len(c.s.awaited) > 0 && len(t.marks) == 0 {
+	if j.inherited && !t.inheritanceResolved {
+		if len(c.s.awaitingReport) > 0 && len(t.locations) == 0 {
 			return false
 		}
-		for _, w := range c.s.awaited {
-			if slices.Contains(t.marks, w.mark) {
+		for _, w := range c.s.awaitingReport {
+			if slices.Contains(t.locations, w.hash) {
 				return false
 			}
 		}
-		t.known = true
+		t.inheritanceResolved = true
 	}
-	if len(t.marks) > 0 {
-		c.s.touch(j)
+	if len(t.locations) > 0 {
+		c.s.markDirty(j)
 		j.urgent = true
 		return false
 	}
 	return true
 }
 
-// start reserves the room and gives the order.
+// start reserves the capacity and orders the start.
 func (c *cycle) start(t *task, w *worker, number uint64) {
 	r := &run{
 		task: t, number: number, token: w.token, worker: w, phase: ordered,
-		since: c.now, reserved: t.step.spec.Reserved(), pace: fullPace,
+		startedAt: c.now, reserved: t.step.spec.Reserved(), cpuLimit: fullCPU,
 	}
-	known := w.evidence(c.now)
-	w.add(r)
+	snapshot := w.snapshot(c.now)
+	w.addRun(r)
 	if p := c.pools[w.info.Pool]; p != nil {
 		p.free -= r.reserved.MilliCPU
 	}
 	t.attach(r)
-	t.step.job.ledger.Starts++
-	c.s.touch(t.step.job)
+	t.step.job.breakdown.Starts++
+	c.s.markDirty(t.step.job)
 	permit, _ := t.step.ticketFor(c.now, w)
 	c.starts = append(c.starts, StartOrder{
-		Worker: w.info, Snapshot: known,
+		Worker: w.info, Snapshot: snapshot,
 		Start: runner.Start{
 			Task: t.id(), Run: number, Payload: t.step.job.spec.Payload,
-			LeaseUntil: c.s.leaseFor(c.now, w), Token: w.token, Checkpoint: t.saved, Permit: permit,
+			LeaseUntil: c.s.leaseFor(c.now, w), Token: w.token, Checkpoint: t.checkpoint, Permit: permit,
 		},
 	})
 }
 
-// keptShare bounds the workers whose room is kept for steps that wait: one in
-// keptShare, so that a job that fits nowhere can't idle the pool.
-const keptShare = 8
+// reservedOneIn bounds the reserved workers: one in reservedOneIn of the usable
+// ones, so that steps that fit nowhere can't idle the pool.
+const reservedOneIn = 8
 
-// keepRoom keeps the worker that will soonest have room for a step from those
-// behind it in the queue: without this, small tasks take each gap before a
-// large one fits. Room that long-running tasks hold never comes.
-func (c *cycle) keepRoom(st *step) {
-	if c.s.cfg.Disabled.Has(mechanism.ReservedCapacity) || st.spec.BestEffort || c.keeps >= max(1, len(c.workers)/keptShare) {
+// reserveCapacity reserves the worker with the most free processors for a step
+// that fits nowhere, so that smaller tasks behind it don't take each gap. A
+// worker qualifies if the step fits once all runs that end by themselves have.
+func (c *cycle) reserveCapacity(st *step) {
+	if c.s.cfg.Disabled.Has(mechanism.ReservedCapacity) || st.spec.BestEffort || c.reservedCount >= max(1, len(c.workers)/reservedOneIn) {
 		return
 	}
 	var best *worker
 	needs := st.spec.Reserved()
 	for _, w := range c.workers {
-		if c.kept[w.slot] || !c.allowed(st, w) || c.crowded(st, w) || !needs.Fits(c.view(w).inTime) {
+		if c.reserved[w.index] || !c.allowed(st, w) || c.atPerWorkerLimit(st, w) || !needs.Fits(c.load(w).eventuallyFree) {
 			continue
 		}
 		if best == nil || w.free.MilliCPU > best.free.MilliCPU {
@@ -252,6 +251,6 @@
 		}
 	}
 	if best != nil {
-		c.keep(best)
+		c.reserveWorker(best)
 	}
 }
--- /dev/null
+++ b/dispatch/preempt.go
@@ -0,0 +1,89 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+
+	"github.com/fireflygate/fireflygate/mechanism"
+	"github.com/fireflygate/fireflygate/preempt"
+)
+
+const (
+	// preemptAfter is how long a step waits for capacity to free up by itself
+	// before it preempts other runs.
+	preemptAfter = 150 * time.Millisecond
+	// preemptWait is how long a step waits for the capacity of its victims
+	// before it preempts again.
+	preemptWait = time.Second
+	// preemptRetryInterval is the minimum time between two attempts for a step,
+	// and preemptAttemptsPerCycle bounds the attempts of a cycle, each of which
+	// visits every run of the pool.
+	preemptRetryInterval    = 100 * time.Millisecond
+	preemptAttemptsPerCycle = 2
+)
+
+// freeUpCapacity preempts runs of lower-priority queues for one task of a step
+// that fits nowhere.
+func (c *cycle) freeUpCapacity(st *step) {
+	if st.blockedSince.IsZero() {
+		st.blockedSince = c.now
+	}
+	if c.s.cfg.Disabled.Has(mechanism.Preemption) || st.spec.BestEffort || c.preemptAttempts >= preemptAttemptsPerCycle || c.now.Sub(st.blockedSince) < preemptAfter ||
+		c.now.Before(st.nextPreempt) {
+		return
+	}
+	c.preemptAttempts++
+	st.nextPreempt = c.now.Add(preemptRetryInterval)
+	var best []preempt.Victim
+	var at *worker
+	var leastLoss int64
+	for _, w := range c.workers {
+		if c.reserved[w.index] || !c.allowed(st, w) || c.atPerWorkerLimit(st, w) {
+			continue
+		}
+		chosen, loss, ok := preempt.Choose(st.spec.Reserved(), w.free, c.victims(st, w))
+		if ok && len(chosen) > 0 && (at == nil || loss < leastLoss) {
+			best, at, leastLoss = chosen, w, loss
+		}
+	}
+	if at == nil {
+		return
+	}
+	st.nextPreempt = c.now.Add(preemptWait)
+	c.reserveWorker(at)
+	runs := slices.Clone(at.runsByNumber)
+	for _, v := range best {
+		c.s.Stats.Preempted++
+		c.s.orderStop(c.now, runs[v.ID], Preempted)
+	}
+}
+
+// victims returns the runs on a worker that the step may preempt: those of
+// lower-priority queues that are neither long-running nor part of a gang.
+func (c *cycle) victims(st *step, w *worker) []preempt.Victim {
+	var all []preempt.Victim
+	for i, r := range w.runsByNumber {
+		spec := r.task.step.spec
+		if r.phase != running || spec.LongRunning || spec.Gang ||
+			r.task.step.job.queue.Priority <= st.job.queue.Priority {
+			continue
+		}
+		all = append(all, preempt.Victim{ID: i, Reserved: r.reserved, LostWork: r.unsavedWork(c.now)})
+	}
+	return all
+}
+
+// unsavedWork returns the work, in core-milliseconds, that a stop discards:
+// half a checkpoint interval for a task that saves checkpoints, otherwise
+// everything since its start.
+func (r *run) unsavedWork(now time.Time) int64 {
+	spec := r.task.step.spec
+	cores := spec.Needs.MilliCPU
+	if spec.Checkpointing {
+		return cores * saveInterval.Milliseconds() / 2 / 1000
+	}
+	return cores * now.Sub(r.startedAt).Milliseconds() / 1000
+}
+
+// saveInterval is the assumed checkpoint interval, used to compare victims.
+const saveInterval = time.Second
--- a/dispatch/record.go
+++ b/dispatch/record.go
@@ -20,29 +20,29 @@
 // ProgressRow is the durable form of a job's progress.
 type ProgressRow struct {
 	State workload.State `msgpack:"s"`
-	// Done holds, for each step of each occurrence in turn, a bit a task.
+	// Done holds, for each step of each occurrence in turn, one bit per task.
 	Done [][]byte `msgpack:"d,omitempty"`
-	// Failed holds the failed runs of tasks that have any.
+	// Failed holds the failed runs, for tasks that have any.
 	Failed []FailedRuns `msgpack:"f,omitempty"`
-	// Running says on which workers runs may be alive.
+	// Running lists the workers where runs may be alive.
 	Running []RunLocation `msgpack:"r,omitempty"`
 }
 
-// RunLocation says that a run of a task may be alive on a worker. It is written as
-// an array, half as long as a map: most of a row is marks.
+// RunLocation says that a run of a task may be alive on a worker. It is encoded
+// as an array, since locations make up most of a row.
 type RunLocation struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Occurrence int `msgpack:"k"`
 	Step       int `msgpack:"s"`
 	Index      int `msgpack:"i"`
-	// Worker is the worker's mark.
+	// WorkerHash is the hash of the worker's ID.
 	WorkerHash uint32 `msgpack:"w"`
 }
 
-// workerMark shortens a worker's ID to a number for rows; two workers with the
-// same one only make a later owner wait for both.
-func workerMark(id string) uint32 {
+// workerHash shortens a worker's ID for rows. After a collision, a later owner
+// waits for both workers.
+func workerHash(id string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
 	return h.Sum32()
@@ -56,7 +56,7 @@
 	Runs       []uint64 `msgpack:"r"`
 }
 
-// RosterRow names the workers where runs may be alive.
+// RosterRow lists workers where runs may be alive.
 type RosterRow struct {
 	Workers []runner.Worker `msgpack:"w"`
 }
@@ -75,7 +75,7 @@
 	j.eachTask(func(t *task) {
 		for _, r := range t.runs {
 			id := t.id()
-			row.Running = append(row.Running, RunLocation{Occurrence: id.Occurrence, Step: id.Step, Index: id.Index, WorkerHash: r.worker.mark})
+			row.Running = append(row.Running, RunLocation{Occurrence: id.Occurrence, Step: id.Step, Index: id.Index, WorkerHash: r.worker.hash})
 		}
 		if len(t.failed) > 0 && !t.done {
 			id := t.id()
@@ -85,9 +85,9 @@
 	return row
 }
 
-// doneBits returns a bit for each task that is done, nil if none is.
+// doneBits returns one bit per task, set if it is done, or nil if none is.
 func (s *step) doneBits() []byte {
-	if s.undone == len(s.tasks) {
+	if s.unfinishedTasks == len(s.tasks) {
 		return nil
 	}
 	bits := make([]byte, (len(s.tasks)+7)/8)
@@ -99,7 +99,7 @@
 	return bits
 }
 
-// restore takes in durable progress.
+// restore applies durable progress.
 func (j *job) restore(now time.Time, row ProgressRow) {
 	i := 0
 	for _, o := range j.occurrences {
@@ -116,32 +116,32 @@
 			t.failed = f.Runs
 		}
 	}
-	for _, m := range row.Running {
-		id := workload.TaskID{Occurrence: m.Occurrence, Step: m.Step, Index: m.Index}
+	for _, l := range row.Running {
+		id := workload.TaskID{Occurrence: l.Occurrence, Step: l.Step, Index: l.Index}
 		if t := j.task(id); t != nil {
-			t.marks = append(t.marks, m.WorkerHash)
+			t.locations = append(t.locations, l.WorkerHash)
 		}
 	}
 	j.state, j.durable = row.State, row.State
 	if row.State.Final() {
-		j.overAt = now
+		j.finishedAt = now
 	}
 	if row.State == workload.InProgress {
-		j.eachTask(func(t *task) { t.began = true })
+		j.eachTask(func(t *task) { t.started = true })
 	}
 }
 
-// restore marks the tasks whose bit is set.
+// restore marks the tasks whose bit is set as done.
 func (s *step) restore(bits []byte) {
 	for i := range s.tasks {
 		if i/8 < len(bits) && bits[i/8]&(1<<(i%8)) != 0 {
-			s.taskDone(&s.tasks[i])
+			s.markDone(&s.tasks[i])
 		}
 	}
 }
 
-// Restore takes in a job that an earlier owner accepted. The progress is nil
-// if none was written.
+// RestoreJob adds a job accepted by an earlier owner. progress is nil if none
+// was written.
 func (s *State) RestoreJob(now time.Time, wallNow int64, row *JobRow, progress *ProgressRow) {
 	q, ok := s.queues[row.Queue.Name]
 	if !ok {
@@ -158,16 +158,16 @@
 	}
 }
 
-// DecodeJobRow reads a job's row.
+// DecodeJobRow decodes and validates a job's row.
 func DecodeJobRow(value []byte) (*JobRow, error) {
 	var row JobRow
 	if err := msgpack.Unmarshal(value, &row); err != nil {
 		return nil, errors.Wrap(err, "decode job row")
 	}
-	return &row, errors.Wrap(row.Job.Validate(), "job row")
+	return &row, errors.Wrap(row.Job.Validate(), "validate job row")
 }
 
-// DecodeProgressRow reads a job's progress.
+// DecodeProgressRow decodes a job's progress.
 func DecodeProgressRow(value []byte) (*ProgressRow, error) {
 	var row ProgressRow
 	if err := msgpack.Unmarshal(value, &row); err != nil {
--- a/dispatch/renewal.go
+++ b/dispatch/renewal.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// longPoll is how long a worker may hold its answer to a renewal for an
-	// end to come; the most that its protocol allows.
+	// longPoll is how long a worker may hold its answer to a renewal until a
+	// run ends; the maximum that the worker protocol allows.
 	longPoll = 2 * time.Second
-	// idlePoll is the least time between two looks at a worker while ends of
-	// it can't be made durable, so that looks don't turn into a busy loop.
-	idlePoll = 500 * time.Millisecond
+	// unflushedPollInterval is the minimum time between two polls of a worker
+	// whose ends aren't durable, which would otherwise be answered at once.
+	unflushedPollInterval = 500 * time.Millisecond
 )
 
-// RenewalReady reports whether a worker should be looked at now: at once if
-// all its ends are durable, at intervals otherwise.
+// RenewalReady reports whether a worker should be polled now: at once if all
+// its ends are durable, at intervals otherwise.
 func (s *State) RenewalReady(now time.Time, id string) bool {
 	w := s.workers[id]
-	if w == nil || !w.rostered {
+	if w == nil || !w.inRoster {
 		return false
 	}
-	return w.seen == w.acknowledged || now.Sub(w.answersAt) >= idlePoll
+	return w.lastEnd == w.acknowledged || now.Sub(w.polledAt) >= unflushedPollInterval
 }
 
-// Renewal returns the next renewal for a worker. Without extend the lease is
-// left as it is, as it is for a worker that doesn't answer.
+// Renewal returns the next renewal for a worker, false if it isn't known. The
+// lease is extended only if extend is set and the worker isn't suspected.
 func (s *State) Renewal(now time.Time, id string, extend bool) (runner.Worker, runner.Renewal, bool) {
 	w := s.workers[id]
 	if w == nil {
 		return runner.Worker{}, runner.Renewal{}, false
 	}
 	o := runner.Renewal{Token: w.token, Acknowledged: w.acknowledged}
-	if extend && !w.silent {
-		// A worker that doesn't answer is only looked at: each lease sent
-		// would put off the moment when its runs are known to be over.
+	if extend && !w.suspected {
+		// A suspected worker gets no lease: each one sent would delay the time
+		// at which its runs are known to have ended.
 		o.LeaseUntil = s.leaseFor(now, w)
 	}
-	if w.reported && w.unheardSince.IsZero() && w.token == w.tokenSeen && w.seen == w.acknowledged {
+	if w.reported && w.unresponsiveSince.IsZero() && w.token == w.tokenSeen && w.lastEnd == w.acknowledged {
 		o.WaitMS = longPoll.Milliseconds()
 		if load, _ := w.colocation(now); load.NeedsFrequentPolls() {
 			o.WaitMS = tailWindow.Milliseconds()
@@ -47,40 +47,40 @@
 	return w.info, o, true
 }
 
-// leaseFor returns the end of lease that an order given now may carry, and
-// keeps it; 0 while the worker's clock isn't known.
+// leaseFor returns the end of the lease for an order given now, on the worker's
+// clock, and records it; 0 if the worker's clock isn't known.
 func (s *State) leaseFor(now time.Time, w *worker) int64 {
 	if w.clockAt.IsZero() {
 		return 0
 	}
-	until := w.clockNow(now) + s.cfg.Lease.Milliseconds()
+	until := w.clockLowerBound(now) + s.cfg.Lease.Milliseconds()
 	w.leaseUntil = max(w.leaseUntil, until)
 	return until
 }
 
-// Peek returns the workers that should be looked at although a look is waiting
-// there: a filler is new beside serving tasks, or a tail is long, and the last
-// figures are older than what they cover.
+// EarlyPolls returns the workers to poll although a long poll is pending there:
+// a best-effort task is new next to serving tasks or a tail is long, and the
+// last report is older than its window.
 func (s *State) EarlyPolls(now time.Time) []string {
 	var ids []string
 	for id, w := range s.workers {
-		if w.silent || !w.reported || now.Sub(w.answersAt) < peekAfter || now.Sub(w.peekedAt) < peekAfter ||
-			now.Sub(w.watchedAt) < watchEvery {
+		if w.suspected || !w.reported || now.Sub(w.polledAt) < earlyPollAge || now.Sub(w.earlyPolledAt) < earlyPollAge ||
+			now.Sub(w.earlyPollCheckedAt) < earlyPollCheckInterval {
 			continue
 		}
-		w.watchedAt = now
+		w.earlyPollCheckedAt = now
 		if load, _ := w.colocation(now); load.NeedsFrequentPolls() {
-			w.peekedAt = now
+			w.earlyPolledAt = now
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// peekAfter is the age of figures from which a worker with a long tail is
-// looked at: the half second that they cover, and the way of a report.
-const peekAfter = 600 * time.Millisecond
+// earlyPollAge is the age of the last report from which a worker may need an
+// early poll: the report's window and a round trip.
+const earlyPollAge = 600 * time.Millisecond
 
-// watchEvery is the time between two checks of whether a worker needs that: on
-// 490 workers, checking all of them each cycle took a sixth of the owner's loop.
-const watchEvery = 100 * time.Millisecond
+// earlyPollCheckInterval is the time between two checks whether a worker needs
+// an early poll, since checking every worker in each cycle is costly.
+const earlyPollCheckInterval = 100 * time.Millisecond
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -8,44 +8,43 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// Report takes in a worker's answer to a renewal. It returns the ends that are
-// new: a worker lists each until it is durable, which takes as long as the
-// store is away.
+// HandleReport applies a worker's answer to a renewal and returns the ends that
+// are new. A worker lists each end until it is acknowledged.
 func (s *State) HandleReport(now time.Time, id string, sent runner.Renewal, a runner.Answer, rep runner.Report) []runner.RunEnd {
 	w := s.workers[id]
 	if w == nil {
 		return nil
 	}
-	w.tick(now, a.ClockMS)
+	w.setClock(now, a.ClockMS)
 	switch a.Status {
 	case runner.Done:
 	case runner.Restarted:
 		s.HandleRestart(now, id)
 		return nil
 	default:
-		s.unheard(now, w)
-		w.answersAt = now
+		s.markUnresponsive(now, w)
+		w.polledAt = now
 		return nil
 	}
-	w.heard()
-	w.answersAt = now
-	s.changed(w)
+	w.markResponsive()
+	w.polledAt = now
+	s.markChanged(w)
 	w.tokenSeen = max(w.tokenSeen, sent.Token)
-	ends := s.takeEnds(now, w, rep.Ends)
-	s.takeActive(now, w, rep.Active)
-	s.learnTails(now, w)
+	ends := s.recordEnds(now, w, rep.Ends)
+	s.recordActive(now, w, rep.Active)
+	s.learnFromTails(now, w)
 	if len(rep.Ends) < runner.MaxEnds {
-		s.settleUncertain(w, sent.Token, rep.Active)
-		s.firstReport(w)
+		s.resolveUncertain(w, sent.Token, rep.Active)
+		s.markReported(w)
 	}
-	s.askAgain(w)
+	s.raiseTokenIfUncertain(w)
 	return ends
 }
 
-// askAgain raises the token once more if a start that carried the newest one
-// got no answer.
-func (s *State) askAgain(w *worker) {
-	for _, r := range w.inOrder {
+// raiseTokenIfUncertain raises the token once more if a start under the newest
+// one got no answer.
+func (s *State) raiseTokenIfUncertain(w *worker) {
+	for _, r := range w.runsByNumber {
 		if r.phase == uncertain && r.token == w.token {
 			s.raiseToken(w)
 			return
@@ -53,40 +52,40 @@
 	}
 }
 
-// firstReport notes that the worker has said what is alive there. An earlier
-// owner's orders do nothing from now on, and none of them gave a lease that
-// goes further than one given at this moment.
-func (s *State) firstReport(w *worker) {
+// markReported records the first report to this owner. Orders of an earlier
+// owner have no effect from now on, and none gave a lease longer than one given
+// now.
+func (s *State) markReported(w *worker) {
 	if w.reported {
 		return
 	}
 	w.reported = true
 	w.leaseUntil = max(w.leaseUntil, w.clock+s.cfg.Lease.Milliseconds())
-	delete(s.awaited, w.info.ID)
+	delete(s.awaitingReport, w.info.ID)
 }
 
-// takeEnds takes in the ends that weren't seen before, and returns them.
-func (s *State) takeEnds(now time.Time, w *worker, ends []runner.RunEnd) []runner.RunEnd {
-	var fresh []runner.RunEnd
+// recordEnds applies and returns the ends that are new.
+func (s *State) recordEnds(now time.Time, w *worker, ends []runner.RunEnd) []runner.RunEnd {
+	var newEnds []runner.RunEnd
 	for _, e := range ends {
-		if e.Number <= w.seen {
+		if e.Number <= w.lastEnd {
 			continue
 		}
-		w.seen = e.Number
-		s.takeEnd(now, w, e)
-		fresh = append(fresh, e)
+		w.lastEnd = e.Number
+		s.recordEnd(now, w, e)
+		newEnds = append(newEnds, e)
 	}
-	return fresh
+	return newEnds
 }
 
-// takeEnd takes in one end. Ends of runs that an earlier owner started count
-// as those of our own.
-func (s *State) takeEnd(now time.Time, w *worker, e runner.RunEnd) {
+// recordEnd applies one end. Ends of runs started by an earlier owner count
+// too.
+func (s *State) recordEnd(now time.Time, w *worker, e runner.RunEnd) {
 	if r := w.runs[e.Task]; r != nil && r.number == e.Run {
 		if r.task.step.spec.BestEffort {
-			w.noteLeaving(now, r)
+			w.rememberEnded(now, r)
 		}
-		s.release(r)
+		s.releaseRun(r)
 	}
 	j := s.jobs[e.Task.Job]
 	if j == nil {
@@ -96,21 +95,21 @@
 	if t == nil {
 		return
 	}
-	t.endedRun = max(t.endedRun, e.Run)
+	t.lastEndedRun = max(t.lastEndedRun, e.Run)
 	if t.done || j.state.Final() {
 		return
 	}
-	s.begin(j)
+	s.markStarted(j)
 	if e.Checkpoint != "" {
-		t.saved = e.Checkpoint
+		t.checkpoint = e.Checkpoint
 	}
 	switch e.Kind {
 	case runner.EndDone:
-		w.health.done()
+		w.health.recordSuccess()
 		s.Stats.Done++
 		s.taskDone(now, t)
 	case runner.EndFailed:
-		w.health.failed(now)
+		w.health.recordFailure(now)
 		s.Stats.FailedRuns++
 		s.taskFailed(now, w, t, e.Run)
 	case runner.EndStopped:
@@ -121,39 +120,39 @@
 	}
 }
 
-// taskDone takes in that a run of the task finished its work.
+// taskDone records that a run of the task finished its work.
 func (s *State) taskDone(now time.Time, t *task) {
 	st := t.step
 	if st.spec.LongRunning {
 		return // restarted however it ends
 	}
-	s.touch(st.job)
+	s.markDirty(st.job)
 	if st.spec.Gang {
 		for i := range st.tasks {
-			s.settleTask(now, &st.tasks[i])
+			s.completeTask(now, &st.tasks[i])
 		}
 	} else {
-		s.settleTask(now, t)
+		s.completeTask(now, t)
 	}
-	if st.job.unfinished == 0 {
+	if st.job.unfinishedOccurrences == 0 {
 		s.finish(now, st.job, workload.Complete)
 		s.Stats.Completed++
 	}
 }
 
-// settleTask marks a task done and stops copies of it.
-func (s *State) settleTask(now time.Time, t *task) {
-	t.step.taskDone(t)
+// completeTask marks a task done and stops its other runs.
+func (s *State) completeTask(now time.Time, t *task) {
+	t.step.markDone(t)
 	if t.step.spec.Gang {
 		return // the rest of the gang ends by itself
 	}
 	for _, r := range t.runs {
-		s.stop(now, r, TaskDone)
+		s.orderStop(now, r, TaskDone)
 	}
 }
 
-// taskFailed counts a failed run; a job whose task has used up its attempts
-// has failed. A gang counts as one task.
+// taskFailed counts a failed run and fails the job once the task has used up
+// its attempts. A gang counts as one task.
 func (s *State) taskFailed(now time.Time, w *worker, t *task, number uint64) {
 	t.failedOn = append(t.failedOn, w.info.ID)
 	if t.step.spec.LongRunning {
@@ -170,15 +169,15 @@
 	}
 	counted.failed = append(counted.failed, number)
 	j := t.step.job
-	s.touch(j)
+	s.markDirty(j)
 	if len(counted.failed) >= j.queue.MaxAttempts {
 		s.finish(now, j, workload.Failed)
 		s.Stats.Failed++
 	}
 }
 
-// takeActive takes in what is at work.
-func (s *State) takeActive(now time.Time, w *worker, active []runner.ActiveRun) {
+// recordActive applies the runs that a worker reports as alive.
+func (s *State) recordActive(now time.Time, w *worker, active []runner.ActiveRun) {
 	for i := range active {
 		a := &active[i]
 		r := w.runs[a.Task]
@@ -188,66 +187,65 @@
 		if r == nil {
 			continue
 		}
-		r.confirm()
+		r.markConfirmed()
 		r.percent, r.usage = a.Percent, a.Usage
 		if a.Checkpoint != "" {
-			r.saved = a.Checkpoint
-			r.task.saved = a.Checkpoint
+			r.checkpoint = a.Checkpoint
+			r.task.checkpoint = a.Checkpoint
 		}
 		switch {
 		case r.task.step.job.state.Final():
-			s.stop(now, r, JobEnded)
+			s.orderStop(now, r, JobEnded)
 		case r.task.done:
-			s.stop(now, r, TaskDone)
+			s.orderStop(now, r, TaskDone)
 		case r.phase == stopping:
-			// Its stop got lost or was refused. Left alone it would go on: a
-			// filler beside those it disturbs, a duplicate beside its twin, a
-			// long-running task on a worker that leaves.
-			s.stop(now, r, r.stopCause)
+			// The stop was lost or refused; without another one the run would
+			// go on.
+			s.orderStop(now, r, r.stopCause)
 		}
 	}
 }
 
-// adopt takes over a run that this owner didn't start. A run that shouldn't
-// be there is stopped; nil if nothing is known of its task.
+// adopt adds a run that this owner didn't start, and stops it if it is a
+// duplicate. A run of an unknown task is stopped and nil returned.
 func (s *State) adopt(now time.Time, w *worker, a *runner.ActiveRun) *run {
 	j := s.jobs[a.Task.Job]
 	var t *task
 	if j != nil {
 		t = j.task(a.Task)
 	}
-	if t != nil && a.Run <= t.endedRun {
-		return nil // a report that was overtaken by that of its end
+	if t != nil && a.Run <= t.lastEndedRun {
+		return nil // this report was sent before that of its end
 	}
 	if t == nil {
 		s.stops = append(s.stops, StopOrder{
 			Worker: w.info, Stop: runner.Stop{Task: a.Task, Run: a.Run, Token: w.token},
-			Cause: UnknownTask, Snapshot: w.evidence(now),
+			Cause: UnknownTask, Snapshot: w.snapshot(now),
 		})
 		return nil
 	}
 	if old := w.runs[a.Task]; old != nil {
-		s.release(old) // a worker has one run of a task at a time
+		s.releaseRun(old) // a worker has one run of a task at a time
 	}
-	s.begin(j)
+	s.markStarted(j)
 	r := &run{
 		task: t, number: a.Run, token: w.token, worker: w, phase: running,
-		confirmed: true, since: now, reserved: t.step.spec.Reserved(), pace: fullPace,
-		paceOpen: t.step.spec.BestEffort, // an earlier owner may have slowed it
+		confirmed: true, startedAt: now, reserved: t.step.spec.Reserved(), cpuLimit: fullCPU,
+		cpuLimitUnconfirmed: t.step.spec.BestEffort, // an earlier owner may have limited it
 	}
-	w.add(r)
+	w.addRun(r)
 	t.attach(r)
 	if len(t.runs) > 1 && !t.step.spec.Speculative {
-		s.stop(now, r, Duplicate)
+		s.orderStop(now, r, Duplicate)
 	}
 	return r
 }
 
-// settleUncertain resolves starts that got no answer: a worker that has
-// answered under a higher token never carries them out, so those that it
-// doesn't report never ran.
-func (s *State) settleUncertain(w *worker, token uint64, active []runner.ActiveRun) {
-	for _, r := range slices.Clone(w.inOrder) {
+// resolveUncertain releases starts without an answer that the worker doesn't
+// report. It has answered under a higher token, so they can't be carried out
+// any more.
+func (s *State) resolveUncertain(w *worker, token uint64, active []runner.ActiveRun) {
+	for _, r := range slices.Clone(w.runsByNumber) {
 		if r.phase != uncertain || r.token >= token {
 			continue
 		}
@@ -256,7 +254,7 @@
 			reported = reported || (active[i].Task == id && active[i].Run == r.number)
 		}
 		if !reported {
-			s.release(r)
+			s.releaseRun(r)
 		}
 	}
 }
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -2,34 +2,32 @@
 
 import "time"
 
-// retryAll is how often a step that fits nowhere is weighed against all
-// workers. In between only those are considered where something has changed
-// since: a report, an end, a stop. It bounds how late the rest is noticed, such
-// as a task's own load that has fallen. With 3,000 tasks of fillers waiting on
-// 490 workers a cycle takes a sixth of the time (BenchmarkPlanFillers).
-const retryAll = 150 * time.Millisecond
+// fullRetryInterval is how often a step that fits nowhere is compared with all
+// workers. In between, only workers that have changed since are considered. It
+// bounds how late other causes are noticed, such as a lower load of a run.
+const fullRetryInterval = 150 * time.Millisecond
 
-// changed notes that something at the worker may let a task fit there.
-func (s *State) changed(w *worker) {
-	s.changes++
-	w.changed, w.view = s.changes, nil
+// markChanged records a change at the worker that may let a task fit there.
+func (s *State) markChanged(w *worker) {
+	s.changeCount++
+	w.lastChange, w.load = s.changeCount, nil
 }
 
-// triedSince returns the count of changes since which workers must have changed
+// triedSince returns the change count from which on workers must have changed
 // to be considered for a step, 0 for all workers.
 func (c *cycle) triedSince(st *step) uint64 {
-	if c.now.Sub(st.allTriedAt) >= retryAll {
+	if c.now.Sub(st.allTriedAt) >= fullRetryInterval {
 		return 0
 	}
-	return st.tried
+	return st.triedAtChange
 }
 
-// noteTried notes that a task of the step fits on none of the workers that have
-// changed since.
-func (c *cycle) noteTried(st *step, since uint64) {
+// recordTried records that a task of the step fits on none of the workers that
+// have changed since.
+func (c *cycle) recordTried(st *step, since uint64) {
 	if since == 0 {
 		st.allTriedAt = c.now
 	}
-	st.tried = c.s.changes + 1
-	c.noteNoFit(st)
+	st.triedAtChange = c.s.changeCount + 1
+	c.recordNoFit(st)
 }
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -7,9 +7,9 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// TestWaitingTaskStartsWhereRoomCame has a task that fitted nowhere start in
-// the cycle after an end, and not be weighed against workers meanwhile.
-func TestWaitingTaskStartsWhereRoomCame(t *testing.T) {
+// TestWaitingTaskStartsOnFreedCapacity checks that a task that fitted nowhere
+// starts in the cycle after a run ends.
+func TestWaitingTaskStartsOnFreedCapacity(t *testing.T) {
 	r := newRig(t, 2)
 	r.submit(queueShort, "full", step(2, 16))
 	full := r.plan()
@@ -17,22 +17,21 @@
 		t.Fatalf("%d starts, want both workers filled", len(full))
 	}
 	r.submit(queueShort, "waits", step(1, 16))
-	r.pass(10 * time.Millisecond)
+	r.advance(10 * time.Millisecond)
 	if got := r.plan(); len(got) != 0 {
 		t.Fatalf("started %v on full workers", got)
 	}
-	r.pass(10 * time.Millisecond)
+	r.advance(10 * time.Millisecond)
 	r.report(full[1].Worker.ID, nil, []runner.RunEnd{end(1, full[1], runner.EndDone)})
 	got := r.plan()
 	if len(got) != 1 || got[0].Worker.ID != full[1].Worker.ID {
-		t.Errorf("starts %v, want one where the room came", got)
+		t.Errorf("started %v, want one on the freed worker", got)
 	}
 }
 
-// TestWaitingTaskFindsRoomThatNobodyReported starts a task where room came by
-// time alone: a worker that had refused a start for want of room takes it once
-// its pause is over.
-func TestWaitingTaskFindsRoomThatNobodyReported(t *testing.T) {
+// TestWaitingTaskStartsAfterRefusalPause checks that a worker that refused a
+// start for lack of capacity gets the task after its pause, without a report.
+func TestWaitingTaskStartsAfterRefusalPause(t *testing.T) {
 	r := newRig(t, 1)
 	r.submit(queueShort, "refused", step(1, 4))
 	p := r.state.Plan(r.now)
@@ -44,7 +43,7 @@
 		if len(r.plan()) > 0 {
 			return
 		}
-		r.pass(testTick)
+		r.advance(testTick)
 	}
 	t.Error("not started within a second of the refusal")
 }
--- a/dispatch/rig_test.go
+++ b/dispatch/rig_test.go
@@ -15,25 +15,24 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// rig drives a State by hand: time, workers' answers and commits.
+// rig drives a State with simulated time, worker answers and commits.
 type rig struct {
 	t     *testing.T
 	now   time.Time
 	state *dispatch.State
 	epoch uint64
-	// rows is what has been committed.
+	// rows holds the committed rows.
 	rows map[string][]byte
-	// clock is the workers' own clock at the start of the test.
-	began time.Time
-	// without is what the policy leaves out.
-	without mechanism.Set
-	// jobs are those submitted.
+	// startedAt is the time at which the workers' clocks start.
+	startedAt time.Time
+	// disabled names the policy mechanisms that are switched off.
+	disabled mechanism.Set
+	// jobs holds the submitted jobs.
 	jobs []*workload.Job
-	// ends numbers the ends of workers that report by endSome.
+	// ends is the last number given to an end by endSome.
 	ends uint64
 }
 
-// The sizes that most tests use.
 const (
 	pool     = "pool"
 	testTick = 100 * time.Millisecond
@@ -47,11 +46,11 @@
 	Name: "long", Pool: pool, Priority: 2, MaxAttempts: 2, Stretch: 2, Target: time.Second,
 }
 
-// newRig returns a State with workers that have reported.
+// newRig returns a State whose workers have reported.
 func newRig(t *testing.T, workers int) *rig {
 	r := &rig{t: t, now: time.Unix(1000, 0), rows: map[string][]byte{}}
-	r.began = r.now
-	r.own(1)
+	r.startedAt = r.now
+	r.startOwner(1)
 	r.members(workers)
 	for i := range workers {
 		r.report(worker(i), nil, nil)
@@ -59,19 +58,19 @@
 	return r
 }
 
-// own begins an ownership.
-func (r *rig) own(epoch uint64) {
+// startOwner replaces the State with that of a new owner.
+func (r *rig) startOwner(epoch uint64) {
 	r.epoch = epoch
 	r.state = dispatch.New(dispatch.Config{
 		Epoch: epoch, Lease: 6 * time.Second, InheritedLease: 12 * time.Second, Retention: time.Minute,
-		NoCapacityPause: 250 * time.Millisecond, TailBound: 4 * time.Second, Disabled: r.without,
+		NoCapacityPause: 250 * time.Millisecond, TailBound: 4 * time.Second, Disabled: r.disabled,
 	})
 	r.state.SetQueues([]workload.Queue{queueShort, queueLong})
 }
 
-// takeOver begins the next ownership from what has been committed.
+// takeOver starts the next owner from the committed rows.
 func (r *rig) takeOver(roster ...string) {
-	r.own(r.epoch + 1)
+	r.startOwner(r.epoch + 1)
 	for _, key := range slices.Sorted(maps.Keys(r.rows)) {
 		value := r.rows[key]
 		if !strings.HasPrefix(key, dispatch.JobPrefix) {
@@ -97,7 +96,7 @@
 // worker returns a worker's ID.
 func worker(i int) string { return fmt.Sprintf("w%d", i) }
 
-// workerInfo describes a worker of 16 cores and 64 GB.
+// workerInfo returns a worker of 16 cores and 64 GB.
 func workerInfo(id string) runner.Worker {
 	return runner.Worker{
 		ID: id, Address: "10.0.0.1:80", Pool: pool, Labels: []string{"kind", "rack-" + id},
@@ -105,7 +104,7 @@
 	}
 }
 
-// members lists n workers and makes the roster durable.
+// members lists n workers and commits the roster.
 func (r *rig) members(n int) {
 	var list []runner.Worker
 	for i := range n {
@@ -115,7 +114,7 @@
 	r.flush()
 }
 
-// flush commits everything.
+// flush commits all changes.
 func (r *rig) flush() {
 	r.t.Helper()
 	for r.state.HasUnflushedChanges() {
@@ -127,7 +126,7 @@
 	}
 }
 
-// apply makes a batch durable.
+// apply commits a batch.
 func (r *rig) apply(b *dispatch.Batch) {
 	for _, w := range b.Writes {
 		if w.Delete {
@@ -139,8 +138,8 @@
 	r.state.MarkFlushed(b)
 }
 
-// clock is what all workers' clocks show.
-func (r *rig) clock() int64 { return 1 + r.now.Sub(r.began).Milliseconds() }
+// clock returns the reading of all workers' clocks.
+func (r *rig) clock() int64 { return 1 + r.now.Sub(r.startedAt).Milliseconds() }
 
 // report answers a renewal and returns the ends that were new.
 func (r *rig) report(id string, active []runner.ActiveRun, ends []runner.RunEnd) []runner.RunEnd {
@@ -153,8 +152,8 @@
 		runner.Report{ClockMS: r.clock(), Active: active, Ends: ends})
 }
 
-// silence has a worker not answer a renewal.
-func (r *rig) silence(id string) {
+// noAnswer lets a renewal fail without an answer.
+func (r *rig) noAnswer(id string) {
 	r.t.Helper()
 	_, o, ok := r.state.Renewal(r.now, id, true)
 	if !ok {
@@ -163,7 +162,7 @@
 	r.state.HandleReport(r.now, id, o, runner.Answer{Status: runner.Unknown}, runner.Report{})
 }
 
-// submit has a job accepted.
+// submit accepts and commits a job.
 func (r *rig) submit(q workload.Queue, id string, steps ...workload.Step) {
 	r.t.Helper()
 	job := &workload.Job{ID: id, Queue: q.Name, Steps: steps, Submitted: r.now.UnixMilli()}
@@ -175,16 +174,16 @@
 	r.flush()
 	for i := range steps {
 		if steps[i].LongRunning {
-			r.pass(gatherPause) // as long as it waits for others of its kind
+			r.advance(arrivalQuietPeriod) // until its tasks no longer wait for other jobs
 			return
 		}
 	}
 }
 
-// gatherPause is how long long-running tasks wait for others to come.
-const gatherPause = 100 * time.Millisecond
+// arrivalQuietPeriod is how long long-running tasks wait for other jobs.
+const arrivalQuietPeriod = 100 * time.Millisecond
 
-// step returns a step of n tasks of the given cores for one second.
+// step returns a step of n tasks of the given cores that take one second.
 func step(n int, cores int64, change ...func(*workload.Step)) workload.Step {
 	s := workload.Step{
 		Tasks: n, Needs: infra.Resources{MilliCPU: cores * 1000, MemoryMB: 1000}, Estimate: time.Second,
@@ -199,7 +198,7 @@
 // longRunning marks a step's tasks as long-running.
 func longRunning(s *workload.Step) { s.LongRunning = true }
 
-// plan plans and has every start succeed, and returns the starts.
+// plan plans, answers every start with success and returns the starts.
 func (r *rig) plan() []dispatch.StartOrder {
 	p := r.state.Plan(r.now)
 	for _, o := range p.Starts {
@@ -208,21 +207,20 @@
 	return p.Starts
 }
 
-// end is the end of a started run.
-func end(number uint64, o dispatch.StartOrder, how runner.EndKind) runner.RunEnd {
-	return runner.RunEnd{Number: number, Task: o.Start.Task, Run: o.Start.Run, Kind: how}
+// end returns the end of a started run.
+func end(number uint64, o dispatch.StartOrder, kind runner.EndKind) runner.RunEnd {
+	return runner.RunEnd{Number: number, Task: o.Start.Task, Run: o.Start.Run, Kind: kind}
 }
 
-// active is a started run at work.
+// active returns a report of a started run.
 func active(o dispatch.StartOrder) runner.ActiveRun {
 	return runner.ActiveRun{Task: o.Start.Task, Run: o.Start.Run, Percent: 100}
 }
 
-// pass lets time pass.
-func (r *rig) pass(d time.Duration) { r.now = r.now.Add(d) }
+func (r *rig) advance(d time.Duration) { r.now = r.now.Add(d) }
 
-// mustState checks what callers are told of a job.
-func (r *rig) mustState(id string, want workload.State) {
+// wantState checks the state of a job as callers see it.
+func (r *rig) wantState(id string, want workload.State) {
 	r.t.Helper()
 	got, ok := r.state.JobState(id)
 	if !ok || got != want {
@@ -230,28 +228,28 @@
 	}
 }
 
-// other returns the other one of two workers.
-func other(id string) string {
+// otherWorker returns the other of two workers.
+func otherWorker(id string) string {
 	if id == worker(0) {
 		return worker(1)
 	}
 	return worker(0)
 }
 
-// waitForStart lets time pass while one worker is silent and the other reports
-// nothing at work, until something starts, and returns how long that took. Each
-// time, first is done before.
-func (r *rig) waitForStart(silent string, first func()) time.Duration {
+// waitForStart advances time while one worker is unresponsive and the other
+// reports no runs, until something starts, and returns the time that took. It
+// calls prepare before each step.
+func (r *rig) waitForStart(unresponsive string, prepare func()) time.Duration {
 	r.t.Helper()
 	for waited := time.Duration(0); waited < 30*time.Second; waited += testTick {
-		first()
-		r.silence(silent)
-		r.report(other(silent), nil, nil)
+		prepare()
+		r.noAnswer(unresponsive)
+		r.report(otherWorker(unresponsive), nil, nil)
 		r.flush()
 		if len(r.plan()) > 0 {
 			return waited
 		}
-		r.pass(testTick)
+		r.advance(testTick)
 	}
 	r.t.Fatal("nothing started")
 	return 0
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -8,17 +8,17 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// phase says what is known of a run that may be alive.
+// phase is the state of a run that may be alive.
 type phase uint8
 
 const (
-	// ordered: the start was given and not answered yet.
+	// ordered: the start was sent and isn't answered yet.
 	ordered phase = iota
-	// uncertain: the start got no answer; it may be carried out late.
+	// uncertain: the start got no answer; it may still be carried out.
 	uncertain
-	// running: the worker took it.
+	// running: the worker has accepted the start.
 	running
-	// stopping: its stop was ordered, and may have been lost.
+	// stopping: a stop was ordered, and may have been lost.
 	stopping
 )
 
@@ -26,33 +26,35 @@
 type run struct {
 	task   *task
 	number uint64
-	// token is the fencing token that its start carried.
+	// token is the fencing token of the start order.
 	token  uint64
 	worker *worker
 	phase  phase
-	// confirmed is set once the start is known to have been carried out. Until
-	// then a run that is being stopped may never have been, and has no end.
+	// confirmed is set once the start is known to have been carried out. Before
+	// that, a run being stopped may never have existed and would report no end.
 	confirmed bool
-	// since is when the start was given, or first seen by this owner.
-	since    time.Time
-	reserved infra.Resources
-	percent  int
-	usage    int64
-	saved    string
-	// pace is the share of its processors that it may use, in percent.
-	pace int
-	// pacedAt is when the pace was last ordered, paceOpen is set while that
-	// may not be in force.
-	pacedAt  time.Time
-	paceOpen bool
-	// stopAt is when the last stop was ordered, stopCause why.
-	stopAt    time.Time
-	stopCause StopCause
-	// tailOver is since when it has been over its tail target.
-	tailOver time.Time
+	// startedAt is when the start was ordered or first seen by this owner.
+	startedAt  time.Time
+	reserved   infra.Resources
+	percent    int
+	usage      int64
+	checkpoint string
+	// cpuLimit is the share of its processors that it may use, in percent.
+	cpuLimit int
+	// cpuLimitSetAt is when the CPU limit was last ordered; cpuLimitUnconfirmed
+	// is set while that may not be in force.
+	cpuLimitSetAt       time.Time
+	cpuLimitUnconfirmed bool
+	// stopOrderedAt and stopCause are the time and cause of the last stop
+	// order.
+	stopOrderedAt time.Time
+	stopCause     StopCause
+	// overTargetSince is when its tail went over the target, zero if it isn't.
+	overTargetSince time.Time
 }
 
-// compare orders runs by their numbers; the members of a gang share one.
+// compare orders runs by number; members of a gang, which share one, by job and
+// index.
 func (r *run) compare(other *run) int {
 	return cmp.Or(
 		cmp.Compare(r.number, other.number), strings.Compare(r.task.step.job.spec.ID, other.task.step.job.spec.ID),
@@ -60,8 +62,8 @@
 	)
 }
 
-// confirm takes in that the worker carried the start out.
-func (r *run) confirm() {
+// markConfirmed records that the worker carried the start out.
+func (r *run) markConfirmed() {
 	r.confirmed = true
 	if r.phase == ordered || r.phase == uncertain {
 		r.phase = running
--- a/dispatch/shortlist_test.go
+++ b/dispatch/shortlist_test.go
@@ -11,28 +11,28 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// TestShortlistChoosesAsATaskAlone has the tasks of a step share one look at the
-// pool, through a load of all kinds on workers that fill up: each task must get
-// the worker that it would get by a look of its own.
-func TestShortlistChoosesAsATaskAlone(t *testing.T) {
+// TestShortlistMatchesFullSearch checks that each task gets the same worker
+// from the shortlist, which the tasks of a step share, as from a search of its
+// own.
+func TestShortlistMatchesFullSearch(t *testing.T) {
 	for seed := range uint64(20) {
 		r := newRig(t, 10)
 		random := rand.New(rand.NewPCG(seed, 1))
-		started, kinds := 0, map[bool]int{}
+		started, shortOfCapacity := 0, map[bool]int{}
 		for i := range 30 {
 			n, cores := 1+random.IntN(12), int64(1+random.IntN(6))
 			image := fmt.Sprint("image", random.IntN(4))
 			switch i % 3 {
 			case 0:
-				r.submit(queueShort, fmt.Sprint("lasting", i), step(n, cores, longRunning, func(s *workload.Step) {
+				r.submit(queueShort, fmt.Sprint("service", i), step(n, cores, longRunning, func(s *workload.Step) {
 					s.Image, s.TailTarget, s.MaxPerWorker = image, 50*time.Millisecond, random.IntN(3)
 				}))
 			case 1:
-				r.submit(queueLong, fmt.Sprint("fill", i), step(n, cores, func(s *workload.Step) { s.BestEffort, s.Image = true, image }))
+				r.submit(queueLong, fmt.Sprint("batch", i), step(n, cores, func(s *workload.Step) { s.BestEffort, s.Image = true, image }))
 			default:
 				r.submit(queueShort, fmt.Sprint("short", i), step(n, cores))
 			}
-			r.pass(testTick)
+			r.advance(testTick)
 			starts, differences := r.state.PlanCompared(r.now)
 			for _, d := range differences {
 				t.Errorf("seed %d: %s", seed, d)
@@ -41,16 +41,16 @@
 				r.state.HandleStartAnswer(r.now, o, runner.Answer{Status: runner.Done, ClockMS: r.clock()})
 			}
 			started += len(starts)
-			kinds[len(starts) < n]++
+			shortOfCapacity[len(starts) < n]++
 			r.endSome(random, starts)
 		}
-		if started == 0 || kinds[true] == 0 || kinds[false] == 0 {
-			t.Fatalf("seed %d: %d starts, short of room %v: the load must both fit and not fit", seed, started, kinds)
+		if started == 0 || shortOfCapacity[true] == 0 || shortOfCapacity[false] == 0 {
+			t.Fatalf("seed %d: %d starts, short of capacity %v: the load must both fit and not fit", seed, started, shortOfCapacity)
 		}
 	}
 }
 
-// endSome has some of the runs end that were just started.
+// endSome ends some of the runs that were just started.
 func (r *rig) endSome(random *rand.Rand, starts []dispatch.StartOrder) {
 	r.t.Helper()
 	for _, o := range starts {
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -14,40 +14,43 @@
 	cfg    Config
 	queues map[string]workload.Queue
 	jobs   map[string]*job
-	// open are the jobs that aren't over, in order of acceptance.
+	// open holds the jobs that haven't ended, in order of acceptance.
 	open    []*job
 	workers map[string]*worker
-	// sorted holds the workers in the order of IDs, nil once one has come or gone.
-	sorted []*worker
-	// awaited are workers whose first report decides where runs of inherited
-	// jobs are alive.
-	awaited map[string]*worker
-	nextRun uint64
-	// topToken is the highest fencing token that any worker was given.
+	// sortedWorkers holds the workers in order of their IDs, nil after a
+	// change.
+	sortedWorkers []*worker
+	// awaitingReport holds the inherited workers that may have runs of
+	// inherited jobs and haven't reported yet.
+	awaitingReport map[string]*worker
+	nextRun        uint64
+	// topToken is the highest fencing token given to any worker.
 	topToken uint64
-	// lastingAt is when a job with long-running tasks was last accepted.
-	lastingAt time.Time
-	// changes counts changes of workers, see changed.
-	changes uint64
-	dirty   []*job
-	// rosterChanged holds the parts of the durable roster to write again.
-	rosterChanged map[int]bool
-	stops         []StopOrder
-	// model holds what fillers do to those who serve.
+	// longRunningAcceptedAt is when a job with long-running tasks was last
+	// accepted.
+	longRunningAcceptedAt time.Time
+	// changeCount counts changes of workers, see markChanged.
+	changeCount uint64
+	dirty       []*job
+	// dirtyRosterParts holds the parts of the roster to write again.
+	dirtyRosterParts map[int]bool
+	stops            []StopOrder
+	// model estimates the interference of best-effort tasks with serving tasks.
 	model *colocate.Model
-	// learned is set by what was learned since lessonsAt.
-	learned   bool
-	lessonsAt time.Time
-	// wanted is the fillers' work as counted at wantedAt.
-	wanted   *wanted
-	wantedAt time.Time
-	// headroom remembers what short work needs, by pool.
+	// estimatesChanged is set if the model has changed since
+	// estimatesFlushedAt.
+	estimatesChanged   bool
+	estimatesFlushedAt time.Time
+	// demand is the demand of best-effort tasks, computed at demandAt.
+	demand   *bestEffortDemand
+	demandAt time.Time
+	// headroom tracks, by pool, what short tasks need.
 	headroom map[string]*headroom.Tracker
-	// accountedAt is when the jobs' ledgers were last booked, over what is to be
-	// told of jobs.
-	accountedAt time.Time
-	over        []JobOutcome
-	Stats       Stats
+	// attributedAt is when time was last attributed to the open jobs; outcomes
+	// holds what TakeJobOutcomes returns next.
+	attributedAt time.Time
+	outcomes     []JobOutcome
+	Stats        Stats
 }
 
 // New returns the state of a domain without jobs or workers.
@@ -55,17 +58,16 @@
 	return &State{
 		cfg:      cfg,
 		model:    colocate.NewModelWithout(cfg.Disabled),
-		headroom: map[string]*headroom.Tracker{}, rosterChanged: map[int]bool{},
-		queues:  map[string]workload.Queue{},
-		jobs:    map[string]*job{},
-		workers: map[string]*worker{},
-		awaited: map[string]*worker{},
-		nextRun: cfg.Epoch << epochShift, topToken: cfg.Epoch << epochShift,
+		headroom: map[string]*headroom.Tracker{}, dirtyRosterParts: map[int]bool{},
+		queues:         map[string]workload.Queue{},
+		jobs:           map[string]*job{},
+		workers:        map[string]*worker{},
+		awaitingReport: map[string]*worker{},
+		nextRun:        cfg.Epoch << epochShift, topToken: cfg.Epoch << epochShift,
 	}
 }
 
-// SetQueues replaces the queues; jobs of a queue that is gone keep its last
-// policy.
+// SetQueues replaces the queues. Jobs of a removed queue keep its last policy.
 func (s *State) SetQueues(queues []workload.Queue) {
 	s.queues = make(map[string]workload.Queue, len(queues))
 	for _, q := range queues {
@@ -83,23 +85,23 @@
 	s.cfg.Retention, s.cfg.TailBound = retention, tailBound
 }
 
-// Accept takes a job in; it is accepted once a flush that holds it is
-// durable. A job that is known already is left as it is.
+// Accept adds a job. It is accepted once a flush that holds it is durable. A
+// job that is already known isn't changed.
 func (s *State) Accept(now time.Time, wallNow int64, spec *workload.Job, q workload.Queue) {
 	if s.jobs[spec.ID] != nil {
 		return
 	}
 	j := newJob(now, wallNow, spec, q)
-	if j.lasting {
-		s.lastingAt = now
+	if j.longRunning {
+		s.longRunningAcceptedAt = now
 	}
 	s.jobs[spec.ID] = j
 	s.open = append(s.open, j)
-	s.touch(j)
+	s.markDirty(j)
 	s.Stats.Accepted++
 }
 
-// Cancel cancels a job; false if it isn't known.
+// Cancel cancels a job. It returns false if the job isn't known.
 func (s *State) Cancel(now time.Time, id string) bool {
 	j := s.jobs[id]
 	if j == nil {
@@ -111,8 +113,9 @@
 	return true
 }
 
-// JobState returns what may be told of a job: a final state only once it is
-// durable. False if the job isn't known or its row isn't durable yet.
+// JobState returns the state of a job that callers may see: a final state only
+// once it is durable. It returns false if the job isn't known or its row isn't
+// durable yet.
 func (s *State) JobState(id string) (workload.State, bool) {
 	j := s.jobs[id]
 	if j == nil || !j.rowStored {
@@ -124,22 +127,22 @@
 	return j.state, true
 }
 
-// Has reports whether the job is known, durable or not.
+// HasJob reports whether the job is known, durable or not.
 func (s *State) HasJob(id string) bool { return s.jobs[id] != nil }
 
-// Stored reports whether the job is durable.
+// JobStored reports whether the job's row is durable.
 func (s *State) JobStored(id string) bool {
 	j := s.jobs[id]
 	return j != nil && j.rowStored
 }
 
-// Settled reports whether nothing of the job waits to become durable.
+// JobFlushed reports whether no change of the job waits to become durable.
 func (s *State) JobFlushed(id string) bool {
 	j := s.jobs[id]
 	return j == nil || (j.rowStored && !j.dirty && j.durable == j.state)
 }
 
-// Pending counts a queue's jobs of which no task has started.
+// PendingJobs counts a queue's jobs of which no task has started.
 func (s *State) PendingJobs(queue string) int {
 	n := 0
 	for _, j := range s.open {
@@ -150,8 +153,8 @@
 	return n
 }
 
-// TasksAhead counts the tasks that may start and come before a new job of a
-// queue: those of its own priority and of higher ones.
+// TasksAhead counts the tasks ready to start that come before a new job of a
+// queue: those of the same or a higher priority.
 func (s *State) TasksAhead(q workload.Queue) int {
 	n := 0
 	for _, j := range s.open {
@@ -169,17 +172,17 @@
 	return n
 }
 
-// finish ends a job in a final state and stops what still runs of it.
+// finish moves a job to a final state and stops its runs.
 func (s *State) finish(now time.Time, j *job, state workload.State) {
 	j.state = state
-	j.overAt = now
-	s.touch(j)
-	if !j.toldLost {
-		s.tellOver(now, j)
+	j.finishedAt = now
+	s.markDirty(j)
+	if !j.expiryReported {
+		s.reportOutcome(now, j)
 	}
 	j.eachTask(func(t *task) {
 		for _, r := range t.runs {
-			s.stop(now, r, JobEnded)
+			s.orderStop(now, r, JobEnded)
 		}
 	})
 	for i, o := range s.open {
@@ -190,45 +193,46 @@
 	}
 }
 
-// begin marks that a task of the job has started. That becomes durable, so
-// that a later owner puts the job's long-running tasks back first.
-func (s *State) begin(j *job) {
+// markStarted records that a task of the job has started. It becomes durable,
+// so that a later owner restarts the job's long-running tasks first.
+func (s *State) markStarted(j *job) {
 	if j.state == workload.Queued {
 		j.state = workload.InProgress
-		s.touch(j)
+		s.markDirty(j)
 	}
 }
 
-// touch marks a job's progress as not yet durable.
-func (s *State) touch(j *job) {
+// markDirty records that the job's progress isn't durable.
+func (s *State) markDirty(j *job) {
 	if !j.dirty {
 		j.dirty = true
 		s.dirty = append(s.dirty, j)
 	}
 }
 
-// stop orders a run to stop, unless that was done within stopRepeat.
-func (s *State) stop(now time.Time, r *run, cause StopCause) {
-	if r.phase == stopping && now.Sub(r.stopAt) < stopRepeat {
+// orderStop orders a run to stop, unless that was done within
+// stopRetryInterval.
+func (s *State) orderStop(now time.Time, r *run, cause StopCause) {
+	if r.phase == stopping && now.Sub(r.stopOrderedAt) < stopRetryInterval {
 		return
 	}
 	if r.phase == uncertain {
-		return // its worker is asked first, under a higher token
+		return // resolved first, by a poll under a higher token
 	}
 	if r.phase != stopping {
-		r.task.step.job.ledger.Stopped++
+		r.task.step.job.breakdown.Stopped++
 	}
 	r.phase = stopping
-	r.stopAt, r.stopCause = now, cause
-	s.changed(r.worker)
+	r.stopOrderedAt, r.stopCause = now, cause
+	s.markChanged(r.worker)
 	s.stops = append(s.stops, StopOrder{
 		Worker:   r.worker.info,
 		Stop:     runner.Stop{Task: r.task.id(), Run: r.number, Token: r.worker.token},
 		Cause:    cause,
-		Snapshot: r.worker.evidence(now),
+		Snapshot: r.worker.snapshot(now),
 	})
 }
 
-// stopRepeat is how long a stop may stay without an end before it is ordered
-// again; a few times what a stop takes at most.
-const stopRepeat = time.Second
+// stopRetryInterval is how long a stop may take before it is ordered again; a
+// few times the usual maximum.
+const stopRetryInterval = time.Second
--- a/dispatch/state_test.go
+++ b/dispatch/state_test.go
@@ -10,20 +10,20 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// TestStepsInOrder runs a job of two steps to its end.
+// TestStepsInOrder checks that a step starts after the step that it depends on.
 func TestStepsInOrder(t *testing.T) {
 	r := newRig(t, 2)
 	r.submit(queueShort, "job", step(2, 4), step(1, 4, func(s *workload.Step) { s.After = []int{0} }))
-	r.mustState("job", workload.Queued)
+	r.wantState("job", workload.Queued)
 	first := r.plan()
 	if len(first) != 2 {
 		t.Fatalf("%d starts, want the 2 of the first step", len(first))
 	}
-	r.mustState("job", workload.InProgress)
+	r.wantState("job", workload.InProgress)
 	id := first[0].Worker.ID
 	r.report(id, nil, []runner.RunEnd{end(1, first[0], runner.EndDone)})
 	if more := r.plan(); len(more) != 0 {
-		t.Fatalf("the second step began before the first was done: %v", more)
+		t.Fatalf("the second step started before the first was done: %v", more)
 	}
 	r.report(first[1].Worker.ID, nil, []runner.RunEnd{end(2, first[1], runner.EndDone)})
 	last := r.plan()
@@ -31,25 +31,26 @@
 		t.Fatalf("got %v, want the start of step 1", last)
 	}
 	r.report(last[0].Worker.ID, nil, []runner.RunEnd{end(3, last[0], runner.EndDone)})
-	r.mustState("job", workload.InProgress)
+	r.wantState("job", workload.InProgress)
 	r.flush()
-	r.mustState("job", workload.Complete)
+	r.wantState("job", workload.Complete)
 }
 
-// TestSilentWorkerIsLostAfterOneLease holds leases to what was sent while the
-// worker answered: looks in vain must not put off that its tasks run again.
-func TestSilentWorkerIsLostAfterOneLease(t *testing.T) {
+// TestUnresponsiveWorkerLosesRunsAfterLease checks that failed polls don't
+// extend the lease of an unresponsive worker, so that its tasks restart after
+// one lease.
+func TestUnresponsiveWorkerLosesRunsAfterLease(t *testing.T) {
 	r := newRig(t, 2)
 	r.submit(queueShort, "job", step(1, 4, longRunning))
 	first := r.plan()[0]
 	var again []dispatch.StartOrder
 	waited := time.Duration(0)
 	for len(again) == 0 && waited < 20*time.Second {
-		r.pass(testTick)
+		r.advance(testTick)
 		waited += testTick
 		for i := range 2 {
 			if id := worker(i); id == first.Worker.ID {
-				r.silence(id)
+				r.noAnswer(id)
 			} else {
 				r.report(id, nil, nil)
 			}
@@ -64,22 +65,22 @@
 	}
 }
 
-// TestLostAnswerOfStart resolves a start without an answer under a higher
-// token before the task is placed again.
-func TestLostAnswerOfStart(t *testing.T) {
+// TestUnansweredStart checks that a start without an answer is resolved under a
+// higher token before the task is placed again.
+func TestUnansweredStart(t *testing.T) {
 	for _, ran := range []bool{false, true} {
 		r := newRig(t, 1)
 		r.submit(queueShort, "job", step(1, 4))
 		o := r.state.Plan(r.now).Starts[0]
 		if !r.state.HandleStartAnswer(r.now, o, runner.Answer{Status: runner.Unknown}) {
-			t.Fatal("the worker need not be asked what became of the start")
+			t.Fatal("an unanswered start didn't request a poll of its worker")
 		}
 		if p := r.state.Plan(r.now); len(p.Starts) != 0 {
-			t.Fatalf("placed again while the start may be carried out: %v", p.Starts)
+			t.Fatalf("placed again while the start may still be carried out: %v", p.Starts)
 		}
 		_, renewal, _ := r.state.Renewal(r.now, o.Worker.ID, true)
 		if renewal.Token <= o.Start.Token {
-			t.Fatalf("asked under token %d, the start had %d", renewal.Token, o.Start.Token)
+			t.Fatalf("polled under token %d, want more than the %d of the start", renewal.Token, o.Start.Token)
 		}
 		var at []runner.ActiveRun
 		if ran {
@@ -88,7 +89,7 @@
 		r.report(o.Worker.ID, at, nil)
 		starts := r.plan()
 		if ran && len(starts) != 0 {
-			t.Errorf("a task that runs was started again: %v", starts)
+			t.Errorf("a running task was started again: %v", starts)
 		}
 		if !ran && (len(starts) != 1 || starts[0].Start.Run <= o.Start.Run) {
 			t.Errorf("got %v, want a start with a higher run", starts)
@@ -96,8 +97,8 @@
 	}
 }
 
-// TestFailuresCountOnce fails a job after its attempts, and doesn't count a
-// failure twice that an earlier owner had noted already.
+// TestFailuresCountOnce checks that a job fails after its attempts, and that a
+// failure recorded by an earlier owner isn't counted again.
 func TestFailuresCountOnce(t *testing.T) {
 	r := newRig(t, 1)
 	r.submit(queueShort, "job", step(1, 4))
@@ -107,20 +108,20 @@
 	r.flush()
 	r.takeOver(first.Worker.ID)
 	r.members(1)
-	r.report(first.Worker.ID, nil, []runner.RunEnd{failure}) // not acknowledged, so told again
+	r.report(first.Worker.ID, nil, []runner.RunEnd{failure}) // not acknowledged, so reported again
 	r.flush()
-	r.mustState("job", workload.InProgress)
+	r.wantState("job", workload.InProgress)
 	second := r.plan()
 	if len(second) != 1 {
 		t.Fatalf("%d starts, want one more attempt", len(second))
 	}
 	r.report(first.Worker.ID, nil, []runner.RunEnd{end(2, second[0], runner.EndFailed)})
 	r.flush()
-	r.mustState("job", workload.Failed)
+	r.wantState("job", workload.Failed)
 }
 
-// TestTakeOverWaitsForWorkers keeps tasks of inherited jobs from starting
-// until every worker of the roster has said what runs there.
+// TestTakeOverWaitsForWorkers checks that tasks of inherited jobs don't start
+// before every worker of the roster has reported.
 func TestTakeOverWaitsForWorkers(t *testing.T) {
 	r := newRig(t, 2)
 	r.submit(queueShort, "job", step(1, 4))
@@ -128,22 +129,22 @@
 	r.flush()
 	r.takeOver(worker(0), worker(1))
 	r.members(2)
-	r.report(other(first.Worker.ID), nil, nil)
+	r.report(otherWorker(first.Worker.ID), nil, nil)
 	if starts := r.plan(); len(starts) != 0 {
 		t.Fatalf("started %v while its worker hasn't reported", starts)
 	}
 	r.report(first.Worker.ID, []runner.ActiveRun{active(first)}, nil)
 	if starts := r.plan(); len(starts) != 0 {
-		t.Fatalf("started %v although it runs", starts)
+		t.Fatalf("started %v while it runs", starts)
 	}
-	r.pass(time.Second)
+	r.advance(time.Second)
 	r.report(first.Worker.ID, nil, []runner.RunEnd{end(1, first, runner.EndDone)})
 	r.flush()
-	r.mustState("job", workload.Complete)
+	r.wantState("job", workload.Complete)
 }
 
-// TestTakeOverOfLostWorker starts such tasks once any lease of the earlier
-// owner is over.
+// TestTakeOverOfLostWorker checks that such tasks start once all leases of the
+// earlier owner have expired.
 func TestTakeOverOfLostWorker(t *testing.T) {
 	r := newRig(t, 2)
 	r.submit(queueShort, "job", step(1, 4))
@@ -153,53 +154,54 @@
 	r.members(2)
 	waited := r.waitForStart(first.Worker.ID, func() {})
 	if waited < 12*time.Second || waited > 13*time.Second {
-		t.Errorf("started after %v, want just over the 12 s that an earlier owner's orders may last", waited)
+		t.Errorf("started after %v, want just over the inherited lease of 12 s", waited)
 	}
 }
 
-// TestInheritedLongRunningComesFirst has a later owner know that a
-// long-running task had begun, so that no headroom holds it back.
+// TestInheritedLongRunningComesFirst checks that a new owner knows that a
+// long-running task had started, and doesn't hold it back for headroom.
 func TestInheritedLongRunningComesFirst(t *testing.T) {
 	r := newRig(t, 1)
-	r.submit(queueShort, "lasting", step(1, 8, longRunning))
+	r.submit(queueShort, "service", step(1, 8, longRunning))
 	first := r.plan()[0]
-	r.submit(queueShort, "crowd", step(2, 4))
+	r.submit(queueShort, "batch", step(2, 4))
 	r.plan()
 	r.flush()
 	r.takeOver(first.Worker.ID)
 	r.members(1)
 	r.report(first.Worker.ID, nil, nil) // nothing runs there any more
 	if early := r.plan(); len(early) != 0 {
-		t.Fatalf("started %v while the store still names their runs", early)
+		t.Fatalf("started %v while the store still lists their runs", early)
 	}
 	r.flush()
 	starts := r.plan()
-	if len(starts) == 0 || starts[0].Start.Task.Job != "lasting" {
+	if len(starts) == 0 || starts[0].Start.Task.Job != "service" {
 		t.Fatalf("got %v, want the long-running task first", starts)
 	}
 }
 
-// TestCancel stops a job's runs and starts nothing more of it.
+// TestCancel checks that the runs of a cancelled job are stopped and no more of
+// its tasks start.
 func TestCancel(t *testing.T) {
 	r := newRig(t, 1)
 	r.submit(queueShort, "job", step(2, 6), step(1, 1, func(s *workload.Step) { s.After = []int{0} }))
 	starts := r.plan()
 	if !r.state.Cancel(r.now, "job") || r.state.Cancel(r.now, "other") {
-		t.Fatal("cancelling tells wrongly whether the job is known")
+		t.Fatal("Cancel must return true for a known job and false for another")
 	}
 	if r.state.JobFlushed("job") {
-		t.Error("settled before it is durable")
+		t.Error("JobFlushed is true before the cancellation is durable")
 	}
 	p := r.state.Plan(r.now)
 	if len(p.Stops) != len(starts) || len(p.Starts) != 0 {
 		t.Errorf("%d stops and %d starts, want %d and 0", len(p.Stops), len(p.Starts), len(starts))
 	}
 	r.flush()
-	r.mustState("job", workload.Cancelled)
+	r.wantState("job", workload.Cancelled)
 }
 
-// TestGangStartsWholeOrNotAtAll gives all members one run number, and ends it
-// with one member's end.
+// TestGangStartsWholeOrNotAtAll checks that a gang starts whole under one run
+// number, and is done when one member is.
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	r := newRig(t, 2)
 	gang := func(s *workload.Step) { s.Gang = true }
@@ -214,14 +216,14 @@
 	}
 	r.report(starts[0].Worker.ID, nil, []runner.RunEnd{end(1, starts[0], runner.EndDone)})
 	r.flush()
-	r.mustState("fits", workload.Complete)
+	r.wantState("fits", workload.Complete)
 }
 
-// TestDrainingWorker gives a draining worker no task and moves its
-// long-running ones.
+// TestDrainingWorker checks that a draining worker gets no tasks and its
+// long-running ones are moved.
 func TestDrainingWorker(t *testing.T) {
 	r := newRig(t, 2)
-	r.submit(queueShort, "lasting", step(1, 8, longRunning))
+	r.submit(queueShort, "service", step(1, 8, longRunning))
 	first := r.plan()[0]
 	list := []runner.Worker{workerInfo(worker(0)), workerInfo(worker(1))}
 	for i := range list {
@@ -241,9 +243,9 @@
 	}
 }
 
-// TestOvertakenReport ignores a run in a report that was made before its end
-// and comes after the report of that.
-func TestOvertakenReport(t *testing.T) {
+// TestReorderedReports checks that a report from before the end of a run is
+// ignored if it arrives after the report of that end.
+func TestReorderedReports(t *testing.T) {
 	r := newRig(t, 1)
 	r.submit(queueShort, "job", step(1, 4))
 	first := r.plan()[0]
@@ -255,10 +257,10 @@
 	}
 }
 
-// TestTakeOverBesideLostWorker lets tasks go on that, by the store, ran on
-// workers which have reported, while another worker is silent: only tasks that
-// may be alive on that one wait.
-func TestTakeOverBesideLostWorker(t *testing.T) {
+// TestTakeOverWithLostWorker checks that after a takeover only the tasks that
+// may be alive on an unresponsive worker wait; those of workers that reported
+// restart.
+func TestTakeOverWithLostWorker(t *testing.T) {
 	r := newRig(t, 2)
 	r.submit(queueShort, "job", step(4, 8, longRunning))
 	starts := r.plan()
@@ -268,8 +270,8 @@
 	r.flush()
 	r.takeOver(worker(0), worker(1))
 	r.members(2)
-	r.silence(worker(0))
-	r.report(worker(1), nil, nil) // its runs are over
+	r.noAnswer(worker(0))
+	r.report(worker(1), nil, nil) // its runs have ended
 	r.plan()
 	r.flush()
 	again := r.plan()
@@ -282,56 +284,56 @@
 	}
 	for _, o := range again {
 		if was[o.Start.Task.Index] != worker(1) {
-			t.Errorf("%v started although it may be alive on %s", o.Start.Task, worker(0))
+			t.Errorf("%v started while it may be alive on %s", o.Start.Task, worker(0))
 		}
 	}
 }
 
-// TestTakeOverOfWorkerThatLeft doesn't wait for the leases of a worker that the
-// list has lacked since the take-over.
-func TestTakeOverOfWorkerThatLeft(t *testing.T) {
+// TestTakeOverOfDepartedWorker checks that a new owner doesn't wait for the
+// leases of a worker that is missing from the list since the takeover.
+func TestTakeOverOfDepartedWorker(t *testing.T) {
 	r := newRig(t, 2)
 	r.submit(queueShort, "job", step(1, 4, longRunning))
 	first := r.plan()[0]
 	r.flush()
 	r.takeOver(worker(0), worker(1))
 	waited := r.waitForStart(first.Worker.ID, func() {
-		r.state.SetMembers(r.now, []runner.Worker{workerInfo(other(first.Worker.ID))})
+		r.state.SetMembers(r.now, []runner.Worker{workerInfo(otherWorker(first.Worker.ID))})
 	})
 	if waited < 2*time.Second || waited > 3*time.Second {
-		t.Errorf("started after %v, want between the 2 s after which a living worker is listed again and 3 s", waited)
+		t.Errorf("started after %v, want 2 to 3 s, when the worker counts as departed", waited)
 	}
 }
 
-// TestRoomIsKeptOnlyWhereItComes doesn't keep a worker's room for a large task
-// that long-running ones leave no room for: short tasks would wait in vain.
-func TestRoomIsKeptOnlyWhereItComes(t *testing.T) {
+// TestCapacityReservedOnlyWhereItFrees checks that no capacity is reserved for
+// a large task on a worker that long-running tasks keep full.
+func TestCapacityReservedOnlyWhereItFrees(t *testing.T) {
 	r := newRig(t, 1)
-	r.submit(queueShort, "lasting", step(1, 10, longRunning))
+	r.submit(queueShort, "service", step(1, 10, longRunning))
 	if starts := r.plan(); len(starts) != 1 {
 		t.Fatalf("%d starts, want 1", len(starts))
 	}
 	r.flush()
 	r.submit(queueShort, "large", step(1, 8))
-	r.pass(time.Second)
+	r.advance(time.Second)
 	r.submit(queueShort, "small", step(1, 4))
 	if starts := r.plan(); len(starts) != 1 || starts[0].Start.Task.Job != "small" {
-		t.Errorf("got %v, want the small task started beside the long-running one", starts)
+		t.Errorf("got %v, want the small task started next to the long-running one", starts)
 	}
 }
 
-// TestRoomIsKeptForLargeTasks keeps a worker that will have room from small
-// tasks that come after a large one.
-func TestRoomIsKeptForLargeTasks(t *testing.T) {
+// TestCapacityReservedForLargeTask checks that smaller tasks later in the queue
+// don't take the capacity that a large task waits for.
+func TestCapacityReservedForLargeTask(t *testing.T) {
 	r := newRig(t, 1)
 	r.submit(queueShort, "first", step(2, 8))
 	first := r.plan()
 	r.submit(queueShort, "large", step(1, 16))
-	r.pass(300 * time.Millisecond)
+	r.advance(300 * time.Millisecond)
 	r.submit(queueShort, "small", step(2, 8))
 	r.report(first[0].Worker.ID, []runner.ActiveRun{active(first[1])}, []runner.RunEnd{end(1, first[0], runner.EndDone)})
 	if starts := r.plan(); len(starts) != 0 {
-		t.Fatalf("got %v, want the room kept for the large task", starts)
+		t.Fatalf("got %v, want the capacity reserved for the large task", starts)
 	}
 	r.report(first[0].Worker.ID, nil, []runner.RunEnd{end(2, first[1], runner.EndDone)})
 	if starts := r.plan(); len(starts) != 1 || starts[0].Start.Task.Job != "large" {
@@ -339,8 +341,8 @@
 	}
 }
 
-// TestPredecessorStopped frees the tasks of a silent worker one lease after the
-// owner before is known to have stopped.
+// TestPredecessorStopped checks that the tasks of an unresponsive worker
+// restart one lease after the previous owner is known to have stopped.
 func TestPredecessorStopped(t *testing.T) {
 	r := newRig(t, 2)
 	r.submit(queueShort, "job", step(1, 4, longRunning))
@@ -355,8 +357,8 @@
 	}
 }
 
-// TestRosterFitsRows keeps each row of the roster of 4,300 workers well below
-// the 64 KB of a row, and rewrites one row when a worker comes.
+// TestRosterFitsRows checks that the rows of a large roster stay well below 64
+// KB and that a new worker rewrites only one.
 func TestRosterFitsRows(t *testing.T) {
 	const workers, rowBytes = 4300, 65_536
 	r := newRig(t, 1)
--- a/dispatch/stats.go
+++ b/dispatch/stats.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// Stats counts decisions since the state began.
+// Stats counts decisions since the State was created.
 type Stats struct {
 	Accepted, Completed, Failed                                uint64
 	Starts, StartsRefused, StartsUnknown                       uint64
--- a/dispatch/step.go
+++ b/dispatch/step.go
@@ -13,20 +13,21 @@
 	spec       *workload.Step
 	index      int
 	tasks      []task
-	// class names what its tasks' tails depend on, empty unless they serve.
+	// class identifies the tail behavior of its serving tasks, by image and
+	// tail target; empty if they don't serve.
 	class string
-	// undone counts tasks that aren't done.
-	undone int
-	// idle counts undone tasks without a run.
+	// unfinishedTasks counts tasks that aren't done.
+	unfinishedTasks int
+	// idle counts unfinished tasks without a run.
 	idle    int
 	permits permits
-	// tried is the count of changes of workers when a task of it last fitted
-	// nowhere, allTriedAt when all workers were last considered for it.
-	tried      uint64
-	allTriedAt time.Time
-	// blockedSince is since when a task of it has fitted nowhere, preemptNext
-	// when others may give way to it again.
-	blockedSince, preemptNext time.Time
+	// triedAtChange is the change count at which a task of it last fitted
+	// nowhere, allTriedAt when all workers were last considered.
+	triedAtChange uint64
+	allTriedAt    time.Time
+	// blockedSince is when a task of it first fitted nowhere, nextPreempt when
+	// it may preempt other runs again.
+	blockedSince, nextPreempt time.Time
 	// blockedBy counts steps that must be done first.
 	blockedBy int
 }
@@ -34,22 +35,22 @@
 // ready reports whether the step has tasks that may start.
 func (s *step) ready() bool { return s.blockedBy == 0 && s.idle > 0 }
 
-// taskDone marks a task as done and unblocks what depends on its step.
-func (s *step) taskDone(t *task) {
+// markDone marks a task as done and unblocks the steps that depend on its step.
+func (s *step) markDone(t *task) {
 	if t.done {
 		return
 	}
 	t.done = true
-	t.saved = ""
+	t.checkpoint = ""
 	if len(t.runs) == 0 {
 		s.idle--
 	}
-	s.undone--
-	if s.undone > 0 {
+	s.unfinishedTasks--
+	if s.unfinishedTasks > 0 {
 		return
 	}
 	o := s.occurrence
-	o.undone--
+	o.unfinishedSteps--
 	for _, later := range o.steps {
 		for _, before := range later.spec.After {
 			if before == s.index {
@@ -57,15 +58,15 @@
 			}
 		}
 	}
-	if o.undone == 0 {
-		s.job.unfinished--
+	if o.unfinishedSteps == 0 {
+		s.job.unfinishedOccurrences--
 	}
 }
 
 // onWorker counts the step's runs on a worker.
 func (s *step) onWorker(w *worker) int {
 	n := 0
-	for _, r := range w.inOrder {
+	for _, r := range w.runsByNumber {
 		if r.task.step == s {
 			n++
 		}
@@ -73,10 +74,10 @@
 	return n
 }
 
-// began reports whether a task of the step that waits has run before.
-func (s *step) began() bool {
+// waitsForRestart reports whether a task of the step that waits has run before.
+func (s *step) waitsForRestart() bool {
 	for i := range s.tasks {
-		if t := &s.tasks[i]; t.began && len(t.runs) == 0 && !t.done {
+		if t := &s.tasks[i]; t.started && len(t.runs) == 0 && !t.done {
 			return true
 		}
 	}
--- a/dispatch/stopcause.go
+++ b/dispatch/stopcause.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// StopCause says why a run is stopped.
+// StopCause is why a run is stopped.
 type StopCause uint8
 
 // The causes of a stop.
@@ -9,27 +9,26 @@
 	JobEnded StopCause = iota
 	// TaskDone: another run of its task has finished.
 	TaskDone
-	// TailTooLong: it disturbs those who serve at its worker.
+	// TailTooLong: it interferes with serving tasks on its worker.
 	TailTooLong
-	// Preempted: a queue that comes first needs the room.
+	// Preempted: a queue of higher priority needs the capacity.
 	Preempted
 	// WorkerDraining: its worker is draining.
 	WorkerDraining
-	// Duplicate: another run of its task is at work.
+	// Duplicate: another run of its task is alive.
 	Duplicate
-	// UnknownTask: nothing is known of its task.
+	// UnknownTask: its task isn't known.
 	UnknownTask
-	stopCauses
+	stopCauseCount
 )
 
-// stopCauseNames are the causes as logs show them.
-var stopCauseNames = [stopCauses]string{
+var stopCauseNames = [stopCauseCount]string{
 	"job over", "task done", "tail too long", "preempted", "worker leaves", "duplicate", "no such task",
 }
 
-// String returns the cause as logs show it.
+// String returns the cause as it appears in logs.
 func (c StopCause) String() string {
-	if c < stopCauses {
+	if c < stopCauseCount {
 		return stopCauseNames[c]
 	}
 	return "unknown"
--- a/dispatch/summary.go
+++ b/dispatch/summary.go
@@ -7,37 +7,38 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Summary is the state of the domain in a few figures, for logs and metrics.
+// Summary describes the state of the domain, for logs and metrics.
 type Summary struct {
-	// Open counts jobs that aren't over, Waiting tasks that could start if
-	// there were room, by kind.
+	// OpenJobs counts jobs that haven't ended. The Waiting fields count tasks
+	// that are ready and wait for capacity, by kind.
 	OpenJobs          int
 	WaitingServing    int
 	WaitingReserved   int
 	WaitingBestEffort int
-	// Causes counts the waiting tasks by cause; Restarts those of them that
-	// are long-running and ran before.
-	WaitingByCause, RestartsByCause [causes]int
-	// Workers counts workers by what they may get.
+	// WaitingByCause counts the waiting tasks by cause; RestartsByCause those
+	// of them that are long-running and ran before.
+	WaitingByCause, RestartsByCause [waitCauseCount]int
+	// Workers counts all workers; Usable, Suspected and AwaitingReport count
+	// those in each state.
 	Workers, Usable, Suspected, AwaitingReport int
-	// Free is the room on usable workers, MaxFree the most of it on one.
+	// Free is the free capacity of all usable workers, MaxFree that of the
+	// worker with the most free processors.
 	Free, MaxFree infra.Resources
 	// OverTarget counts serving tasks whose tail is over its target.
 	OverTarget int
 	Stats      Stats
 }
 
-// summarize returns the state of the domain in a few figures, and the cause by
-// which each waiting step waits.
+// summarize returns a summary of the domain and the cause of each waiting step.
 func (s *State) summarize(now time.Time) (Summary, map[*step]WaitCause) {
 	byStep := map[*step]WaitCause{}
-	sum := Summary{OpenJobs: len(s.open), Workers: len(s.workers), AwaitingReport: len(s.awaited), Stats: s.Stats}
+	sum := Summary{OpenJobs: len(s.open), Workers: len(s.workers), AwaitingReport: len(s.awaitingReport), Stats: s.Stats}
 	for _, w := range s.workers {
-		if w.silent {
+		if w.suspected {
 			sum.Suspected++
 		}
 		for _, r := range w.runs {
-			if !r.tailOver.IsZero() {
+			if !r.overTargetSince.IsZero() {
 				sum.OverTarget++
 			}
 		}
@@ -50,13 +51,13 @@
 			sum.MaxFree = w.free
 		}
 	}
-	list := s.waiting(now)
+	list := s.waitingSteps(now)
 	c := newCycle(s, now)
-	c.rooms(list)
+	c.computeCapacity(list)
 	for _, wt := range list {
-		why := c.waitOf(wt.step)
-		byStep[wt.step] = why.cause
-		sum.count(why, wt)
+		wait := c.waitOf(wt.step)
+		byStep[wt.step] = wait.cause
+		sum.addWaiting(wait, wt)
 		switch st := wt.step; {
 		case st.spec.Serving():
 			sum.WaitingServing += st.idle
@@ -69,11 +70,11 @@
 	return sum, byStep
 }
 
-// count adds a step's waiting tasks by cause. Only as many count as fitting as
-// there are workers that would take one: the others wait behind them.
-func (s *Summary) count(why wait, wt *waiting) {
-	fitting := min(why.fits, wt.step.idle)
-	for cause, n := range map[WaitCause]int{Fits: fitting, why.otherwise: wt.step.idle - fitting} {
+// addWaiting adds a step's waiting tasks by cause. At most one task per worker
+// that can take one counts as fitting.
+func (s *Summary) addWaiting(wait stepWait, wt *waitingStep) {
+	fitting := min(wait.fits, wt.step.idle)
+	for cause, n := range map[WaitCause]int{Fits: fitting, wait.otherCause: wt.step.idle - fitting} {
 		s.WaitingByCause[cause] += n
 		if wt.entry.Restart {
 			s.RestartsByCause[cause] += n
@@ -84,7 +85,7 @@
 // LogValue implements slog.LogValuer.
 func (s Summary) LogValue() slog.Value {
 	var waits []slog.Attr
-	for cause := range causes {
+	for cause := range waitCauseCount {
 		if n := s.WaitingByCause[cause]; n > 0 {
 			waits = append(waits, slog.Int(cause.String(), n))
 		}
