--- a/dispatch/task.go
+++ b/dispatch/task.go
@@ -11,27 +11,27 @@
 	step  *step
 	index int
 	done  bool
-	// began is set once a run of it has been ordered or seen.
-	began bool
-	// runs are those that may be alive; more than one only for speculation.
+	// started is set once a run of it has been ordered or reported.
+	started bool
+	// runs holds the runs that may be alive; more than one only for
+	// speculation.
 	runs []*run
 	// failed holds the numbers of the runs that failed.
 	failed []uint64
 	// failedOn holds the workers of those runs, as far as this owner knows.
 	failedOn []string
-	// known is set once no run of an earlier owner can be alive that this one
-	// doesn't know of.
-	known bool
-	// marks are the workers where, by the store or by a batch on its way there,
-	// runs of it may be alive.
-	marks []uint32
-	// endedRun is the highest run of it that is known to be over.
-	endedRun uint64
-	// saved is the newest checkpoint.
-	saved string
+	// inheritanceResolved is set once no unreported run of an earlier owner can
+	// be alive.
+	inheritanceResolved bool
+	// locations holds the hashes of the workers where runs of it may be alive
+	// according to the store or to a batch in flight.
+	locations []uint32
+	// lastEndedRun is the highest run number known to have ended.
+	lastEndedRun uint64
+	// checkpoint is the newest checkpoint, empty if none.
+	checkpoint string
 }
 
-// id returns the task's name.
 func (t *task) id() workload.TaskID {
 	return workload.TaskID{
 		Job: t.step.job.spec.ID, Occurrence: t.step.occurrence.index, Step: t.step.index, Index: t.index,
@@ -43,11 +43,11 @@
 	if len(t.runs) == 0 && !t.done {
 		t.step.idle--
 	}
-	t.began, t.known = true, true
+	t.started, t.inheritanceResolved = true, true
 	t.runs = append(t.runs, r)
 }
 
-// detach removes a run that is over.
+// detach removes an ended run.
 func (t *task) detach(r *run) {
 	i := slices.Index(t.runs, r)
 	if i < 0 {
--- a/dispatch/unanswered_test.go
+++ b/dispatch/unanswered_test.go
@@ -9,24 +9,21 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// TestStoppedBeforeStartIsAnswered replays how workers lost room for good. A
-// copy of a slow task was ordered, the first run finished, and the copy was
-// stopped before its start had been answered. The start was then refused or got
-// no answer. No end comes of a run that never was, so its reservation stayed:
-// on a pool of 350 workers four to ten were each short of 4 to 9 cores half a
-// minute later, and lasting tasks of lost workers found no room there.
-func TestStoppedBeforeStartIsAnswered(t *testing.T) {
+// TestStopBeforeStartAnswer checks that the reservation of a run is released if
+// it was stopped before its start was refused or timed out. Such a run reports
+// no end.
+func TestStopBeforeStartAnswer(t *testing.T) {
 	for _, status := range []runner.Status{runner.NoCapacity, runner.Unhealthy, runner.Unknown} {
 		t.Run(status.String(), func(t *testing.T) {
 			r := newRig(t, 2)
 			first, copied := r.stopCopyEarly()
 			if resolve := r.state.HandleStartAnswer(r.now, copied, runner.Answer{Status: status}); resolve != (status == runner.Unknown) {
-				t.Errorf("the worker must be asked what became of the start: %v", resolve)
+				t.Errorf("HandleStartAnswer returned %v for this status", resolve)
 			}
-			r.pass(time.Second) // longer than any pause after a refusal
+			r.advance(time.Second) // longer than any pause after a refusal
 			r.report(first.Worker.ID, nil, nil)
 			r.report(copied.Worker.ID, nil, nil)
-			r.pass(time.Second)
+			r.advance(time.Second)
 			r.submit(queueShort, "whole", step(2, 16))
 			if starts := r.plan(); len(starts) != 2 {
 				t.Errorf("%d of 2 tasks that need a whole worker started, want both", len(starts))
@@ -35,13 +32,13 @@
 	}
 }
 
-// TestStoppedRunIsStillThere keeps the room of such a run while its worker
-// reports it at work, and stops it again.
-func TestStoppedRunIsStillThere(t *testing.T) {
+// TestStoppedRunStillReported checks that such a run keeps its reservation
+// while its worker reports it, and is stopped again.
+func TestStoppedRunStillReported(t *testing.T) {
 	r := newRig(t, 2)
 	_, copied := r.stopCopyEarly()
 	r.state.HandleStartAnswer(r.now, copied, runner.Answer{Status: runner.Unknown})
-	r.pass(2 * time.Second)
+	r.advance(2 * time.Second)
 	r.report(copied.Worker.ID, []runner.ActiveRun{active(copied)}, nil)
 	r.submit(queueShort, "whole", step(2, 16))
 	p := r.state.Plan(r.now)
@@ -53,17 +50,17 @@
 	}
 }
 
-// stopCopyEarly has a copy of a slow task ordered, and the first run finish
-// before the copy's start is answered. It returns both starts.
+// stopCopyEarly orders a copy of a slow task and ends the first run before the
+// copy's start is answered. It returns both starts.
 func (r *rig) stopCopyEarly() (first, copied dispatch.StartOrder) {
 	r.t.Helper()
 	r.submit(queueShort, "slow", step(1, 4, func(s *workload.Step) { s.Speculative = true }))
 	first = r.plan()[0]
-	r.pass(3 * time.Second) // three times the estimate
+	r.advance(3 * time.Second) // three times the estimate
 	slow := active(first)
 	slow.Percent = 1
 	r.report(first.Worker.ID, []runner.ActiveRun{slow}, nil)
-	r.report(other(first.Worker.ID), nil, nil)
+	r.report(otherWorker(first.Worker.ID), nil, nil)
 	p := r.state.Plan(r.now)
 	if len(p.Starts) != 1 {
 		r.t.Fatalf("%d copies ordered, want 1", len(p.Starts))
@@ -71,7 +68,7 @@
 	r.report(first.Worker.ID, nil, []runner.RunEnd{end(1, first, runner.EndDone)})
 	r.flush()
 	if stops := r.state.Plan(r.now).Stops; len(stops) != 1 {
-		r.t.Fatalf("%d stops, want that of the copy", len(stops))
+		r.t.Fatalf("%d stops, want one of the copy", len(stops))
 	}
 	return first, p.Starts[0]
 }
--- a/dispatch/urgent_test.go
+++ b/dispatch/urgent_test.go
@@ -25,34 +25,34 @@
 	return ids
 }
 
-// TestUrgentFlush writes new jobs, those that are over and those that were
-// hastened, and leaves the progress of others to gather. No end counts as
-// durable before all progress is.
+// TestUrgentFlush checks that an urgent flush writes only new jobs, finished
+// jobs and those marked urgent, and acknowledges no end before all progress is
+// durable.
 func TestUrgentFlush(t *testing.T) {
 	r := newRig(t, 4)
-	r.submit(queueShort, "goes-on", step(2, 4))
-	r.submit(queueShort, "over", step(1, 4))
-	r.submit(queueShort, "hastened", step(1, 4))
+	r.submit(queueShort, "running", step(2, 4))
+	r.submit(queueShort, "finished", step(1, 4))
+	r.submit(queueShort, "urgent", step(1, 4))
 	starts := r.plan()
 	if r.state.HasUrgentChanges() {
-		t.Error("starts are urgent")
+		t.Error("HasUrgentChanges is true after starts only")
 	}
 	for i, o := range starts {
-		if o.Start.Task.Job == "over" || o.Start.Task.Index == 1 {
+		if o.Start.Task.Job == "finished" || o.Start.Task.Index == 1 {
 			r.report(o.Worker.ID, nil, []runner.RunEnd{end(uint64(i+1), o, runner.EndDone)})
 		}
 	}
-	r.state.MarkUrgent("hastened")
+	r.state.MarkUrgent("urgent")
 	r.state.Accept(r.now, r.now.UnixMilli(), &workload.Job{ID: "new", Queue: queueShort.Name, Steps: []workload.Step{step(1, 4)}}, queueShort)
 	if !r.state.HasUrgentChanges() {
-		t.Error("a new job isn't urgent")
+		t.Error("HasUrgentChanges is false after a new job")
 	}
 	b, err := r.state.FlushUrgent(r.now, 98)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := jobsIn(b), []string{"hastened", "new", "over"}; !slices.Equal(got, want) {
-		t.Errorf("writes %v, want %v", got, want)
+	if got, want := jobsIn(b), []string{"finished", "new", "urgent"}; !slices.Equal(got, want) {
+		t.Errorf("urgent flush writes %v, want %v", got, want)
 	}
 	r.apply(b)
 	if r.state.HasUrgentChanges() || !r.state.HasUnflushedChanges() {
@@ -66,14 +66,15 @@
 	if b, err = r.state.Flush(r.now, 98); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := jobsIn(b), []string{"goes-on"}; !slices.Equal(got, want) {
-		t.Errorf("then writes %v, want %v", got, want)
+	if got, want := jobsIn(b), []string{"running"}; !slices.Equal(got, want) {
+		t.Errorf("next flush writes %v, want %v", got, want)
 	}
 }
 
-// TestReadsMarksOfEarlierVersions reads a row whose marks are maps.
-func TestReadsMarksOfEarlierVersions(t *testing.T) {
-	type mark struct {
+// TestReadsRunLocationsWrittenAsMaps checks that rows with run locations
+// encoded as maps can be read.
+func TestReadsRunLocationsWrittenAsMaps(t *testing.T) {
+	type location struct {
 		Occurrence int    `msgpack:"k"`
 		Step       int    `msgpack:"s"`
 		Index      int    `msgpack:"i"`
@@ -81,9 +82,9 @@
 	}
 	type row struct {
 		State   workload.State `msgpack:"s"`
-		Running []mark         `msgpack:"r,omitempty"`
+		Running []location     `msgpack:"r,omitempty"`
 	}
-	old, err := msgpack.Marshal(row{State: workload.InProgress, Running: []mark{{1, 2, 3, 4}}})
+	old, err := msgpack.Marshal(row{State: workload.InProgress, Running: []location{{1, 2, 3, 4}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,13 +94,13 @@
 	}
 	want := dispatch.RunLocation{Occurrence: 1, Step: 2, Index: 3, WorkerHash: 4}
 	if len(p.Running) != 1 || p.Running[0] != want {
-		t.Errorf("read %+v, want %+v", p.Running, want)
+		t.Errorf("decoded %+v, want %+v", p.Running, want)
 	}
 	now, err := msgpack.Marshal(p)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(now) >= len(old) {
-		t.Errorf("%d bytes, %d before", len(now), len(old))
+		t.Errorf("array encoding takes %d bytes, map encoding %d", len(now), len(old))
 	}
 }
--- /dev/null
+++ b/dispatch/waitcause.go
@@ -0,0 +1,108 @@
+package dispatch
+
+// WaitCause is why a step's task waits: the check that rejects it on the worker
+// where it passes the most checks.
+type WaitCause uint8
+
+// The causes, in the order of the checks.
+const (
+	// NoWorker: no usable worker in the pool has the required label.
+	NoWorker WaitCause = iota
+	// NoProcessors: no worker has enough free processors.
+	NoProcessors
+	// NoMemory: no worker with enough processors has enough memory.
+	NoMemory
+	// ReservedCapacity: the free capacity is reserved for a step ahead in the
+	// queue.
+	ReservedCapacity
+	// PerWorkerLimit: workers with capacity already run the step's MaxPerWorker
+	// tasks.
+	PerWorkerLimit
+	// WouldInterfere: workers with capacity run serving tasks that it would
+	// slow down.
+	WouldInterfere
+	// NoPermit: the policy service has permitted no worker with capacity.
+	NoPermit
+	// Headroom: the free capacity is held as headroom for short tasks.
+	Headroom
+	// Fits: it fits, and starts with the next cycle.
+	Fits
+	waitCauseCount
+)
+
+var waitCauseNames = [waitCauseCount]string{
+	"no_worker", "no_processors", "no_memory", "kept_room", "too_many_there", "would_harm", "no_permit", "headroom", "fits",
+}
+
+// String returns the cause as it appears in logs and metrics.
+func (c WaitCause) String() string {
+	if c < waitCauseCount {
+		return waitCauseNames[c]
+	}
+	return "unknown"
+}
+
+// stepWait says why a step's tasks wait.
+type stepWait struct {
+	// cause is the check that rejects the step's tasks, or Fits.
+	cause WaitCause
+	// fits counts the workers that can take one task now; otherCause is the
+	// cause at the remaining workers.
+	fits       int
+	otherCause WaitCause
+}
+
+func (c *cycle) waitOf(st *step) stepWait {
+	var w stepWait
+	for _, at := range c.workers {
+		if cause := c.causeAt(st, at); cause == Fits {
+			w.fits++
+		} else {
+			w.otherCause = max(w.otherCause, cause)
+		}
+	}
+	switch {
+	case w.fits == 0:
+		w.cause = w.otherCause
+	case c.waitsForHeadroom(st):
+		w.cause, w.fits, w.otherCause = Headroom, 0, Headroom
+	default:
+		w.cause = Fits
+	}
+	return w
+}
+
+// waitsForHeadroom reports whether headroom holds back an idle task of the
+// step.
+func (c *cycle) waitsForHeadroom(st *step) bool {
+	for i := range st.tasks {
+		if t := &st.tasks[i]; !t.done && len(t.runs) == 0 && !c.headroomAllows(t) {
+			return true
+		}
+	}
+	return false
+}
+
+// causeAt returns the check that rejects a step's task on a worker.
+func (c *cycle) causeAt(st *step, w *worker) WaitCause {
+	reserved := st.spec.Reserved()
+	switch {
+	case !c.allowed(st, w):
+		return NoWorker
+	case reserved.MilliCPU > w.free.MilliCPU || !c.hasUnusedCPU(st, w):
+		return NoProcessors
+	case !reserved.Fits(w.free):
+		return NoMemory
+	case c.reserved[w.index]:
+		return ReservedCapacity
+	case c.atPerWorkerLimit(st, w):
+		return PerWorkerLimit
+	}
+	if _, ok := c.impact(st, w); !ok {
+		return WouldInterfere
+	}
+	if _, ok := st.ticketFor(c.now, w); !ok {
+		return NoPermit
+	}
+	return Fits
+}
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -9,139 +9,142 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// worker is one life of a worker and the runs that may be alive there.
+// worker is one incarnation of a worker and the runs that may be alive there.
 type worker struct {
 	info runner.Worker
-	// changed is the count of changes when something last changed that may let
-	// a task fit there.
-	changed uint64
-	// slot is its place among the workers of the planning cycle under way.
-	slot int
-	// mark is its short name in rows.
-	mark uint32
-	// listed is set while the membership list shows the worker.
+	// lastChange is the change count of the last change that may let a task fit
+	// there.
+	lastChange uint64
+	// index is its position among the workers of the current planning cycle.
+	index int
+	// hash identifies it in rows.
+	hash uint32
+	// listed is set while the membership list includes the worker.
 	listed bool
-	// missingSince is since when the list lacks it.
+	// missingSince is when the list first lacked it, zero while it is there.
 	missingSince time.Time
-	// rostered is set once the durable roster names the worker; no order goes
-	// out before, so that a later owner knows where runs may be alive.
-	rostered bool
+	// inRoster is set once the durable roster includes the worker. It gets no
+	// orders before, so that a later owner knows where runs may be alive.
+	inRoster bool
 	// reported is set once it has answered a renewal of this owner.
 	reported bool
-	// token is the newest fencing token for orders to it.
+	// token is the newest fencing token for its orders.
 	token uint64
 	// tokenSeen is the newest token that it is known to have seen.
 	tokenSeen uint64
-	// clock is its own clock as last told, read before clockAt.
+	// clock is the last reading of its own clock, received at clockAt.
 	clock   int64
 	clockAt time.Time
-	// leaseUntil is the latest end of lease that any order sent could give.
+	// leaseUntil is the latest end of a lease that any order sent can give.
 	leaseUntil int64
-	// inheritedUntil ends whatever an earlier owner's orders left there.
+	// inheritedUntil is when all leases from an earlier owner have expired.
 	inheritedUntil time.Time
 	free           infra.Resources
 	runs           map[workload.TaskID]*run
-	// inOrder holds the runs in the order of their numbers.
-	inOrder []*run
-	tally   tally
-	// view is what planning has worked out, nil once something has changed.
-	view *view
-	// seen is the last end taken in; acknowledged the last that is durable.
-	seen, acknowledged uint64
-	// answersAt is when it last answered; silent is set after a failure.
-	answersAt time.Time
-	silent    bool
-	// unheardSince is when it first gave no answer since it last gave one.
-	unheardSince time.Time
-	// peekedAt is when it was last looked at beside a look that waits,
-	// watchedAt when that was last considered.
-	peekedAt, watchedAt time.Time
-	// pausedUntil keeps new tasks from it for a while.
+	// runsByNumber holds the runs in order of their numbers.
+	runsByNumber []*run
+	counts       runCounts
+	// load is the cached load, nil after a change.
+	load *workerLoad
+	// lastEnd is the last recorded end, acknowledged the last durable one.
+	lastEnd, acknowledged uint64
+	// polledAt is when its last poll ended, with or without an answer; suspected
+	// is set by the failure detector.
+	polledAt  time.Time
+	suspected bool
+	// unresponsiveSince is when the first poll since its last answer failed,
+	// zero if it is responsive.
+	unresponsiveSince time.Time
+	// earlyPolledAt is when it last got an early poll, earlyPollCheckedAt when
+	// the need for one was last checked.
+	earlyPolledAt, earlyPollCheckedAt time.Time
+	// pausedUntil is the time before which it gets no new tasks.
 	pausedUntil time.Time
 	drainingAt  time.Time
 	health      health
-	// guardedAt is when a filler was last acted on; figures is a sum over the
-	// last report's, by which a repeated one is told.
-	guardedAt time.Time
-	figures   int64
-	// leaving are fillers that ended lately.
-	leaving []leaver
-	// reportedTails is set by a report whose tails nothing has been decided on.
-	reportedTails bool
+	// lastActionAt is when a best-effort run was last limited or stopped;
+	// reportSum is a checksum of the last report's figures, to detect a
+	// repeated one.
+	lastActionAt time.Time
+	reportSum    int64
+	// recentlyEnded holds best-effort runs that the tails may still reflect.
+	recentlyEnded []endedTask
+	// newTails is set by a report with tails until the next CPU limit decision.
+	newTails bool
 }
 
-// clockNow returns the least that the worker's clock can show.
-func (w *worker) clockNow(now time.Time) int64 {
+// clockLowerBound returns the earliest time that the worker's clock can show
+// now.
+func (w *worker) clockLowerBound(now time.Time) int64 {
 	if w.clockAt.IsZero() {
 		return 0
 	}
-	passed := now.Sub(w.clockAt)
-	return w.clock + int64(float64(passed.Milliseconds())*(1-clockDrift))
+	elapsed := now.Sub(w.clockAt)
+	return w.clock + int64(float64(elapsed.Milliseconds())*(1-maxClockDrift))
 }
 
-// tick takes in a reading of the worker's clock.
-func (w *worker) tick(now time.Time, clock int64) {
+// setClock records a reading of the worker's clock.
+func (w *worker) setClock(now time.Time, clock int64) {
 	if clock > 0 {
 		w.clock, w.clockAt = clock, now
 	}
 }
 
-// leaseOver reports whether nothing can be alive at the worker any more,
-// short of a renewal.
-func (w *worker) leaseOver(now time.Time) bool {
+// leaseExpired reports whether no run can be alive at the worker unless its
+// lease is renewed.
+func (w *worker) leaseExpired(now time.Time) bool {
 	if now.Before(w.inheritedUntil) && !w.reported {
 		return false
 	}
 	if w.leaseUntil == 0 {
 		return true
 	}
-	return !w.clockAt.IsZero() && w.clockNow(now) > w.leaseUntil+lostMargin.Milliseconds()
+	return !w.clockAt.IsZero() && w.clockLowerBound(now) > w.leaseUntil+leaseExpiryMargin.Milliseconds()
 }
 
 // usable reports whether new tasks may go to the worker.
 func (w *worker) usable(now time.Time) bool {
-	return w.listed && w.reported && !w.silent && w.unheardSince.IsZero() && !w.info.Draining && now.After(w.pausedUntil)
+	return w.listed && w.reported && !w.suspected && w.unresponsiveSince.IsZero() && !w.info.Draining && now.After(w.pausedUntil)
 }
 
-// roomInTime returns what is free once every run that ends by itself has.
-func (w *worker) roomInTime() infra.Resources { return w.free.Add(w.tally.ending) }
+// eventuallyFree returns what is free once every run that ends by itself has.
+func (w *worker) eventuallyFree() infra.Resources { return w.free.Add(w.counts.finiteReserved) }
 
-// add takes in a run that may be alive there, and reserves its room.
-func (w *worker) add(r *run) {
+// addRun adds a run that may be alive there, and reserves its capacity.
+func (w *worker) addRun(r *run) {
 	w.runs[r.task.id()] = r
-	at, _ := slices.BinarySearchFunc(w.inOrder, r, (*run).compare)
-	w.inOrder = slices.Insert(w.inOrder, at, r)
+	at, _ := slices.BinarySearchFunc(w.runsByNumber, r, (*run).compare)
+	w.runsByNumber = slices.Insert(w.runsByNumber, at, r)
 	w.free = w.free.Sub(r.reserved)
-	w.tally.add(r)
-	w.view = nil
+	w.counts.add(r)
+	w.load = nil
 }
 
-// drop takes out a run that is over.
-func (w *worker) drop(r *run) {
+// removeRun removes an ended run and frees its capacity.
+func (w *worker) removeRun(r *run) {
 	delete(w.runs, r.task.id())
-	if at := slices.Index(w.inOrder, r); at >= 0 {
-		w.inOrder = slices.Delete(w.inOrder, at, at+1)
+	if at := slices.Index(w.runsByNumber, r); at >= 0 {
+		w.runsByNumber = slices.Delete(w.runsByNumber, at, at+1)
 	}
 	w.free = w.free.Add(r.reserved)
-	w.tally.drop(r)
-	w.view = nil
+	w.counts.drop(r)
+	w.load = nil
 }
 
-// servingLoad is the share of its reservation that a serving task uses on
-// average; workers report such a task's tail and not its use. By fits of 15,000
-// tails on each of three deployments it is 0.45 to 0.48.
-const servingLoad = 0.45
+// servingUtilization is the average share of its reservation that a serving
+// task uses. Workers report such a task's tail instead of its use.
+const servingUtilization = 0.45
 
-// unusedCPU returns the processors that nothing is expected to use, negative
-// when fillers have asked for more than is left.
+// unusedCPU returns the processors not expected to be used, negative if
+// best-effort tasks have requested more than is left.
 func (w *worker) unusedCPU(now time.Time) int64 {
 	unused := w.free.MilliCPU
-	for _, r := range w.inOrder {
+	for _, r := range w.runsByNumber {
 		switch spec := r.task.step.spec; {
 		case spec.BestEffort:
-			unused -= r.fillerUse(now)
+			unused -= r.bestEffortUse(now)
 		case spec.Serving():
-			unused += int64((1 - servingLoad) * float64(spec.Needs.MilliCPU))
+			unused += int64((1 - servingUtilization) * float64(spec.Needs.MilliCPU))
 		}
 	}
 	return unused
--- a/dispatch/evidence.go
+++ b/dispatch/workersnapshot.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Evidence is what was known of a worker when an order was decided, for the
-// log: it says what the decision went by, and how old that was.
+// WorkerSnapshot is what was known of a worker when an order was decided, for
+// the log.
 type WorkerSnapshot struct {
-	// FreeMilliCPU is what no run had reserved.
+	// FreeMilliCPU is the processors that no run had reserved.
 	FreeMilliCPU int64
-	// Serving and Fillers count runs that serve users and that fill.
+	// Serving and BestEffort count the worker's serving and best-effort runs.
 	Serving, BestEffort int
-	// MinSlack is the least target over tail of those that serve, 0 if none
-	// was reported.
+	// MinSlack is the lowest ratio of target to tail among the serving runs, 0
+	// if no tail was reported.
 	MinSlack float64
-	// ReportAge is the age of the worker's last report.
+	// ReportAge is the time since the worker's last poll ended.
 	ReportAge time.Duration
 }
 
@@ -33,11 +33,10 @@
 	return slog.GroupValue(attrs...)
 }
 
-// evidence returns what is known of a worker now.
-func (w *worker) evidence(now time.Time) WorkerSnapshot {
-	e := WorkerSnapshot{FreeMilliCPU: w.free.MilliCPU, ReportAge: now.Sub(w.answersAt)}
-	e.Serving, e.BestEffort = w.tally.serving, w.tally.fillers
-	for _, r := range w.inOrder {
+func (w *worker) snapshot(now time.Time) WorkerSnapshot {
+	e := WorkerSnapshot{FreeMilliCPU: w.free.MilliCPU, ReportAge: now.Sub(w.polledAt)}
+	e.Serving, e.BestEffort = w.counts.serving, w.counts.bestEffort
+	for _, r := range w.runsByNumber {
 		target := r.task.step.spec.TailTarget
 		if target <= 0 || r.percent < 100 || r.usage <= 0 {
 			continue
