--- a/ownership/action.go
+++ b/ownership/action.go
@@ -2,19 +2,21 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// Action is something that a Machine asks its driver to do.
+// Action is a request of a Machine to its driver.
 type Action interface{ action() }
 
-// Commit asks for a transaction. Its result goes to Machine.Committed, once.
+// Commit requests a transaction. The driver passes its result to
+// Machine.Committed, exactly once.
 type Commit struct {
 	ID uint64
 	Tx infra.Transaction
 }
 
-// Read asks for rows. If Full is set: for a scan of SessionPrefix and one of
-// ShardPrefix, whose rows go to Machine.RowsRead. Otherwise: for the rows of
-// Keys and for Limit rows of ShardPrefix after the key After, which go to
-// Machine.KeysRead. A failure goes to Machine.ReadFailed. All happen once.
+// Read requests rows. If Full is set, the driver scans SessionPrefix and
+// ShardPrefix and passes the rows to Machine.RowsRead. Otherwise it gets the
+// rows of Keys, scans Limit rows of ShardPrefix after the key After, and passes
+// them to Machine.KeysRead. It passes a failure to Machine.ReadFailed. It calls
+// one of these exactly once.
 type Read struct {
 	ID    uint64
 	Full  bool
@@ -23,46 +25,47 @@
 	Limit int
 }
 
-// AskPromise asks a peer for a promise. The reply goes to
-// Machine.PromiseReplied, or a failure to Machine.AskFailed, once.
+// AskPromise requests a promise from a peer. The driver passes the reply to
+// Machine.PromiseReplied, or a failure to Machine.AskFailed, exactly once.
 type AskPromise struct {
 	ID      uint64
 	Host    string
 	Request PromiseRequest
 }
 
-// AskStopped asks a previous owner whether it has stopped. The reply goes to
-// Machine.StoppedReplied, or a failure to Machine.AskFailed, once.
+// AskStopped asks a previous owner whether it has stopped. The driver passes
+// the reply to Machine.StoppedReplied, or a failure to Machine.AskFailed,
+// exactly once.
 type AskStopped struct {
 	ID      uint64
 	Host    string
 	Request StoppedRequest
 }
 
-// Notify tells a peer of owners, for its Machine.Notified. No bound depends on
-// its arrival.
+// Notify sends owner updates to a peer's Machine.Notified. Its delivery is not
+// required for safety.
 type Notify struct {
 	Host    string
 	Updates []OwnerUpdate
 }
 
-// Drain asks for Machine.Drained once no request is in flight under a shard
-// whose share is now none.
+// Drain requests a call of Machine.Drained once no request is in flight for a
+// shard whose share has become None.
 type Drain struct {
 	Shard string
 	Epoch uint64
 }
 
-// Report tells what happened, for the log.
+// Report describes an event to be logged.
 type Report struct {
 	Kind  ReportKind
 	Shard string
 	Epoch uint64
-	// Host is the other host concerned, if any.
+	// Host is the other host involved, if any.
 	Host string
 }
 
-// ReportKind is what a Report tells of.
+// ReportKind is the kind of event of a Report.
 type ReportKind uint8
 
 // The kinds of reports.
--- a/ownership/alive.go
+++ b/ownership/alive.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// aliveInterest is for how many sessions the session of a host is read after
-// somebody asked after one of its processes.
-const aliveInterest = 8
+// inquirySessions is how long the session of a host is read after a question
+// about one of its processes, in multiples of the session's length.
+const inquirySessions = 8
 
-// inquiry is an interest in a process of another host.
+// inquiry is an open question about a process of another host.
 type inquiry struct {
-	// asked is when somebody first asked, and until how long it lasts.
+	// asked is when the process was first asked about; until is when the
+	// inquiry ends.
 	asked, until time.Time
 }
 
-// Alive reports whether a process may still run. It says no only of a process
-// that a later one of its host has replaced, or whose session has lapsed, as
-// found by a read sent after the question was first put; yes if nothing is
-// known.
+// Alive reports whether a process may still run. It returns false only if a
+// later process of its host has replaced it, or if its session has lapsed
+// according to a read sent after the first question; true if nothing is known.
 func (m *Machine) Alive(now time.Time, host, incarnation string) (bool, []Action) {
 	if host == m.cfg.Host {
-		replacedIt := incarnation != m.cfg.Incarnation && m.session.written && !m.session.replaced
-		return !replacedIt, nil
+		isReplaced := incarnation != m.cfg.Incarnation && m.session.written && !m.session.replaced
+		return !isReplaced, nil
 	}
-	of := Holder{Host: host, Incarnation: incarnation}
-	q, ok := m.inquiries[of]
+	process := Holder{Host: host, Incarnation: incarnation}
+	q, ok := m.inquiries[process]
 	if !ok {
 		q.asked = now
-		m.read.wanted = true
+		m.read.immediate = true
 	}
-	q.until = now.Add(aliveInterest * m.cfg.Lease.Session.D())
-	m.inquiries[of] = q
+	q.until = now.Add(inquirySessions * m.cfg.Lease.Session.D())
+	m.inquiries[process] = q
 	actions := m.step(now)
 	o := m.sessions[host]
-	if o == nil || o.readSent.Before(q.asked) {
+	if o == nil || o.readSentAt.Before(q.asked) {
 		return true, actions
 	}
 	if o.version == 0 {
-		// Its row was deleted long after it had lapsed.
+		// A session row is deleted only long after the session has lapsed.
 		return false, actions
 	}
 	if o.incarnation != incarnation {
 		return o.incarnation == "", actions
 	}
-	return o.readSent.Before(o.since.Add(m.cfg.lapse(o.bounds))), actions
+	return o.readSentAt.Before(o.versionSince.Add(m.cfg.lapseTime(o.bounds))), actions
 }
 
-// inquired lists the hosts whose sessions are read because somebody asks.
-func (m *Machine) inquired(now time.Time) []string {
+// inquiredHosts returns the hosts with open inquiries, and deletes expired
+// inquiries.
+func (m *Machine) inquiredHosts(now time.Time) []string {
 	var hosts []string
-	for of, q := range m.inquiries {
+	for process, q := range m.inquiries {
 		if now.Before(q.until) {
-			hosts = append(hosts, of.Host)
+			hosts = append(hosts, process.Host)
 		} else {
-			delete(m.inquiries, of)
+			delete(m.inquiries, process)
 		}
 	}
 	return hosts
--- a/ownership/alive_test.go
+++ b/ownership/alive_test.go
@@ -8,8 +8,8 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// TestAlive asks after processes of another host, whose row is read again and
-// again.
+// TestAlive asks about processes of another host while its session row is read
+// repeatedly.
 func TestAlive(t *testing.T) {
 	start := time.Unix(1000, 0)
 	lease := settings.Default().Lease
@@ -21,7 +21,7 @@
 	want := func(incarnation string, alive bool) {
 		t.Helper()
 		if got, _ := m.Alive(now, "b", incarnation); got != alive {
-			t.Errorf("after %v %s is alive: %v", now.Sub(start), incarnation, got)
+			t.Errorf("after %v: process %s is alive: %v, want the opposite", now.Sub(start), incarnation, got)
 		}
 	}
 	read := func(wait time.Duration) {
@@ -29,24 +29,24 @@
 		now = now.Add(wait)
 		m.Tick(now)
 		if m.read.id == 0 {
-			t.Fatal("nothing is read")
+			t.Fatal("no read is in flight")
 		}
 		m.KeysRead(now, m.read.id, []infra.Row{row}, nil, 1)
 	}
 	now = now.Add(time.Millisecond)
-	want("b-1", true) // What was read before the question does not count.
+	want("b-1", true) // A read sent before the question doesn't count.
 	m.KeysRead(now, m.read.id, []infra.Row{row}, nil, 1)
 	want("b-1", false)
 	want("b-2", true)
 	read(2 * time.Second)
 	want("b-2", true)
 	now = now.Add(10 * lease.Session.D())
-	want("b-2", true) // Only this host's own reads stopped.
+	want("b-2", true) // The row wasn't read in the meantime.
 	row.Version++
 	read(2 * time.Second)
 	want("b-2", true)
 	read(lease.Session.D() + time.Second)
 	want("b-2", false)
 	now = now.Add(time.Millisecond)
-	want("b-3", true) // Not asked after before.
+	want("b-3", true) // This process hasn't been asked about before.
 }
--- a/ownership/announce.go
+++ b/ownership/announce.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// renewalsPerReminder is how many renewal intervals lie between two reminders
+// renewalsPerReminder is the number of renewal intervals between two reminders
 // of an owner to its successors.
 const renewalsPerReminder = 10
 
-// Owned tells of a shard's owner.
+// OwnerUpdate announces the owner of a shard.
 type OwnerUpdate struct {
 	Shard string `msgpack:"s"`
 	Epoch uint64 `msgpack:"e"`
-	// Version is that of the shard's row.
+	// Version is the version of the shard's row.
 	Version    uint64   `msgpack:"v"`
 	Owner      string   `msgpack:"o"`
 	Successors []string `msgpack:"n"`
 }
 
-// told returns what is to be told of a shard.
-func (s *shardState) told() OwnerUpdate {
+// ownerUpdate returns the update for the shard's current row.
+func (s *shardState) ownerUpdate() OwnerUpdate {
 	return OwnerUpdate{
 		Shard: s.name, Epoch: s.row.Epoch, Version: s.version, Owner: s.row.Owner.Host, Successors: s.row.Successors,
 	}
 }
 
-// announce tells every entry host of the shards that became this host's or
-// were given away, and reminds the successors of the rest now and then, since
-// a message may be lost.
+// announce sends updates to every entry host for shards that this host acquired
+// or gave away. It also repeats the updates to successors periodically, since a
+// message may be lost.
 func (m *Machine) announce(now time.Time) {
-	news := m.news
-	m.news = nil
-	if len(news) > 0 {
+	pendingUpdates := m.pendingUpdates
+	m.pendingUpdates = nil
+	if len(pendingUpdates) > 0 {
 		for _, h := range m.roster.EntryHosts() {
 			if h.Name != m.cfg.Host {
-				m.emit(Notify{Host: h.Name, Updates: news})
+				m.emit(Notify{Host: h.Name, Updates: pendingUpdates})
 			}
 		}
 	}
@@ -46,20 +46,20 @@
 	m.remind()
 }
 
-// remind tells the successors of every shard of this host.
+// remind sends updates for all shards of this host to their successors.
 func (m *Machine) remind() {
 	bySuccessor := map[string][]OwnerUpdate{}
 	var hosts []string
-	for _, name := range m.names {
+	for _, name := range m.sortedShards {
 		s := m.shards[name]
-		if !m.mine(s) {
+		if !m.owns(s) {
 			continue
 		}
 		for _, h := range s.row.Successors {
 			if bySuccessor[h] == nil {
 				hosts = append(hosts, h)
 			}
-			bySuccessor[h] = append(bySuccessor[h], s.told())
+			bySuccessor[h] = append(bySuccessor[h], s.ownerUpdate())
 		}
 	}
 	slices.Sort(hosts)
@@ -68,10 +68,10 @@
 	}
 }
 
-// Notified takes in what a peer tells of owners. It is only a hint: rows that
-// this host may have to act on are read.
-func (m *Machine) Notified(now time.Time, owned []OwnerUpdate) []Action {
-	for _, o := range owned {
+// Notified handles owner updates from a peer. They are only hints: rows on
+// which this host may have to act are read.
+func (m *Machine) Notified(now time.Time, updates []OwnerUpdate) []Action {
+	for _, o := range updates {
 		s := m.shards[o.Shard]
 		if s == nil || o.Version <= s.version {
 			continue
@@ -79,15 +79,15 @@
 		if o.Epoch > s.row.Epoch {
 			s.hint = o
 		}
-		concerned := slices.Contains(o.Successors, m.cfg.Host) || slices.Contains(s.row.Successors, m.cfg.Host)
-		if concerned || m.mine(s) || o.Owner == m.cfg.Host {
-			m.look(s)
+		relevant := slices.Contains(o.Successors, m.cfg.Host) || slices.Contains(s.row.Successors, m.cfg.Host)
+		if relevant || m.owns(s) || o.Owner == m.cfg.Host {
+			m.requestRead(s)
 		}
 	}
 	return m.step(now)
 }
 
-// owner returns the name of a shard's owner as last heard, empty for none.
+// owner returns the name of a shard's last known owner; empty for none.
 func (s *shardState) owner() string {
 	if s.hint.Epoch > s.row.Epoch {
 		return s.hint.Owner
--- a/ownership/bounds_race_test.go
+++ b/ownership/bounds_race_test.go
@@ -8,9 +8,9 @@
 // detector.
 func TestBoundsHoldUnderRace(t *testing.T) {
 	const runs = 40
-	for _, w := range simulateAll(runs, flaws{}, false) {
-		if w.wrong != "" {
-			t.Error(w.wrong)
+	for _, c := range simulateAll(runs, flaws{}, false) {
+		if c.violation != "" {
+			t.Error(c.violation)
 		}
 	}
 }
--- a/ownership/bounds_test.go
+++ b/ownership/bounds_test.go
@@ -1,8 +1,8 @@
 //go:build !race
 
-// These runs are of pure code, each world on one goroutine, so the race
-// detector has nothing to find in them and takes seven times as long. CI runs
-// them without it; bounds_race_test.go has a few of them with it.
+// Each simulation runs on one goroutine, so that the race detector cannot find
+// anything within one and only makes it slower. CI runs these tests without it;
+// bounds_race_test.go runs a few seeds with it.
 
 package ownership
 
@@ -12,94 +12,97 @@
 	"time"
 )
 
-// runs is how many seeds TestBoundsHold tries.
+// runs is the number of seeds that TestBoundsHold runs.
 const runs = 1000
 
+// TestBoundsHold checks with many seeds that no shard exceeds its capacity, that
+// no previous owner renews task leases or commits too late, and that every shard
+// has an owner after the faults.
 func TestBoundsHold(t *testing.T) {
 	var dispatches, commits, seizures, renewals, late int
-	for _, w := range simulateAll(runs, flaws{}, false) {
-		if w.wrong != "" {
-			t.Error(w.wrong)
+	for _, c := range simulateAll(runs, flaws{}, false) {
+		if c.violation != "" {
+			t.Error(c.violation)
 		}
-		dispatches += w.dispatches
-		commits += w.commits
-		seizures += w.seizures
-		renewals += w.renewals
-		late += w.lateRenewals
+		dispatches += c.dispatches
+		commits += c.commits
+		seizures += c.seizures
+		renewals += c.renewals
+		late += c.lateRenewals
 	}
 	t.Logf("%d runs, %d dispatches, %d commits, %d seizures, %d renewals of task leases, %d of them under a succeeded owner",
 		runs, dispatches, commits, seizures, renewals, late)
 	if seizures < runs {
-		t.Errorf("only %d seizures: the faults do not reach the protocol", seizures)
+		t.Errorf("only %d seizures, want at least one per run: the faults have too little effect", seizures)
 	}
 }
 
-// TestBoundsNeedEachMechanism switches one mechanism off at a time; the check
-// must notice within some seeds.
-func TestBoundsNeedEachMechanism(t *testing.T) {
+// TestEachMechanismIsNeeded disables one mechanism at a time, and checks that
+// the simulation then detects a violation with some seed.
+func TestEachMechanismIsNeeded(t *testing.T) {
 	broken := map[string]struct {
 		flaws    flaws
 		unfenced bool
-		// tasks looks at the renewals of task leases alone.
-		tasks bool
+		// tasksOnly counts only violations in the renewal of task leases.
+		tasksOnly bool
 	}{
-		"no wait for the longest run":             {flaws: flaws{noDrainWait: true}},
-		"no half shares":                          {flaws: flaws{noHalfShare: true}},
-		"rows not read again after a lapse":       {flaws: flaws{noReread: true}},
-		"claim without the lapsed session":        {flaws: flaws{noSessionCondition: true}},
-		"promises not kept":                       {flaws: flaws{ignorePromises: true}},
-		"second succession does not wait":         {flaws: flaws{noSecondWait: true}},
-		"a dropped owner has no time to learn it": {flaws: flaws{noDropWait: true}},
-		"task leases renewed on a lapsed promise": {flaws: flaws{ignorePromises: true}, tasks: true},
-		"bounds of others ignored":                {flaws: flaws{ownBounds: true}},
-		"move without drain":                      {flaws: flaws{noDrainOnMove: true}},
-		"commits without the row's condition":     {unfenced: true},
+		"no wait for the longest run":                     {flaws: flaws{noDrainWait: true}},
+		"no half shares":                                  {flaws: flaws{noHalfShare: true}},
+		"rows not read again after a lapse":               {flaws: flaws{noReread: true}},
+		"claim without the session's condition":           {flaws: flaws{noSessionCondition: true}},
+		"promises ignored":                                {flaws: flaws{ignorePromises: true}},
+		"second seizure does not wait":                    {flaws: flaws{noSecondWait: true}},
+		"no wait after an owner is dropped from the list": {flaws: flaws{noDropWait: true}},
+		"task leases renewed after a promise lapsed":      {flaws: flaws{ignorePromises: true}, tasksOnly: true},
+		"bounds of others ignored":                        {flaws: flaws{ownBounds: true}},
+		"move without drain":                              {flaws: flaws{noDrainOnMove: true}},
+		"commits without the row's condition":             {unfenced: true},
 	}
 	for name, b := range broken {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(runs) {
-				w := simulate(seed, b.flaws, b.unfenced)
-				if w.wrong != "" && (!b.tasks || strings.Contains(w.wrong, leasesRenewed)) {
-					t.Logf("seed %d: %s", seed, w.wrong)
+				c := simulate(seed, b.flaws, b.unfenced)
+				if c.violation != "" && (!b.tasksOnly || strings.Contains(c.violation, leasesRenewed)) {
+					t.Logf("seed %d: %s", seed, c.violation)
 					return
 				}
 			}
-			t.Errorf("not noticed in %d runs", runs)
+			t.Errorf("no violation detected in %d runs", runs)
 		})
 	}
 }
 
-// simulateLostAnswer parts a host from the table soon after the answer to a
-// renewal of its session was lost and the renewal read back. No promise covers
-// the time, since the host is parted from the others throughout.
-func simulateLostAnswer(seed uint64, f flaws) *world {
-	w := newWorld(seed, 3, 4, f)
-	w.bursts = true
-	w.run(20*time.Second + w.between(0, 5000))
-	h := w.hosts[w.rand.IntN(len(w.hosts))]
-	h.cutPeers(30 * time.Second)
-	h.deaf, h.readsCut = 100, true
-	w.run(w.between(2000, 3500))
-	h.deaf, h.readsCut = 0, false
-	w.run(w.between(0, 1300))
-	h.cutStore(20 * time.Second)
-	w.run(20 * time.Second)
-	return w
+// simulateLostAnswer partitions a host from the table shortly after the answer
+// to a renewal of its session was lost and the renewal was read back. The host
+// is also partitioned from its peers, so that it gets no promises.
+func simulateLostAnswer(seed uint64, f flaws) *simCluster {
+	c := newSimCluster(seed, 3, 4, f)
+	c.maxLengthRequests = true
+	c.run(20*time.Second + c.between(0, 5000))
+	h := c.hosts[c.rand.IntN(len(c.hosts))]
+	h.partitionFromPeers(30 * time.Second)
+	h.ackLossPercent, h.readsFail = 100, true
+	c.run(c.between(2000, 3500))
+	h.ackLossPercent, h.readsFail = 0, false
+	c.run(c.between(0, 1300))
+	h.partitionFromTable(20 * time.Second)
+	c.run(20 * time.Second)
+	return c
 }
 
-func TestLostAnswerNeedsExpiryFromSending(t *testing.T) {
-	noticed := 0
+func TestLostAnswerExpiryCountsFromSending(t *testing.T) {
+	detected := 0
 	for seed := range uint64(200) {
-		if w := simulateLostAnswer(seed, flaws{}); w.wrong != "" {
-			t.Errorf("seed %d: %s", seed, w.wrong)
+		if c := simulateLostAnswer(seed, flaws{}); c.violation != "" {
+			t.Errorf("seed %d: %s", seed, c.violation)
 		}
-		if w := simulateLostAnswer(seed, flaws{expiryFromAnswer: true}); w.wrong != "" {
-			noticed++
+		if c := simulateLostAnswer(seed, flaws{expiryFromAnswer: true}); c.violation != "" {
+			detected++
 		}
 	}
-	t.Logf("expiry counted from the answer is noticed in %d of 200 runs", noticed)
-	if noticed == 0 {
-		t.Error("not noticed")
+	t.Logf("expiry counted from the answer: violation detected in %d of 200 runs", detected)
+	if detected == 0 {
+		t.Error("expiry counted from the answer: no violation detected in 200 runs")
 	}
 }
--- a/ownership/claim.go
+++ b/ownership/claim.go
@@ -7,9 +7,9 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// considerClaim claims a shard that this host does not own, if it may. It
-// reports whether a claim was sent.
-func (m *Machine) considerClaim(now time.Time, s *shardState) bool {
+// maybeClaim claims a shard that this host does not own, if it may. It reports
+// whether it sent a claim.
+func (m *Machine) maybeClaim(now time.Time, s *shardState) bool {
 	if !m.mayClaim(now, s) {
 		return false
 	}
@@ -19,11 +19,11 @@
 	case s.row.Owner.Host == m.cfg.Host:
 		return m.reclaim(now, s)
 	default:
-		return m.succeed(now, s)
+		return m.takeOver(now, s)
 	}
 }
 
-// mayClaim reports whether claims of a shard are in order at all.
+// mayClaim reports whether this host may claim the shard at all.
 func (m *Machine) mayClaim(now time.Time, s *shardState) bool {
 	switch {
 	case m.stopping, m.excluded(), !m.roster.LiveHost(m.cfg.Host):
@@ -32,39 +32,41 @@
 		return false
 	case !m.sessionLive(now), !m.verified(s):
 		return false
-	case now.Before(s.givenUntil) && !m.flaws.ignorePromises:
+	case now.Before(s.noClaimUntil) && !m.flaws.ignorePromises:
 		return false
-	case s.commit != 0, s.row.Epoch < s.stoppedBelow:
+	case s.commit != 0, s.row.Epoch < s.minUsableEpoch:
 		return false
 	case s.claim != nil && !s.readAt.After(s.claim.sentAt):
-		// The row must be read back before the claim is sent again.
+		// The row must be read before the claim is sent again.
 		return false
 	default:
-		return m.mayTry(now, s)
+		return m.mayWrite(now, s)
 	}
 }
 
-// mayTry spaces the writes of one shard's row.
-func (m *Machine) mayTry(now time.Time, s *shardState) bool {
-	return s.triedAt.IsZero() || now.Sub(s.triedAt) >= m.cfg.renew()/2
+// mayWrite limits the rate of writes to one shard's row.
+func (m *Machine) mayWrite(now time.Time, s *shardState) bool {
+	return s.lastWriteAt.IsZero() || now.Sub(s.lastWriteAt) >= m.cfg.renew()/2
 }
 
-// claimVacant claims a shard without an owner. Hosts that are less preferred
-// wait longer, in case the preferred ones are not there.
+// claimVacant claims a shard without an owner. Less preferred hosts wait
+// longer, in case a preferred host is available.
 func (m *Machine) claimVacant(now time.Time, s *shardState) bool {
-	if s.wantedAt.IsZero() {
-		s.wantedAt = now
+	if s.vacantSince.IsZero() {
+		s.vacantSince = now
 	}
 	wait := time.Duration(m.rank(s)) * m.cfg.Lease.Session.D()
-	if now.Sub(s.wantedAt) < wait {
+	if now.Sub(s.vacantSince) < wait {
 		return false
 	}
 	if now.Sub(s.readAt) > renewalsPerRead*m.cfg.renew() {
-		// Another host may have claimed it; a read costs less than a write.
-		m.look(s)
+		// Another host may have claimed it. A read is cheaper than a write that
+		// fails.
+		m.requestRead(s)
 		return false
 	}
-	// A release to nobody may have left an earlier owner to wait for.
+	// If a shard was released to nobody, the row may still name an earlier
+	// owner that must be waited for.
 	row := ShardRow{Seized: s.row.Seized}
 	if !m.previousCleared(now, s) {
 		row.Unconfirmed = s.row.Unconfirmed
@@ -73,8 +75,8 @@
 	return true
 }
 
-// reclaim claims a shard that an earlier process of this host owned. That
-// process is over; what it had in flight may not be.
+// reclaim claims a shard owned by an earlier process of this host. That process
+// has ended, but its requests may still be in flight.
 func (m *Machine) reclaim(now time.Time, s *shardState) bool {
 	if m.session.inFlight {
 		return false
@@ -83,14 +85,14 @@
 		m.askPrevious(now, s)
 		return false
 	}
-	// A still later process of this host must win.
+	// The claim must fail if a later process of this host has started.
 	own := infra.Condition{Key: SessionKey(m.cfg.Host), Version: m.session.version}
 	m.sendClaim(now, s, ShardRow{Seized: true}, &own)
 	return true
 }
 
-// succeed claims a shard from another host whose session has lapsed.
-func (m *Machine) succeed(now time.Time, s *shardState) bool {
+// takeOver claims a shard from another host whose session has lapsed.
+func (m *Machine) takeOver(now time.Time, s *shardState) bool {
 	l, ok := m.lapsed(now, s)
 	if !ok {
 		return false
@@ -99,21 +101,21 @@
 		m.askPrevious(now, s)
 		return false
 	}
-	if !m.entitled(now, s, l) {
+	if !m.maySucceed(now, s, l) {
 		return false
 	}
-	m.sendClaim(now, s, m.seizure(now, s, l), l.condition)
+	m.sendClaim(now, s, m.seizedRow(now, s, l), l.condition)
 	return true
 }
 
-// seizure returns the row of a shard taken over without a release.
-func (m *Machine) seizure(now time.Time, s *shardState, l lapse) ShardRow {
+// seizedRow returns the row for taking over a shard without a release.
+func (m *Machine) seizedRow(now time.Time, s *shardState, l lapse) ShardRow {
 	if !s.endpoint {
-		// Nothing of a worker shard is shared with the previous owner.
+		// Worker shards are not shared with the previous owner.
 		return ShardRow{Seized: true}
 	}
-	since, gone := m.dropped(now, s.row.Owner)
-	if gone && now.Sub(since) >= m.goneAfter(s.row.Owner) {
+	since, isDropped := m.dropped(now, s.row.Owner)
+	if isDropped && now.Sub(since) >= m.drainedAfterDrop(s.row.Owner) {
 		return ShardRow{}
 	}
 	if l.superseded {
@@ -123,90 +125,91 @@
 	return ShardRow{Seized: true, Unconfirmed: &previous}
 }
 
-// entitled reports whether this host may succeed a shard's owner now: as a
-// named successor whose promise has lapsed, or on the word of the membership
-// list.
-func (m *Machine) entitled(now time.Time, s *shardState, l lapse) bool {
-	if since, gone := m.dropped(now, s.row.Owner); gone && !now.Before(since.Add(m.forgotten(s.row.Owner))) {
-		return !now.Before(l.at.Add(m.turn(m.rank(s))))
+// maySucceed reports whether this host may succeed a shard's owner now: either
+// as a named successor whose promise has lapsed, or because the membership list
+// has dropped the owner.
+func (m *Machine) maySucceed(now time.Time, s *shardState, l lapse) bool {
+	if since, isDropped := m.dropped(now, s.row.Owner); isDropped && !now.Before(since.Add(m.dropWait(s.row.Owner))) {
+		return !now.Before(l.at.Add(m.claimDelay(m.rank(s))))
 	}
-	place := slices.Index(s.row.Successors, m.cfg.Host)
-	if place < 0 || now.Before(l.at.Add(m.turn(place))) {
+	position := slices.Index(s.row.Successors, m.cfg.Host)
+	if position < 0 || now.Before(l.at.Add(m.claimDelay(position))) {
 		return false
 	}
 	if m.flaws.ignorePromises {
 		return true
 	}
-	// An earlier process of this host may have promised.
-	return !now.Before(m.started.Add(m.lapseOf(s.row.Owner))) && !now.Before(m.given[s.row.Owner.process()])
+	// An earlier process of this host may have given a promise.
+	return !now.Before(m.started.Add(m.lapseTimeOf(s.row.Owner))) && !now.Before(m.promisesGiven[s.row.Owner.process()])
 }
 
-// forgotten is how long after the list has dropped the owner of a shard anyone
-// may succeed it. The owner and its successors may read the list later than
-// this host, for which one session is allowed; the newest promise to the owner,
-// or a short pause of its process, lasts for another.
-func (m *Machine) forgotten(owner Holder) time.Duration {
+// dropWait is how long after the list has dropped a shard's owner any host may
+// succeed it. One session covers the delay with which the owner and its
+// successors read the list; the other covers the last promise to the owner or a
+// short pause of its process.
+func (m *Machine) dropWait(owner Holder) time.Duration {
 	if m.flaws.noDropWait {
 		return 0
 	}
-	return 2 * m.lapseOf(owner)
+	return 2 * m.lapseTimeOf(owner)
 }
 
-// lapseOf is how long a process lives, and promises to it last, without a sign
-// of life.
-func (m *Machine) lapseOf(h Holder) time.Duration {
+// lapseTimeOf is the time without a renewal after which a process's session and
+// the promises to it have lapsed.
+func (m *Machine) lapseTimeOf(h Holder) time.Duration {
 	if m.flaws.ownBounds {
-		return m.cfg.lapse(Bounds{})
+		return m.cfg.lapseTime(Bounds{})
 	}
-	return m.cfg.lapse(h.Bounds)
+	return m.cfg.lapseTime(h.Bounds)
 }
 
-// drainedOf is how long after a process stopped nothing of it is in flight.
-func (m *Machine) drainedOf(maxRun time.Duration) time.Duration {
+// drainTimeOf is the time after which nothing of a stopped process is in flight.
+func (m *Machine) drainTimeOf(maxRun time.Duration) time.Duration {
 	if m.flaws.ownBounds {
-		return m.cfg.drained(0)
+		return m.cfg.drainTime(0)
 	}
-	return m.cfg.drained(maxRun)
+	return m.cfg.drainTime(maxRun)
 }
 
-// lapse is the finding that an owner's session has lapsed.
+// lapse describes the lapse of an owner's session.
 type lapse struct {
-	// at is since when.
+	// at is when the session lapsed.
 	at time.Time
-	// condition holds as long as the owner has not renewed it since; nil
-	// when the owner's process was superseded and cannot.
+	// condition fails if the owner has renewed its session since; nil if the
+	// owner's process was superseded and cannot renew it.
 	condition *infra.Condition
-	// superseded is set when a later process of the owner's host runs.
+	// superseded is set if a later process of the owner's host has started.
 	superseded bool
 }
 
-// lapsed reports whether the session of a shard's owner has lapsed, by this
-// host's own clock.
+// lapsed reports whether the session of a shard's owner has lapsed by this
+// host's clock.
 func (m *Machine) lapsed(now time.Time, s *shardState) (lapse, bool) {
 	owner := s.row.Owner
 	o := m.sessions[owner.Host]
-	if o == nil || now.Sub(o.lookedAt) > 2*renewalsPerRead*m.cfg.renew() {
-		// Nothing is known of it yet.
+	if o == nil || now.Sub(o.readAt) > 2*renewalsPerRead*m.cfg.renew() {
+		// The session hasn't been read recently enough.
 		return lapse{}, false
 	}
 	if o.supersedes(owner, s.version) {
-		l := lapse{at: o.incarnationSince.Add(m.lapseOf(owner)), superseded: true}
+		l := lapse{at: o.incarnationSince.Add(m.lapseTimeOf(owner)), superseded: true}
 		return l, !now.Before(l.at)
 	}
-	l := lapse{at: o.since.Add(m.lapseOf(owner))}
+	l := lapse{at: o.versionSince.Add(m.lapseTimeOf(owner))}
 	if !m.flaws.noSessionCondition {
 		l.condition = &infra.Condition{Key: SessionKey(owner.Host), Version: o.version}
 	}
 	return l, !now.Before(l.at)
 }
 
-// supersedes reports whether the session is held by a later process of h's
-// host than h, which had owned a shard when its row got the version.
-func (o *observed) supersedes(h Holder, version uint64) bool {
+// supersedes reports whether the session belongs to a later process of h's host
+// than h. version is the version of the row that names h as owner.
+func (o *observedSession) supersedes(h Holder, version uint64) bool {
 	return o.incarnation != "" && o.incarnation != h.Incarnation && o.version > version
 }
 
-// sendClaim sends a claim. Seized and Unconfirmed are taken from row.
+// sendClaim sends a claim. It uses Seized and Unconfirmed of row and sets all
+// other fields.
 func (m *Machine) sendClaim(now time.Time, s *shardState, row ShardRow, condition *infra.Condition) {
 	row.Owner = m.self()
 	if row.Seized {
@@ -214,19 +217,19 @@
 	}
 	row.Epoch = s.row.Epoch + 1
 	row.Successors = m.successors(s, m.cfg.Host)
-	doubtful := s.claim != nil && s.claim.doubtful
-	s.claim = &claim{sentAt: now, doubtful: doubtful, condition: condition}
-	var also []infra.Condition
+	uncertain := s.claim != nil && s.claim.uncertain
+	s.claim = &claim{sentAt: now, uncertain: uncertain, condition: condition}
+	var extra []infra.Condition
 	if condition != nil {
-		also = append(also, *condition)
+		extra = append(extra, *condition)
 	}
-	m.writeShard(now, s, commitClaim, row, also...)
+	m.writeShard(now, s, commitClaim, row, extra...)
 }
 
-// settleClaim forgets a claim that can no longer take effect, because the
-// session that it depends on was renewed. Session versions only rise, so the
-// earlier attempts are void as well.
-func (m *Machine) settleClaim(s *shardState) {
+// dropVoidClaim drops a claim that can no longer take effect because the
+// session that it depends on was renewed. Session versions only increase, so
+// that its earlier attempts are void as well.
+func (m *Machine) dropVoidClaim(s *shardState) {
 	if s.claim == nil || s.commit != 0 || s.claim.condition == nil {
 		return
 	}
@@ -236,29 +239,30 @@
 	}
 }
 
-// successors returns who may succeed a shard's owner without the list's word.
+// successors returns the hosts that may succeed a shard's owner while the owner
+// is still in the membership list.
 func (m *Machine) successors(s *shardState, owner string) []string {
 	return m.roster.Successors(s.name, owner, m.cfg.Lease.Successors)
 }
 
-// rank is this host's place in the order of preference for a shard.
+// rank is this host's position in the shard's order of preference.
 func (m *Machine) rank(s *shardState) int {
 	order := m.roster.PreferredOwners(s.name)
-	at := slices.Index(order, m.cfg.Host)
-	if at < 0 {
+	position := slices.Index(order, m.cfg.Host)
+	if position < 0 {
 		return len(order)
 	}
-	return at
+	return position
 }
 
-// turn is how long the host in this place waits, so that hosts do not claim at
-// once.
-func (m *Machine) turn(place int) time.Duration {
-	return time.Duration(place) * m.cfg.renew()
+// claimDelay is how long the host at a position waits, so that hosts don't
+// claim simultaneously.
+func (m *Machine) claimDelay(position int) time.Duration {
+	return time.Duration(position) * m.cfg.renew()
 }
 
-// claimsUnderWay counts the claims sent and not answered.
-func (m *Machine) claimsUnderWay() int {
+// claimsInFlight counts the claims without an answer.
+func (m *Machine) claimsInFlight() int {
 	n := 0
 	for _, s := range m.shards {
 		if s.claim != nil && s.commit != 0 {
--- a/ownership/commit.go
+++ b/ownership/commit.go
@@ -6,7 +6,7 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// commitKind is what a transaction is for.
+// commitKind is the purpose of a transaction.
 type commitKind uint8
 
 const (
@@ -16,7 +16,7 @@
 	commitRewrite
 )
 
-// pendingCommit is a transaction whose result is awaited.
+// pendingCommit is a transaction without a result.
 type pendingCommit struct {
 	kind    commitKind
 	sentAt  time.Time
@@ -25,7 +25,7 @@
 	row     ShardRow
 }
 
-// commit asks for a transaction.
+// commit requests a transaction and returns its ID.
 func (m *Machine) commit(p pendingCommit, tx infra.Transaction) uint64 {
 	id := m.newID()
 	m.commits[id] = p
@@ -33,19 +33,19 @@
 	return id
 }
 
-// writeShard asks for a transaction that writes a shard's row over the version
-// known, under further conditions.
-func (m *Machine) writeShard(now time.Time, s *shardState, kind commitKind, row ShardRow, also ...infra.Condition) {
+// writeShard requests a transaction that replaces the known version of a
+// shard's row, under additional conditions.
+func (m *Machine) writeShard(now time.Time, s *shardState, kind commitKind, row ShardRow, extra ...infra.Condition) {
 	key := ShardKey(s.name)
-	s.triedAt = now
-	conditions := append([]infra.Condition{{Key: key, Version: s.version}}, also...)
+	s.lastWriteAt = now
+	conditions := append([]infra.Condition{{Key: key, Version: s.version}}, extra...)
 	s.commit = m.commit(pendingCommit{kind: kind, sentAt: now, shard: s.name, row: row}, infra.Transaction{
 		Conditions: conditions,
 		Writes:     []infra.Write{{Key: key, Value: encode(row)}},
 	})
 }
 
-// Committed takes the result of a transaction in.
+// Committed handles the result of a transaction.
 func (m *Machine) Committed(now time.Time, id uint64, result infra.CommitResult) []Action {
 	p, ok := m.commits[id]
 	if !ok {
@@ -60,7 +60,7 @@
 	return m.step(now)
 }
 
-// shardCommitted takes the result of a write of a shard's row in.
+// shardCommitted handles the result of a write of a shard's row.
 func (m *Machine) shardCommitted(now time.Time, s *shardState, p pendingCommit, result infra.CommitResult) {
 	s.commit = 0
 	switch result.Status {
@@ -71,30 +71,30 @@
 	case infra.CommitNotApplied:
 		m.notWritten(s, p)
 	case infra.CommitUnknown:
-		m.doubt(s, p)
+		m.markUncertain(s, p)
 	}
 }
 
-// doubt takes in that a write may or may not have taken effect, or may do so
-// later. The row tells when it is read again.
-func (m *Machine) doubt(s *shardState, p pendingCommit) {
-	m.look(s)
+// markUncertain handles a write that may have taken effect or may still do so.
+// The result is known once the row has been read.
+func (m *Machine) markUncertain(s *shardState, p pendingCommit) {
+	m.requestRead(s)
 	switch p.kind {
 	case commitClaim:
 		if s.claim != nil {
-			s.claim.doubtful = true
+			s.claim.uncertain = true
 		}
 	case commitRewrite:
-		s.renameDoubtful = true
+		s.successorsUncertain = true
 	case commitRelease:
 		if s.move != nil {
-			s.move.sent = true
+			s.move.maybeReleased = true
 		}
 	case commitSession:
 	}
 }
 
-// shardWritten takes in that a write took effect.
+// shardWritten handles a write that took effect.
 func (m *Machine) shardWritten(now time.Time, s *shardState, p pendingCommit, version uint64) {
 	if version <= s.version {
 		return
@@ -106,14 +106,14 @@
 	if p.kind == commitRelease {
 		m.emit(Report{Kind: ShardReleased, Shard: s.name, Epoch: p.row.Epoch, Host: p.row.Owner.Host})
 		if p.row.Owner.Host != "" {
-			m.news = append(m.news, s.told())
+			m.pendingUpdates = append(m.pendingUpdates, s.ownerUpdate())
 		}
 	}
 }
 
-// shardConflict takes in that a condition of a write no longer holds. Earlier
-// attempts had the same condition or an older one, so none can take effect any
-// more; but one may have, which the row tells.
+// shardConflict handles a write that failed because of a condition. Earlier
+// attempts had the same or an older condition and can't take effect any more;
+// whether one did is known from the row.
 func (m *Machine) shardConflict(now time.Time, s *shardState, p pendingCommit, rows []infra.Row) {
 	if p.kind == commitClaim {
 		s.claim = nil
@@ -128,21 +128,21 @@
 	}
 }
 
-// notWritten takes in that a write was refused. Earlier attempts whose result
-// was lost may still take effect.
+// notWritten handles a refused write. Earlier attempts whose result was lost
+// may still take effect.
 func (m *Machine) notWritten(s *shardState, p pendingCommit) {
 	switch p.kind {
 	case commitClaim:
-		if s.claim != nil && !s.claim.doubtful {
+		if s.claim != nil && !s.claim.uncertain {
 			s.claim = nil
 		}
 	case commitRewrite:
-		if !s.renameDoubtful {
-			s.renamed = nil
+		if !s.successorsUncertain {
+			s.pendingSuccessors = nil
 		}
 	case commitRelease:
-		if s.move != nil && !s.move.sent && !m.stopping {
-			m.keep(s)
+		if s.move != nil && !s.move.maybeReleased && !m.stopping {
+			m.cancelMove(s)
 		}
 	case commitSession:
 	}
--- a/ownership/confirm.go
+++ b/ownership/confirm.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// previousCleared reports whether a shard has no previous owner that may still
-// use its half.
+// previousCleared reports whether no previous owner may still use its half of
+// the shard.
 func (m *Machine) previousCleared(now time.Time, s *shardState) bool {
 	u := s.row.Unconfirmed
 	if u == nil || s.previousStopped == s.row.Epoch {
@@ -15,27 +15,28 @@
 	if u.Host == m.cfg.Host {
 		return m.stoppedSelf(now, s, *u, s.row.Epoch)
 	}
-	if since, gone := m.dropped(now, *u); gone && now.Sub(since) >= m.goneAfter(*u) {
+	if since, isDropped := m.dropped(now, *u); isDropped && now.Sub(since) >= m.drainedAfterDrop(*u) {
 		return true
 	}
 	o := m.sessions[u.Host]
-	return o != nil && o.supersedes(*u, s.version) && now.Sub(o.incarnationSince) >= m.drainedOf(u.MaxRun)
+	return o != nil && o.supersedes(*u, s.version) && now.Sub(o.incarnationSince) >= m.drainTimeOf(u.MaxRun)
 }
 
-// goneAfter is how long after the list has dropped a host nothing of it is in
-// flight any more. It may run on until it reads the list itself: a session is
-// allowed for the list's lag, and one for a pause that it takes no notice of.
-func (m *Machine) goneAfter(h Holder) time.Duration {
-	return m.forgotten(h) + m.drainedOf(h.MaxRun)
+// drainedAfterDrop is the time after the list has dropped a host until nothing
+// of it is in flight. The host may continue until it reads the list: one
+// session covers the list's lag and another one a pause that the host doesn't
+// detect.
+func (m *Machine) drainedAfterDrop(h Holder) time.Duration {
+	return m.dropWait(h) + m.drainTimeOf(h.MaxRun)
 }
 
-// stoppedSelf reports whether a process of this host has nothing in flight
-// under an epoch below the one given.
+// stoppedSelf reports whether the given process of this host has nothing in
+// flight under an epoch lower than epoch.
 func (m *Machine) stoppedSelf(now time.Time, s *shardState, h Holder, epoch uint64) bool {
 	if h.Incarnation == m.cfg.Incarnation {
 		return s.usedEpoch == 0 || s.usedEpoch >= epoch
 	}
-	return m.sessionLive(now) && now.Sub(m.started) >= m.drainedOf(h.MaxRun)
+	return m.sessionLive(now) && now.Sub(m.started) >= m.drainTimeOf(h.MaxRun)
 }
 
 // askPrevious asks the unconfirmed previous owner whether it has stopped.
@@ -44,17 +45,17 @@
 	if u == nil || u.Host == m.cfg.Host {
 		return
 	}
-	if !s.askedStopped.IsZero() && now.Sub(s.askedStopped) < m.cfg.renew() {
+	if !s.stoppedAskedAt.IsZero() && now.Sub(s.stoppedAskedAt) < m.cfg.renew() {
 		return
 	}
-	s.askedStopped = now
+	s.stoppedAskedAt = now
 	request := StoppedRequest{Shard: s.name, Epoch: s.row.Epoch, Previous: *u}
 	id := m.newID()
 	m.asks[id] = pendingAsk{sentAt: now, host: u.Host, stopped: &request}
 	m.emit(AskStopped{ID: id, Host: u.Host, Request: request})
 }
 
-// StoppedReplied takes a reply to AskStopped in.
+// StoppedReplied handles a reply to AskStopped.
 func (m *Machine) StoppedReplied(now time.Time, id uint64, reply StoppedReply) []Action {
 	ask, ok := m.asks[id]
 	delete(m.asks, id)
@@ -69,31 +70,33 @@
 	return m.step(now)
 }
 
-// StoppedAsked answers a peer's StoppedRequest.
+// StoppedAsked handles a peer's StoppedRequest and returns the reply.
 func (m *Machine) StoppedAsked(now time.Time, req StoppedRequest) (StoppedReply, []Action) {
 	s := m.shard(req.Shard)
-	m.succeeded(s, req.Epoch)
+	m.recordSuccessor(s, req.Epoch)
 	actions := m.step(now)
 	stopped := req.Previous.Host == m.cfg.Host && m.stoppedSelf(now, s, req.Previous, req.Epoch)
 	return StoppedReply{Stopped: stopped}, actions
 }
 
-// succeeded takes in that a shard has an owner of this epoch or a later one.
-func (m *Machine) succeeded(s *shardState, epoch uint64) {
+// recordSuccessor records that the shard has an owner with this epoch or a
+// later one.
+func (m *Machine) recordSuccessor(s *shardState, epoch uint64) {
 	if epoch > s.row.Epoch {
-		m.look(s)
+		m.requestRead(s)
 	}
-	s.stoppedBelow = max(s.stoppedBelow, epoch)
+	s.minUsableEpoch = max(s.minUsableEpoch, epoch)
 }
 
-// confirm clears the previous owner from the row of a shard that this host
-// owns, once it has stopped, and keeps living successors named in it.
+// confirm updates the row of a shard that this host owns: it removes the
+// previous owner once that has stopped, and replaces successors that are no
+// longer available.
 func (m *Machine) confirm(now time.Time, s *shardState) {
 	cleared := m.previousCleared(now, s)
 	if !cleared {
 		m.askPrevious(now, s)
 	}
-	if s.commit != 0 || s.move != nil || m.excluded() || !m.sessionLive(now) || !m.verified(s) || !m.mayTry(now, s) {
+	if s.commit != 0 || s.move != nil || m.excluded() || !m.sessionLive(now) || !m.verified(s) || !m.mayWrite(now, s) {
 		return
 	}
 	confirmed := cleared && s.row.Unconfirmed != nil
@@ -106,15 +109,15 @@
 		row.Unconfirmed = nil
 	}
 	for _, h := range row.Successors {
-		if !slices.Contains(s.renamed, h) {
-			s.renamed = append(s.renamed, h)
+		if !slices.Contains(s.pendingSuccessors, h) {
+			s.pendingSuccessors = append(s.pendingSuccessors, h)
 		}
 	}
 	m.writeShard(now, s, commitRewrite, row)
 }
 
-// lacksSuccessors reports whether a successor named in the row is gone, or
-// more could be named.
+// lacksSuccessors reports whether a named successor is no longer live, or more
+// successors could be named.
 func (m *Machine) lacksSuccessors(s *shardState) bool {
 	if !m.roster.LiveHost(m.cfg.Host) {
 		return false
@@ -127,25 +130,25 @@
 	return len(s.row.Successors) < min(m.cfg.Lease.Successors, len(m.roster.LiveHosts())-1)
 }
 
-// stopIfLost asks for a shard to be drained once it may no longer be used.
+// stopIfLost requests the drain of a shard that may no longer be used.
 func (m *Machine) stopIfLost(s *shardState) {
-	if s.usedEpoch == 0 || s.drainAsked == s.usedEpoch {
+	if s.usedEpoch == 0 || s.drainRequested == s.usedEpoch {
 		return
 	}
-	if m.mine(s) && s.row.Epoch == s.usedEpoch && s.row.Epoch >= s.stoppedBelow && !m.excluded() {
+	if m.owns(s) && s.row.Epoch == s.usedEpoch && s.row.Epoch >= s.minUsableEpoch && !m.excluded() {
 		return
 	}
-	s.drainAsked = s.usedEpoch
+	s.drainRequested = s.usedEpoch
 	m.emit(Report{Kind: ShardLost, Shard: s.name, Epoch: s.usedEpoch, Host: s.row.Owner.Host})
 	m.emit(Drain{Shard: s.name, Epoch: s.usedEpoch})
 }
 
-// Drained takes in that nothing is in flight any more under a shard.
+// Drained handles the completion of a Drain.
 func (m *Machine) Drained(now time.Time, shard string, epoch uint64) []Action {
 	s := m.shard(shard)
 	if s.usedEpoch <= epoch {
 		s.usedEpoch = 0
-		s.begun = false
+		s.inUse = false
 	}
 	if s.move != nil && s.row.Epoch == epoch {
 		s.move.drained = true
--- a/ownership/dropped_test.go
+++ b/ownership/dropped_test.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// simulateDrop has the list drop a host that is paused and parted from the
-// table and the others, and list it again before it wakes.
-func simulateDrop(seed uint64, f flaws) *world {
-	w := newWorld(seed, 4, 4, f)
-	w.bursts = true
-	w.run(20*time.Second + w.between(0, 5000))
-	h := w.hosts[w.rand.IntN(len(w.hosts))]
-	h.cutStore(60 * time.Second)
-	h.cutPeers(60 * time.Second)
-	h.pausedUntil = w.now.Add(30 * time.Second)
-	w.enlist(h, false)
-	w.run(w.between(22000, 26000))
-	w.enlist(h, true)
-	w.run(25 * time.Second)
-	return w
+// simulateDrop pauses a host and partitions it from the table and its peers.
+// The membership list drops the host and lists it again before it resumes.
+func simulateDrop(seed uint64, f flaws) *simCluster {
+	c := newSimCluster(seed, 4, 4, f)
+	c.maxLengthRequests = true
+	c.run(20*time.Second + c.between(0, 5000))
+	h := c.hosts[c.rand.IntN(len(c.hosts))]
+	h.partitionFromTable(60 * time.Second)
+	h.partitionFromPeers(60 * time.Second)
+	h.pausedUntil = c.now.Add(30 * time.Second)
+	c.setListed(h, false)
+	c.run(c.between(22000, 26000))
+	c.setListed(h, true)
+	c.run(25 * time.Second)
+	return c
 }
 
 func TestDroppedHostDoesNotResumeUse(t *testing.T) {
 	const seeds = 50
-	noticed := 0
+	detected := 0
 	for seed := range uint64(seeds) {
-		if w := simulateDrop(seed, flaws{}); w.wrong != "" {
-			t.Errorf("seed %d: %s", seed, w.wrong)
+		if c := simulateDrop(seed, flaws{}); c.violation != "" {
+			t.Errorf("seed %d: %s", seed, c.violation)
 		}
-		if w := simulateDrop(seed, flaws{resumePaused: true}); w.wrong != "" {
-			noticed++
+		if c := simulateDrop(seed, flaws{resumePaused: true}); c.violation != "" {
+			detected++
 		}
 	}
-	t.Logf("noticed in %d of %d runs without the mechanism", noticed, seeds)
-	if noticed == 0 {
-		t.Error("not noticed")
+	t.Logf("without the mechanism: violation detected in %d of %d runs", detected, seeds)
+	if detected == 0 {
+		t.Error("without the mechanism: no violation detected in any run")
 	}
 }
--- a/ownership/flaws.go
+++ b/ownership/flaws.go
@@ -1,30 +1,33 @@
 package ownership
 
-// flaws switches single mechanisms off, so that tests show that the checks
-// notice. The zero value is the protocol as it should be.
+// flaws disables single mechanisms of the protocol, so that tests can show that
+// a violation is detected. The zero value disables nothing.
 type flaws struct {
-	// noDrainWait starts a seized shard at once.
+	// noDrainWait uses a seized shard without waiting for requests of the
+	// previous owner.
 	noDrainWait bool
 	// noHalfShare uses the full share of a seized shard and after a lapse.
 	noHalfShare bool
-	// expiryFromAnswer counts the session from the answer to a renewal.
+	// expiryFromAnswer counts the session's length from the answer to a renewal
+	// instead of from its sending.
 	expiryFromAnswer bool
-	// noReread trusts shard rows read before the session was opened.
+	// noReread trusts shard rows that were read before the session was opened.
 	noReread bool
-	// noSessionCondition claims without the lapsed session's version.
+	// noSessionCondition claims without a condition on the version of the
+	// lapsed session.
 	noSessionCondition bool
-	// ignorePromises claims without regard to promises given.
+	// ignorePromises claims shards in spite of promises given.
 	ignorePromises bool
-	// neverPromise gives no promises, for the measurement of their worth.
+	// neverPromise gives no promises.
 	neverPromise bool
 	// noSecondWait seizes a shard whose previous owner is unconfirmed.
 	noSecondWait bool
-	// noDropWait does not allow for hosts that read the list later.
+	// noDropWait doesn't wait for hosts that read the list later.
 	noDropWait bool
-	// resumePaused uses shards at once after a pause.
+	// resumePaused resumes the use of shards immediately after a pause.
 	resumePaused bool
-	// ownBounds goes by this host's own settings alone.
+	// ownBounds uses only this host's own settings.
 	ownBounds bool
-	// noDrainOnMove releases a shard without waiting for what is in flight.
+	// noDrainOnMove releases a shard without draining it.
 	noDrainOnMove bool
 }
--- a/ownership/grant.go
+++ b/ownership/grant.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Grant is what this entry host holds of one shard. It is checked against the
-// clock at each use, since its holder may have been paused.
+// Grant is this entry host's right to use one shard. It must be checked against
+// the clock at each use, since the process may have been paused.
 type Grant struct {
 	// Shard is the shard's name.
 	Shard string
-	// Epoch rises by one with each change of owner.
+	// Epoch increases by one with each change of owner.
 	Epoch uint64
-	// Version is the version of the shard's row, a condition of every
-	// commit made as its owner.
+	// Version is the version of the shard's row. Every commit as the shard's
+	// owner must have it as a condition.
 	Version uint64
-	// Share is what may be used until Until.
+	// Share is the share that may be used until Until.
 	Share Share
-	// Until is when Share lapses, on this process's monotonic clock.
+	// Until is when Share expires, on this process's monotonic clock.
 	Until time.Time
-	// After is what may be used once Until has passed.
+	// ShareAfter is the share that may be used after Until.
 	ShareAfter Share
-	// Ends is when After lapses too, unless the process shows by a newer
-	// grant that it was not paused; zero for never.
+	// AfterUntil is when ShareAfter expires unless there is a newer grant,
+	// which shows that the process was not paused; zero for never.
 	AfterUntil time.Time
 }
 
--- a/ownership/grants.go
+++ b/ownership/grants.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// View returns the newest snapshot for the traffic path.
-func (m *Machine) Snapshot() *Snapshot { return m.view }
+// Snapshot returns the newest snapshot for the traffic path.
+func (m *Machine) Snapshot() *Snapshot { return m.snapshot }
 
-// publish makes a new snapshot if anything in it has changed.
+// publish creates a new snapshot if its content has changed.
 func (m *Machine) publish(now time.Time) {
 	next := Snapshot{Grants: map[string]Grant{}, Owners: map[string]string{}}
-	for _, name := range m.names {
+	for _, name := range m.sortedShards {
 		s := m.shards[name]
 		if g, ok := m.grant(now, s); ok {
 			next.Grants[name] = g
@@ -20,31 +20,31 @@
 			next.Owners[name] = owner
 		}
 	}
-	if maps.Equal(next.Grants, m.view.Grants) && maps.Equal(next.Owners, m.view.Owners) {
+	if maps.Equal(next.Grants, m.snapshot.Grants) && maps.Equal(next.Owners, m.snapshot.Owners) {
 		return
 	}
-	m.view = &next
+	m.snapshot = &next
 }
 
-// begin starts the use of a shard once nothing stands against it.
-func (m *Machine) begin(now time.Time, s *shardState) {
-	if s.begun || s.move != nil || now.Before(s.startAt) {
+// startUse starts the use of an owned shard once all conditions are met.
+func (m *Machine) startUse(now time.Time, s *shardState) {
+	if s.inUse || s.move != nil || now.Before(s.usableFrom) {
 		return
 	}
-	if m.stopping || m.excluded() || s.row.Epoch < s.stoppedBelow {
+	if m.stopping || m.excluded() || s.row.Epoch < s.minUsableEpoch {
 		return
 	}
 	if !m.sessionLive(now) || !m.verified(s) {
 		return
 	}
-	s.begun = true
+	s.inUse = true
 	s.usedEpoch = s.row.Epoch
-	s.drainAsked = 0
+	s.drainRequested = 0
 }
 
-// grant returns what this host holds of a shard; false for nothing.
+// grant returns this host's grant of a shard; false if there is none.
 func (m *Machine) grant(now time.Time, s *shardState) (Grant, bool) {
-	if !m.mine(s) || !s.begun || s.move != nil || m.excluded() || s.row.Epoch < s.stoppedBelow {
+	if !m.owns(s) || !s.inUse || s.move != nil || m.excluded() || s.row.Epoch < s.minUsableEpoch {
 		return Grant{}, false
 	}
 	g := Grant{Shard: s.name, Epoch: s.row.Epoch, Version: s.version}
@@ -53,7 +53,7 @@
 	}
 	g.Share = Half
 	g.ShareAfter = Half
-	g.AfterUntil = m.awakeUntil
+	g.AfterUntil = m.activeUntil
 	if m.flaws.noHalfShare {
 		g.Share, g.ShareAfter = Full, Full
 	}
@@ -67,8 +67,8 @@
 	return g, true
 }
 
-// workerGrant completes the grant of a worker shard: full while nobody can
-// succeed this host, nothing after.
+// workerGrant completes the grant of a worker shard: the full share while no
+// other host can succeed this one, nothing afterwards.
 func (m *Machine) workerGrant(now time.Time, s *shardState, g Grant) (Grant, bool) {
 	until := m.fullUntil(now, s)
 	if !now.Before(until) {
@@ -79,8 +79,9 @@
 	return g, true
 }
 
-// fullUntil returns until when nobody can succeed this host on a shard: by its
-// session, or by the promises of all who may.
+// fullUntil returns the time until which no other host can succeed this one as
+// the shard's owner, because of the session or because of the promises of all
+// possible successors.
 func (m *Machine) fullUntil(now time.Time, s *shardState) time.Time {
 	var until time.Time
 	if m.verified(s) {
@@ -92,10 +93,11 @@
 	return until
 }
 
-// promisedUntil returns until when every successor has promised. With no
-// successor named only the membership list's word lets anyone take over.
+// promisedUntil returns the time until which all possible successors have
+// promised not to claim the shard. Without a named successor, another host can
+// take over only after the membership list has dropped this one.
 func (m *Machine) promisedUntil(now time.Time, s *shardState) time.Time {
-	hosts := s.mustPromise()
+	hosts := s.possibleSuccessors()
 	if len(hosts) == 0 && !m.verified(s) {
 		return time.Time{}
 	}
--- a/ownership/machine.go
+++ b/ownership/machine.go
@@ -7,71 +7,73 @@
 	"github.com/fireflygate/fireflygate/roster"
 )
 
-// Machine decides for one entry host which shards it owns and how much of them
-// it may use. Every method takes the time of the host's monotonic clock and
-// returns what is to be done. It is not safe for concurrent use.
+// Machine decides for one entry host which shards it owns and which share of
+// each it may use. All methods take the current time of the host's monotonic
+// clock and return the actions to perform. It is not safe for concurrent use.
 type Machine struct {
 	cfg     Config
 	flaws   flaws
 	started time.Time
 
 	roster roster.Roster
-	// listedAt is the revision of the newest list that this host stood on.
-	listedAt uint64
-	// absent are the hosts that the list has dropped.
+	// listedRevision is the revision of the newest list that contained this
+	// host.
+	listedRevision uint64
+	// absent holds the hosts that the list has dropped.
 	absent map[string]absence
 
 	session  sessionState
-	sessions map[string]*observed
+	sessions map[string]*observedSession
 	shards   map[string]*shardState
-	// names are the shards' names in order.
-	names []string
+	// sortedShards holds the names of the shards in sorted order.
+	sortedShards []string
 
 	nextID  uint64
 	read    readState
 	commits map[uint64]pendingCommit
 	asks    map[uint64]pendingAsk
-	// askedPromise is when promises were last asked for.
-	askedPromise time.Time
-	// given is until when this host promised not to succeed a process.
-	given map[Holder]time.Time
+	// promisesAskedAt is when promises were last requested.
+	promisesAskedAt time.Time
+	// promisesGiven holds the time until which this host promised not to
+	// succeed a process.
+	promisesGiven map[Holder]time.Time
 
-	// steppedAt is when the machine last decided; awakeUntil is when its
-	// process counts as paused unless it decides again.
-	steppedAt, awakeUntil time.Time
+	// lastStepAt is the time of the last step; activeUntil is when the process
+	// counts as paused if no further step occurs.
+	lastStepAt, activeUntil time.Time
 
-	// stopping is set once every shard is to be handed over.
+	// stopping is set once all shards are to be handed over.
 	stopping   bool
 	stoppingAt time.Time
-	// stopMoves is how many shards are handed over at a time then.
-	stopMoves int
-	// news are owners to be told to every entry host; remindedAt is when the
+	// maxStopMoves is the maximum number of concurrent moves while stopping.
+	maxStopMoves int
+	// pendingUpdates are to be sent to all entry hosts; remindedAt is when the
 	// successors were last reminded.
-	news       []OwnerUpdate
-	remindedAt time.Time
-	// inquiries are the processes that somebody asks after.
+	pendingUpdates []OwnerUpdate
+	remindedAt     time.Time
+	// inquiries holds the open inquiries by process.
 	inquiries map[Holder]inquiry
-	view      *Snapshot
+	snapshot  *Snapshot
 	actions   []Action
 }
 
 // New returns the machine of a process that started at now.
 func New(cfg Config, now time.Time) *Machine {
 	return &Machine{
-		cfg:       cfg,
-		started:   now,
-		absent:    map[string]absence{},
-		sessions:  map[string]*observed{},
-		shards:    map[string]*shardState{},
-		commits:   map[uint64]pendingCommit{},
-		asks:      map[uint64]pendingAsk{},
-		given:     map[Holder]time.Time{},
-		inquiries: map[Holder]inquiry{},
-		view:      &Snapshot{},
+		cfg:           cfg,
+		started:       now,
+		absent:        map[string]absence{},
+		sessions:      map[string]*observedSession{},
+		shards:        map[string]*shardState{},
+		commits:       map[uint64]pendingCommit{},
+		asks:          map[uint64]pendingAsk{},
+		promisesGiven: map[Holder]time.Time{},
+		inquiries:     map[Holder]inquiry{},
+		snapshot:      &Snapshot{},
 	}
 }
 
-// SetRoster takes a new roster in.
+// SetRoster sets a new roster.
 func (m *Machine) SetRoster(now time.Time, r roster.Roster) []Action {
 	m.roster = r
 	for _, h := range r.EntryHosts() {
@@ -83,70 +85,71 @@
 		}
 	}
 	if r.Listed(m.cfg.Host) {
-		m.listedAt = r.Revision()
+		m.listedRevision = r.Revision()
 	}
 	for _, name := range r.Shards() {
-		if s := m.shard(name); s.readAt.IsZero() && s.lookFrom == 0 {
-			m.look(s)
+		if s := m.shard(name); s.readAt.IsZero() && s.minReadID == 0 {
+			m.requestRead(s)
 		}
 	}
 	return m.step(now)
 }
 
-// Tick lets time pass. The driver calls it several times per renewal.
+// Tick handles elapsed time. The driver calls it several times per renewal
+// interval.
 func (m *Machine) Tick(now time.Time) []Action { return m.step(now) }
 
-// HandOver begins a planned stop: every shard is drained and released, and
-// none is taken any more. It cannot be undone.
+// HandOver starts a planned stop: all shards are drained and released, and no
+// new ones are claimed. It is irreversible.
 func (m *Machine) HandOver(now time.Time) []Action {
 	m.stopping = true
 	m.stoppingAt = now
-	m.stopMoves = m.shareOfOwn(stopMoves)
-	m.session.again = true
-	// Any host may be an heir.
+	m.maxStopMoves = m.fractionOfOwned(handOverBatches)
+	m.session.renewNow = true
+	// The session of any host that may receive a shard must be known.
 	m.read.full = true
 	return m.step(now)
 }
 
-// shareOfOwn returns one in parts of the shards that this host owns, at least
-// one.
-func (m *Machine) shareOfOwn(parts int) int {
-	own := 0
-	for _, name := range m.names {
-		if m.mine(m.shards[name]) {
-			own++
+// fractionOfOwned returns the number of this host's shards divided by parts,
+// rounded up, and at least 1.
+func (m *Machine) fractionOfOwned(parts int) int {
+	owned := 0
+	for _, name := range m.sortedShards {
+		if m.owns(m.shards[name]) {
+			owned++
 		}
 	}
-	return max(1, (own+parts-1)/parts)
+	return max(1, (owned+parts-1)/parts)
 }
 
-// HandedOver reports whether this host owns nothing and uses nothing.
+// HandedOver reports whether this host neither owns nor uses any shard.
 func (m *Machine) HandedOver() bool {
-	for _, name := range m.names {
+	for _, name := range m.sortedShards {
 		s := m.shards[name]
-		if m.mine(s) || s.usedEpoch != 0 {
+		if m.owns(s) || s.usedEpoch != 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// step decides everything that the newest input or the time calls for.
+// step performs all decisions that are due.
 func (m *Machine) step(now time.Time) []Action {
-	m.noticePause(now)
+	m.detectPause(now)
 	m.renewSession(now)
 	m.readRows(now)
-	claims := m.claimsUnderWay()
-	moves := m.movesUnderWay()
-	for _, name := range m.names {
+	claims := m.claimsInFlight()
+	moves := m.movesInFlight()
+	for _, name := range m.sortedShards {
 		s := m.shards[name]
 		m.stopIfLost(s)
-		m.settleClaim(s)
-		if m.mine(s) {
-			moves += m.tend(now, s, moves)
+		m.dropVoidClaim(s)
+		if m.owns(s) {
+			moves += m.maintain(now, s, moves)
 			continue
 		}
-		if claims < maxClaims && m.considerClaim(now, s) {
+		if claims < maxClaims && m.maybeClaim(now, s) {
 			claims++
 		}
 	}
@@ -158,62 +161,62 @@
 	return actions
 }
 
-// noticePause ends the use of every shard after a pause of a session or more:
-// the list may have dropped this host meanwhile, and others may count on that,
-// though it has it again.
-func (m *Machine) noticePause(now time.Time) {
+// detectPause ends the use of all shards after a pause of a session or more.
+// The list may have dropped this host in the meantime and other hosts may have
+// acted on that, even if the host is listed again.
+func (m *Machine) detectPause(now time.Time) {
 	session := m.cfg.Lease.Session.D()
-	paused := !m.steppedAt.IsZero() && now.Sub(m.steppedAt) >= session
-	m.steppedAt = now
-	if m.awakeUntil.Sub(now) < session/2 {
-		m.awakeUntil = now.Add(session)
+	paused := !m.lastStepAt.IsZero() && now.Sub(m.lastStepAt) >= session
+	m.lastStepAt = now
+	if m.activeUntil.Sub(now) < session/2 {
+		m.activeUntil = now.Add(session)
 	}
 	if !paused || m.flaws.resumePaused {
 		return
 	}
 	for _, s := range m.shards {
-		// It begins again once its row was read under a session.
-		s.begun = false
+		// The use starts again once the row has been read under a session.
+		s.inUse = false
 	}
 }
 
-// tend looks after a shard that this host owns. It returns how many moves it
-// began.
-func (m *Machine) tend(now time.Time, s *shardState, moves int) int {
-	m.begin(now, s)
+// maintain handles a shard that this host owns. It returns the number of moves
+// that it started.
+func (m *Machine) maintain(now time.Time, s *shardState, moves int) int {
+	m.startUse(now, s)
 	m.confirm(now, s)
 	if s.move != nil {
 		m.release(now, s)
 		return 0
 	}
-	return m.considerMove(now, s, moves)
+	return m.maybeMove(now, s, moves)
 }
 
-// shard returns the state of a shard, new if it was not known.
+// shard returns the state of a shard, and creates it if necessary.
 func (m *Machine) shard(name string) *shardState {
 	if s, ok := m.shards[name]; ok {
 		return s
 	}
 	s := newShardState(name)
 	m.shards[name] = s
-	at, _ := slices.BinarySearch(m.names, name)
-	m.names = slices.Insert(m.names, at, name)
+	at, _ := slices.BinarySearch(m.sortedShards, name)
+	m.sortedShards = slices.Insert(m.sortedShards, at, name)
 	return s
 }
 
-// self names this process.
+// self returns this process as a Holder.
 func (m *Machine) self() Holder {
-	return Holder{Host: m.cfg.Host, Incarnation: m.cfg.Incarnation, Revision: m.listedAt, Bounds: m.cfg.bounds()}
+	return Holder{Host: m.cfg.Host, Incarnation: m.cfg.Incarnation, Revision: m.listedRevision, Bounds: m.cfg.bounds()}
 }
 
-// mine reports whether the newest row known names this process as the owner.
-func (m *Machine) mine(s *shardState) bool {
+// owns reports whether the newest known row names this process as the owner.
+func (m *Machine) owns(s *shardState) bool {
 	return s.exists() && s.row.Owner.is(m.self())
 }
 
-// verified reports whether the row was seen by a request sent after the
-// session was last opened. While that session lives nobody can have claimed
-// the shard since.
+// verified reports whether the row was read by a request sent after the session
+// was last opened. While that session lives, no other host can have claimed the
+// shard since.
 func (m *Machine) verified(s *shardState) bool {
 	if m.flaws.noReread {
 		return true
@@ -222,40 +225,39 @@
 }
 
 // dropped reports whether the membership list has dropped a host, and since
-// when this machine knows.
+// when this machine has known it.
 func (m *Machine) dropped(now time.Time, h Holder) (time.Time, bool) {
 	if !m.roster.Known() || m.roster.Listed(h.Host) || m.roster.Revision() <= h.Revision {
 		return time.Time{}, false
 	}
 	a, ok := m.absent[h.Host]
 	if !ok || a.revision <= h.Revision {
-		// An earlier drop says nothing of a process that was listed since.
+		// An earlier drop doesn't apply to a process that was listed later.
 		a = absence{since: now, revision: m.roster.Revision()}
 		m.absent[h.Host] = a
 	}
 	return a.since, true
 }
 
-// absence is the finding that the membership list lacks a host.
+// absence records that a host is missing from the membership list.
 type absence struct {
 	since time.Time
-	// revision is that of the list that lacked it.
+	// revision is the revision of the first list without the host.
 	revision uint64
 }
 
-// excluded reports whether this process must use nothing: it was replaced, or
-// the list has dropped it.
+// excluded reports whether this process must not use any shard, because it was
+// replaced or because the list has dropped it.
 func (m *Machine) excluded() bool {
 	if m.session.replaced {
 		return true
 	}
-	return m.listedAt != 0 && !m.roster.Listed(m.cfg.Host)
+	return m.listedRevision != 0 && !m.roster.Listed(m.cfg.Host)
 }
 
-// emit adds an action.
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// newID returns an identifier for a request.
+// newID returns a new request ID.
 func (m *Machine) newID() uint64 {
 	m.nextID++
 	return m.nextID
--- a/ownership/observe.go
+++ b/ownership/observe.go
@@ -6,22 +6,23 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// observed is another host's session as this machine sees it.
-type observed struct {
+// observedSession is the state of another host's session as seen by this
+// machine.
+type observedSession struct {
 	incarnation string
 	version     uint64
-	// stopping is set once it hands its shards over.
+	// stopping is set if the host is handing over its shards.
 	stopping bool
 	bounds   Bounds
-	// since is when this version was first seen.
-	since time.Time
+	// versionSince is when this version was first seen.
+	versionSince time.Time
 	// incarnationSince is when this incarnation was first seen.
 	incarnationSince time.Time
-	// lookedAt is when the row was last read, by a request sent at readSent.
-	lookedAt, readSent time.Time
+	// readAt is when the row was last read, by a request sent at readSentAt.
+	readAt, readSentAt time.Time
 }
 
-// observeSessions takes the session rows in.
+// observeSessions handles the rows of all sessions.
 func (m *Machine) observeSessions(now, sentAt time.Time, rows []infra.Row) {
 	own := infra.Row{}
 	present := make(map[string]bool, len(rows))
@@ -44,19 +45,19 @@
 	}
 }
 
-// observe takes one host's session row in, as found by a request sent at
-// sentAt; version 0 for its absence.
+// observe handles the session row of one host, read by a request sent at
+// sentAt. Version 0 means that there is no row.
 func (m *Machine) observe(now, sentAt time.Time, host string, row infra.Row) {
 	o := m.sessions[host]
 	if o == nil {
-		o = &observed{since: now, incarnationSince: now, version: row.Version}
+		o = &observedSession{versionSince: now, incarnationSince: now, version: row.Version}
 		m.sessions[host] = o
 	}
-	o.lookedAt = now
-	o.readSent = sentAt
+	o.readAt = now
+	o.readSentAt = sentAt
 	if row.Version != o.version {
 		o.version = row.Version
-		o.since = now
+		o.versionSince = now
 	}
 	value, err := DecodeSessionRow(row.Value)
 	if row.Version == 0 || err != nil {
@@ -71,7 +72,7 @@
 	o.incarnationSince = now
 }
 
-// shardSeen takes a shard's row in, as found by a request sent at sentAt.
+// shardSeen handles a shard's row, read by a request sent at sentAt.
 func (m *Machine) shardSeen(now, sentAt time.Time, row infra.Row) {
 	s := m.shard(shardOfKey(row.Key))
 	if row.Version < s.version {
@@ -90,32 +91,32 @@
 	m.adoptShard(now, s, value, row.Version)
 }
 
-// adoptShard takes a new row of a shard in.
+// adoptShard stores a new row of a shard.
 func (m *Machine) adoptShard(now time.Time, s *shardState, row ShardRow, version uint64) {
-	fresh := !s.exists() || row.Epoch != s.row.Epoch
+	newEpoch := !s.exists() || row.Epoch != s.row.Epoch
 	s.row = row
 	s.version = version
 	s.claim = nil
-	s.renamed = nil
-	s.renameDoubtful = false
-	s.wantedAt = time.Time{}
-	if !fresh {
+	s.pendingSuccessors = nil
+	s.successorsUncertain = false
+	s.vacantSince = time.Time{}
+	if !newEpoch {
 		return
 	}
-	s.begun = false
+	s.inUse = false
 	s.move = nil
 	s.promised = map[string]time.Time{}
-	if m.mine(s) {
-		m.owned(now, s)
-		m.news = append(m.news, s.told())
+	if m.owns(s) {
+		m.becameOwner(now, s)
+		m.pendingUpdates = append(m.pendingUpdates, s.ownerUpdate())
 	}
 }
 
-// owned takes in that a shard became this host's.
-func (m *Machine) owned(now time.Time, s *shardState) {
-	s.startAt = now
+// becameOwner handles a shard that this host has become the owner of.
+func (m *Machine) becameOwner(now time.Time, s *shardState) {
+	s.usableFrom = now
 	if s.endpoint && s.row.Seized && !m.flaws.noDrainWait {
-		s.startAt = now.Add(m.drainedOf(s.row.MaxRun))
+		s.usableFrom = now.Add(m.drainTimeOf(s.row.MaxRun))
 	}
 	kind := ShardOwned
 	if s.row.Seized {
@@ -128,13 +129,13 @@
 	m.emit(r)
 }
 
-// settleAbsent notes that shards without a row were looked for.
-func (m *Machine) settleAbsent(sentAt time.Time, rows []infra.Row) {
+// markAbsentRead records that a full read covered the shards without a row.
+func (m *Machine) markAbsentRead(sentAt time.Time, rows []infra.Row) {
 	present := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		present[shardOfKey(row.Key)] = true
 	}
-	for _, name := range m.names {
+	for _, name := range m.sortedShards {
 		s := m.shards[name]
 		if !s.exists() && !present[name] && sentAt.After(s.readAt) {
 			s.readAt = sentAt
--- a/ownership/outage_test.go
+++ b/ownership/outage_test.go
@@ -8,34 +8,35 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// TestTasksGoOnInOutage renews the task leases throughout an outage much longer
-// than a session and a task lease.
-func TestTasksGoOnInOutage(t *testing.T) {
-	gap := func(f flaws) time.Duration {
-		w := newWorld(1, 6, 4, f)
-		w.run(30 * time.Second)
-		w.storeDown = true
-		w.run(10 * time.Minute)
-		w.storeDown = false
-		w.run(30 * time.Second)
+// TestTaskLeasesRenewedInOutage checks that promises keep task leases renewed
+// during an outage of the table that is much longer than a session and a task
+// lease.
+func TestTaskLeasesRenewedInOutage(t *testing.T) {
+	maxGap := func(f flaws) time.Duration {
+		c := newSimCluster(1, 6, 4, f)
+		c.run(30 * time.Second)
+		c.tableDown = true
+		c.run(10 * time.Minute)
+		c.tableDown = false
+		c.run(30 * time.Second)
 		var worst time.Duration
-		for shard, s := range w.endpoints {
-			if w.wrong != "" {
-				t.Error(w.wrong)
+		for shard, s := range c.actualShards {
+			if c.violation != "" {
+				t.Error(c.violation)
 			}
 			if !roster.IsEndpointShard(shard) {
-				worst = max(worst, s.gap)
+				worst = max(worst, s.maxGap)
 			}
 		}
 		return worst
 	}
 	lease := settings.Default().Lease
-	with, without := gap(flaws{}), gap(flaws{neverPromise: true})
-	t.Logf("the longest time without a renewal is %v with promises, %v without", with, without)
+	with, without := maxGap(flaws{}), maxGap(flaws{neverPromise: true})
+	t.Logf("longest time between renewals: %v with promises, %v without", with, without)
 	if with > lease.TaskLease.D()/2 {
-		t.Error("tasks are stopped")
+		t.Error("with promises: task leases were not renewed for more than half of their length")
 	}
 	if without < lease.TaskLease.D() {
-		t.Error("tasks go on without promises: the check proves nothing")
+		t.Error("without promises: task leases were still renewed in time, so that the test has no effect")
 	}
 }
--- a/ownership/promise.go
+++ b/ownership/promise.go
@@ -5,64 +5,64 @@
 	"time"
 )
 
-// pendingAsk is a request to a peer whose reply is awaited.
+// pendingAsk is a request to a peer without a reply.
 type pendingAsk struct {
 	sentAt time.Time
 	host   string
-	// held are the shards of a request for a promise.
-	held []ShardEpoch
-	// stopped is set on a request for a confirmation.
+	// shards holds the shards of a request for a promise.
+	shards []ShardEpoch
+	// stopped is set for a request for confirmation that a process has stopped.
 	stopped *StoppedRequest
 }
 
-// askPromises asks the named successors for promises when the session was not
-// renewed in time. While the table answers, promises are not needed.
+// askPromises requests promises from the named successors if the session was
+// not renewed in time. While the table answers, promises are not needed.
 func (m *Machine) askPromises(now time.Time) {
-	late := m.cfg.renew() + m.cfg.renew()/2
-	if !m.session.written || m.excluded() || now.Sub(m.session.renewedAt) < late {
+	overdue := m.cfg.renew() + m.cfg.renew()/2
+	if !m.session.written || m.excluded() || now.Sub(m.session.renewedAt) < overdue {
 		return
 	}
-	if !m.askedPromise.IsZero() && now.Sub(m.askedPromise) < m.cfg.renew() {
+	if !m.promisesAskedAt.IsZero() && now.Sub(m.promisesAskedAt) < m.cfg.renew() {
 		return
 	}
-	held := m.heldBySuccessor()
-	hosts := make([]string, 0, len(held))
-	for h := range held {
+	shards := m.shardsBySuccessor()
+	hosts := make([]string, 0, len(shards))
+	for h := range shards {
 		hosts = append(hosts, h)
 	}
 	slices.Sort(hosts)
 	for _, h := range hosts {
 		id := m.newID()
-		m.asks[id] = pendingAsk{sentAt: now, host: h, held: held[h]}
-		m.emit(AskPromise{ID: id, Host: h, Request: PromiseRequest{Owner: m.self(), Shards: held[h]}})
+		m.asks[id] = pendingAsk{sentAt: now, host: h, shards: shards[h]}
+		m.emit(AskPromise{ID: id, Host: h, Request: PromiseRequest{Owner: m.self(), Shards: shards[h]}})
 	}
-	m.askedPromise = now
+	m.promisesAskedAt = now
 }
 
-// heldBySuccessor lists the shards in use by each successor.
-func (m *Machine) heldBySuccessor() map[string][]ShardEpoch {
-	held := map[string][]ShardEpoch{}
-	for _, name := range m.names {
+// shardsBySuccessor returns the shards in use, by possible successor.
+func (m *Machine) shardsBySuccessor() map[string][]ShardEpoch {
+	bySuccessor := map[string][]ShardEpoch{}
+	for _, name := range m.sortedShards {
 		s := m.shards[name]
-		if !m.mine(s) || !s.begun || s.move != nil {
+		if !m.owns(s) || !s.inUse || s.move != nil {
 			continue
 		}
-		for _, h := range s.mustPromise() {
-			held[h] = append(held[h], ShardEpoch{Shard: name, Epoch: s.row.Epoch})
+		for _, h := range s.possibleSuccessors() {
+			bySuccessor[h] = append(bySuccessor[h], ShardEpoch{Shard: name, Epoch: s.row.Epoch})
 		}
 	}
-	return held
+	return bySuccessor
 }
 
-// mustPromise returns everyone who may be named in the row: as it is known,
-// and as a write without a known result may have changed it.
-func (s *shardState) mustPromise() []string {
-	all := slices.Concat(s.row.Successors, s.renamed)
+// possibleSuccessors returns the hosts that the row may name: those of the
+// known row, and those of a write whose result is unknown.
+func (s *shardState) possibleSuccessors() []string {
+	all := slices.Concat(s.row.Successors, s.pendingSuccessors)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// PromiseReplied takes a reply to AskPromise in.
+// PromiseReplied handles a reply to AskPromise.
 func (m *Machine) PromiseReplied(now time.Time, id uint64, reply PromiseReply) []Action {
 	ask, ok := m.asks[id]
 	delete(m.asks, id)
@@ -72,15 +72,15 @@
 	refused := make(map[string]bool, len(reply.Refused))
 	for _, h := range reply.Refused {
 		refused[h.Shard] = true
-		if s := m.shard(h.Shard); m.mine(s) && h.Epoch > s.row.Epoch {
-			m.succeeded(s, h.Epoch)
+		if s := m.shard(h.Shard); m.owns(s) && h.Epoch > s.row.Epoch {
+			m.recordSuccessor(s, h.Epoch)
 		}
 	}
 	if !reply.Promised {
 		return m.step(now)
 	}
 	until := ask.sentAt.Add(m.cfg.Lease.Session.D())
-	for _, h := range ask.held {
+	for _, h := range ask.shards {
 		s := m.shard(h.Shard)
 		if !refused[h.Shard] && s.row.Epoch == h.Epoch && until.After(s.promised[ask.host]) {
 			s.promised[ask.host] = until
@@ -89,35 +89,35 @@
 	return m.step(now)
 }
 
-// AskFailed takes in that a peer did not reply.
+// AskFailed handles a request to a peer without a reply.
 func (m *Machine) AskFailed(now time.Time, id uint64) []Action {
 	delete(m.asks, id)
 	return m.step(now)
 }
 
-// PromiseAsked answers a peer's PromiseRequest. A process that has not read
-// the table yet promises nothing: an earlier process of its host may have
-// succeeded the asker.
+// PromiseAsked handles a peer's PromiseRequest and returns the reply. A process
+// that has not read the table yet gives no promise, since an earlier process of
+// its host may have succeeded the requester.
 func (m *Machine) PromiseAsked(now time.Time, req PromiseRequest) (PromiseReply, []Action) {
-	_, gone := m.dropped(now, req.Owner)
-	if !m.read.done || m.excluded() || gone || m.flaws.neverPromise {
+	_, isDropped := m.dropped(now, req.Owner)
+	if !m.read.done || m.excluded() || isDropped || m.flaws.neverPromise {
 		return PromiseReply{}, m.step(now)
 	}
 	reply := PromiseReply{Promised: true}
 	for _, h := range req.Shards {
 		s := m.shard(h.Shard)
-		newest := max(s.row.Epoch, s.stoppedBelow)
+		newest := max(s.row.Epoch, s.minUsableEpoch)
 		if newest > h.Epoch || s.claim != nil {
 			reply.Refused = append(reply.Refused, ShardEpoch{Shard: h.Shard, Epoch: newest})
 			continue
 		}
-		s.givenUntil = now.Add(m.lapseOf(req.Owner))
+		s.noClaimUntil = now.Add(m.lapseTimeOf(req.Owner))
 	}
-	for h, until := range m.given {
+	for h, until := range m.promisesGiven {
 		if !now.Before(until) {
-			delete(m.given, h)
+			delete(m.promisesGiven, h)
 		}
 	}
-	m.given[req.Owner.process()] = now.Add(m.lapseOf(req.Owner))
+	m.promisesGiven[req.Owner.process()] = now.Add(m.lapseTimeOf(req.Owner))
 	return reply, m.step(now)
 }
--- a/ownership/row.go
+++ b/ownership/row.go
@@ -8,94 +8,94 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// The prefixes of the table's keys.
+// Key prefixes in the table.
 const (
 	SessionPrefix = "session/"
 	ShardPrefix   = "shard/"
 )
 
-// SessionKey is the key of an entry host's session row.
+// SessionKey returns the key of an entry host's session row.
 func SessionKey(host string) string { return SessionPrefix + host }
 
-// ShardKey is the key of a shard's row.
+// ShardKey returns the key of a shard's row.
 func ShardKey(shard string) string { return ShardPrefix + shard }
 
 // SessionRow is the value of session/<host>.
 type SessionRow struct {
-	// Incarnation is the process that renews the session.
+	// Incarnation identifies the process that renews the session.
 	Incarnation string `msgpack:"i"`
-	// Counter rises with each renewal.
+	// Counter increases with each renewal.
 	Counter uint64 `msgpack:"c"`
-	// Stopping is set once the process hands its shards over, so that it is
-	// given none.
+	// Stopping is set once the process hands over its shards, so that other
+	// hosts don't give it any.
 	Stopping bool `msgpack:"t"`
 	Bounds   `msgpack:",inline"`
 }
 
-// Bounds are the times of a process that others count on. Hosts with other
-// settings go by the larger of these and their own.
+// Bounds are the durations of a process that other hosts rely on. A host with
+// different settings uses the larger of these and its own.
 type Bounds struct {
-	// Session is how long its session and promises to it last.
+	// Session is how long the session and promises to the process last.
 	Session time.Duration `msgpack:"l,omitempty"`
-	// MaxRun is the longest that an endpoint works on a request of its.
+	// MaxRun is the maximum time that an endpoint works on one of its requests.
 	MaxRun time.Duration `msgpack:"m,omitempty"`
 }
 
-// Holder names one process of one entry host.
+// Holder identifies one process of an entry host.
 type Holder struct {
 	Host        string `msgpack:"h"`
 	Incarnation string `msgpack:"i"`
-	// Revision is that of a membership list on which the host stood; only a
-	// newer list can drop it.
+	// Revision is the revision of a membership list that contained the host;
+	// only a newer list can drop it.
 	Revision uint64 `msgpack:"r"`
 	Bounds   `msgpack:",inline"`
 }
 
-// is reports whether both name the same process.
+// is reports whether h and o identify the same process.
 func (h Holder) is(o Holder) bool {
 	return h.Host == o.Host && h.Incarnation == o.Incarnation
 }
 
-// process returns the holder without all else, for use as a key.
+// process returns h with only its identity, for use as a map key.
 func (h Holder) process() Holder {
 	return Holder{Host: h.Host, Incarnation: h.Incarnation}
 }
 
 // ShardRow is the value of shard/<shard>.
 type ShardRow struct {
-	// Owner is who owns the shard; its Host is empty when it was released to
-	// nobody.
+	// Owner is the process that owns the shard. Its Host is empty if the shard
+	// was released to nobody.
 	Owner Holder `msgpack:"o"`
-	// Epoch rises by one with each change of owner.
+	// Epoch increases by one with each change of owner.
 	Epoch uint64 `msgpack:"e"`
-	// Seized is set when the owner took the shard from one that may still
-	// have requests in flight, rather than being given it.
+	// Seized is set if the owner took the shard over without a release, so that
+	// requests of an earlier owner may still be in flight.
 	Seized bool `msgpack:"z"`
-	// MaxRun is the longest that these requests may run.
+	// MaxRun is the maximum time that these requests may run.
 	MaxRun time.Duration `msgpack:"m,omitempty"`
-	// Unconfirmed is the previous owner while it is not known to have
-	// stopped; nil otherwise.
+	// Unconfirmed is the previous owner until it is known to have stopped; nil
+	// otherwise.
 	Unconfirmed *Holder `msgpack:"u"`
-	// Successors may take the shard over without the membership
-	// list's word, in this order.
+	// Successors may take over the shard in this order while the membership
+	// list still contains the owner.
 	Successors []string `msgpack:"s"`
 }
 
-// DecodeShardRow reads the value of a shard's row.
+// DecodeShardRow decodes the value of a shard's row.
 func DecodeShardRow(value []byte) (ShardRow, error) {
 	var r ShardRow
 	err := msgpack.Unmarshal(value, &r)
 	return r, errors.Wrap(err, "decode shard row")
 }
 
-// DecodeSessionRow reads the value of a session's row.
+// DecodeSessionRow decodes the value of a session's row.
 func DecodeSessionRow(value []byte) (SessionRow, error) {
 	var r SessionRow
 	err := msgpack.Unmarshal(value, &r)
 	return r, errors.Wrap(err, "decode session row")
 }
 
-// encode writes a row; its types always encode.
+// encode encodes a row. It panics on failure, which the row types exclude.
 func encode(row any) []byte {
 	value, err := msgpack.Marshal(row)
 	if err != nil {
@@ -104,8 +104,8 @@
 	return value
 }
 
-// shardOfKey returns the shard whose row has the key.
+// shardOfKey returns the shard of a row's key.
 func shardOfKey(key string) string { return strings.TrimPrefix(key, ShardPrefix) }
 
-// hostOfKey returns the host whose session row has the key.
+// hostOfKey returns the host of a session row's key.
 func hostOfKey(key string) string { return strings.TrimPrefix(key, SessionPrefix) }
--- a/ownership/session.go
+++ b/ownership/session.go
@@ -6,54 +6,55 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// sessionState is this host's own session.
+// sessionState is the state of this host's own session.
 type sessionState struct {
-	// known is set once the session row was read.
+	// known is set once the session row has been read.
 	known   bool
 	version uint64
 	counter uint64
-	// liveUntil is when the session lapses, counted from before the newest
-	// acknowledged renewal was sent.
+	// liveUntil is when the session lapses, counted from the sending of the
+	// newest acknowledged renewal.
 	liveUntil time.Time
 	// renewedAt is when that renewal was sent.
 	renewedAt time.Time
-	// openedAt is when the session was last found to live after it had not.
+	// openedAt is when the session was last opened, that is, renewed while it
+	// was not live.
 	openedAt time.Time
-	// sentAt is when each renewal without a known result was sent, by its
+	// sentAt holds the sending times of renewals without a known result, by
 	// counter.
 	sentAt map[uint64]time.Time
 	// lastSent is when the newest renewal was sent.
 	lastSent time.Time
 	inFlight bool
-	// again asks for a renewal at once.
-	again bool
-	// stopCounter is the first renewal that told of a planned stop, 0 for
-	// none; stopTold is set once it is known to have taken effect.
-	stopCounter uint64
-	stopTold    bool
-	// written is set once a renewal of this process took effect.
+	// renewNow requests an immediate renewal.
+	renewNow bool
+	// stopCounter is the counter of the first renewal that announced a planned
+	// stop, 0 for none; stopRecorded is set once that is known to have taken
+	// effect.
+	stopCounter  uint64
+	stopRecorded bool
+	// written is set once a renewal of this process has taken effect.
 	written bool
-	// replaced is set when a later process of the same host has taken the
-	// session.
+	// replaced is set if a later process of the same host holds the session.
 	replaced bool
 }
 
-// sessionLive reports whether the own session lives.
+// sessionLive reports whether this host's session is live.
 func (m *Machine) sessionLive(now time.Time) bool {
 	return !m.session.replaced && now.Before(m.session.liveUntil)
 }
 
-// renewSession sends a renewal when it is due.
+// renewSession sends a renewal if one is due.
 func (m *Machine) renewSession(now time.Time) {
 	s := &m.session
 	if !s.known || s.inFlight || s.replaced {
 		return
 	}
-	if !s.again && !s.lastSent.IsZero() && now.Sub(s.lastSent) < m.cfg.renew() {
+	if !s.renewNow && !s.lastSent.IsZero() && now.Sub(s.lastSent) < m.cfg.renew() {
 		return
 	}
 	s.counter++
-	s.again = false
+	s.renewNow = false
 	s.inFlight = true
 	s.lastSent = now
 	if s.sentAt == nil {
@@ -71,7 +72,7 @@
 	})
 }
 
-// sessionCommitted takes the result of a renewal.
+// sessionCommitted handles the result of a renewal.
 func (m *Machine) sessionCommitted(now time.Time, p pendingCommit, result infra.CommitResult) {
 	m.session.inFlight = false
 	switch result.Status {
@@ -84,13 +85,12 @@
 	case infra.CommitNotApplied:
 		delete(m.session.sentAt, p.counter)
 	case infra.CommitUnknown:
-		// The row tells, by its counter, when it is next read or when the
-		// next renewal conflicts with it.
+		// The result is known from the row's counter at the next read or
+		// conflict.
 	}
 }
 
-// ownSessionSeen takes the own session row in, as found by a read or as the
-// cause of a conflict.
+// ownSessionSeen handles this host's session row, from a read or a conflict.
 func (m *Machine) ownSessionSeen(now time.Time, row infra.Row) {
 	s := &m.session
 	if s.known && row.Version == s.version {
@@ -114,19 +114,19 @@
 		m.emit(Report{Kind: SessionReplaced})
 	default:
 		s.version = row.Version
-		s.again = true
+		s.renewNow = true
 	}
 	s.known = true
 }
 
-// adoptSession takes in that a renewal took effect.
+// adoptSession handles a renewal that took effect.
 func (m *Machine) adoptSession(now time.Time, version, counter uint64) {
 	s := &m.session
 	sentAt, ok := s.sentAt[counter]
 	if !ok {
-		// An old renewal, taken in before: only the version is news.
+		// The renewal was handled before; only the row's version is new.
 		s.version = version
-		s.again = true
+		s.renewNow = true
 		return
 	}
 	from := sentAt
@@ -140,7 +140,7 @@
 	}
 	s.version = version
 	s.written = true
-	s.stopTold = s.stopCounter != 0 && counter >= s.stopCounter
+	s.stopRecorded = s.stopCounter != 0 && counter >= s.stopCounter
 	s.renewedAt = from
 	s.liveUntil = from.Add(m.cfg.Lease.Session.D())
 	for c := range s.sentAt {
--- a/ownership/shardstate.go
+++ b/ownership/shardstate.go
@@ -7,84 +7,87 @@
 	"github.com/fireflygate/fireflygate/roster"
 )
 
-// shardState is what a Machine knows of one shard.
+// shardState is the machine's state of one shard.
 type shardState struct {
 	name     string
 	endpoint bool
 
-	// row and version are the newest known; version 0 means no row.
+	// row and version are the newest known row; version 0 means that there is
+	// no row.
 	row     ShardRow
 	version uint64
-	// readAt is when the newest request was sent that showed the row as it
-	// is known.
+	// readAt is when the newest request that confirmed this row was sent.
 	readAt time.Time
 
-	// lookFrom asks for a read of the row with this identifier or a later
-	// one; 0 for none.
-	lookFrom uint64
-	// hint is what a peer told of the shard's owner.
+	// minReadID requests a read of the row with this ID or a later one; 0 for
+	// none.
+	minReadID uint64
+	// hint is the newest owner update from a peer.
 	hint OwnerUpdate
-	// givenUntil is until when this host promised not to claim the shard.
-	givenUntil time.Time
+	// noClaimUntil is the time until which this host promised not to claim the
+	// shard.
+	noClaimUntil time.Time
 
-	// wantedAt is when the shard was first seen without an owner.
-	wantedAt time.Time
-	// startAt is the earliest use under the epoch owned.
-	startAt time.Time
-	// begun is set once the shard was used under the epoch owned.
-	begun bool
-	// stoppedBelow is an epoch below which nothing may be used any more,
-	// because a newer owner is known.
-	stoppedBelow uint64
-	// usedEpoch is the newest epoch under which requests may be in flight;
-	// 0 once they are known to be over.
+	// vacantSince is when the shard was first seen without an owner.
+	vacantSince time.Time
+	// usableFrom is the earliest time of use under the owned epoch.
+	usableFrom time.Time
+	// inUse is set once the shard is used under the owned epoch.
+	inUse bool
+	// minUsableEpoch is the lowest epoch that may be used; a newer owner exists
+	// for lower ones.
+	minUsableEpoch uint64
+	// usedEpoch is the newest epoch under which requests may be in flight; 0
+	// for none.
 	usedEpoch uint64
-	// drainAsked is the epoch whose end of use was last asked for.
-	drainAsked uint64
+	// drainRequested is the epoch for which a drain was last requested.
+	drainRequested uint64
 	// previousStopped is the epoch whose unconfirmed previous owner has
 	// confirmed that it stopped.
 	previousStopped uint64
-	// askedStopped is when the previous owner was last asked.
-	askedStopped time.Time
+	// stoppedAskedAt is when the previous owner was last asked whether it has
+	// stopped.
+	stoppedAskedAt time.Time
 
-	// commit is the transaction under way on the row, 0 for none.
+	// commit is the ID of the transaction in flight on the row; 0 for none.
 	commit uint64
-	// triedAt is when the newest write of the row was sent.
-	triedAt time.Time
-	// claim is a claim that may still take effect, nil if none.
+	// lastWriteAt is when the newest write of the row was sent.
+	lastWriteAt time.Time
+	// claim is a claim that may still take effect; nil for none.
 	claim *claim
-	// renamed are successors written to the row but not yet confirmed.
-	renamed []string
-	// renameDoubtful is set when such a write may still take effect.
-	renameDoubtful bool
+	// pendingSuccessors are successors in a write of the row without a known
+	// result.
+	pendingSuccessors []string
+	// successorsUncertain is set if such a write may still take effect.
+	successorsUncertain bool
 
-	// move is the release under way, nil if none.
+	// move is the move in progress; nil for none.
 	move *move
-	// promised is until when each successor promised.
+	// promised holds the time until which each successor has promised not to
+	// claim the shard.
 	promised map[string]time.Time
 }
 
 // claim is a claim of a shard that may take effect.
 type claim struct {
 	sentAt time.Time
-	// doubtful is set once the result of an attempt was lost.
-	doubtful bool
-	// condition is the lapsed session that the newest attempt depends on,
-	// nil if none.
+	// uncertain is set once the result of an attempt was lost.
+	uncertain bool
+	// condition is the condition on the lapsed session in the newest attempt;
+	// nil for none.
 	condition *infra.Condition
 }
 
 // move is a planned release of a shard.
 type move struct {
-	// to is the host that gets it; empty for nobody.
+	// to is the host that gets the shard; empty for none.
 	to string
 	// drained is set once nothing is in flight.
 	drained bool
-	// sent is set once a release may have taken effect.
-	sent bool
+	// maybeReleased is set once a release may have taken effect.
+	maybeReleased bool
 }
 
-// newShardState returns the state of a shard of which nothing is known.
 func newShardState(name string) *shardState {
 	return &shardState{
 		name:     name,
@@ -93,7 +96,7 @@
 	}
 }
 
-// inFlightBound is the longest that requests of owners so far may run.
+// inFlightBound is the maximum time that requests of all owners so far may run.
 func (s *shardState) inFlightBound() time.Duration {
 	bound := s.row.Owner.MaxRun
 	if s.row.Seized {
@@ -102,5 +105,5 @@
 	return bound
 }
 
-// exists reports whether the shard's row is known.
+// exists reports whether a row of the shard is known.
 func (s *shardState) exists() bool { return s.version != 0 }
--- a/ownership/share.go
+++ b/ownership/share.go
@@ -1,16 +1,16 @@
 package ownership
 
-// Share is the part of a shard's capacity that an entry host may use.
+// Share is the share of a shard's capacity that an entry host may use.
 type Share uint8
 
-// The shares, smallest first.
+// The shares in increasing order.
 const (
 	None Share = iota
 	Half
 	Full
 )
 
-// String returns the share as it is written in logs and JSON.
+// String returns the form used in logs and JSON.
 func (s Share) String() string {
 	switch s {
 	case Half:
@@ -22,7 +22,7 @@
 	}
 }
 
-// Of returns how many of n slots the share allows; a half is rounded down.
+// Of returns how many of n slots the share allows. Half is rounded down.
 func (s Share) Of(n int) int {
 	switch s {
 	case Half:
--- a/ownership/simhost_test.go
+++ b/ownership/simhost_test.go
@@ -10,13 +10,13 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// simHost is one entry host: a machine, its clock, and a traffic path that
-// always has more to send than it may.
+// simHost simulates an entry host: a machine, its clock, and a traffic path
+// that always has more requests than its grants allow.
 type simHost struct {
-	w    *world
-	name string
-	zone string
-	rate float64
+	c         *simCluster
+	name      string
+	zone      string
+	clockRate float64
 	// lease and maxRun are this host's settings.
 	lease  settings.Lease
 	maxRun time.Duration
@@ -25,22 +25,22 @@
 	incarnation int
 	machine     *Machine
 	roster      roster.Roster
-	newest      infra.MemberList
-	// pausedUntil is when a pause ends.
-	pausedUntil time.Time
-	storeCut    bool
-	readsCut    bool
-	// deaf is the chance in percent that an answer to a write is lost.
-	deaf int
-	// open counts requests that this process knows to be in its window or
-	// at endpoints; writing those in the window alone.
+	newestList  infra.MemberList
+	// pausedUntil is when the current pause of the process ends.
+	pausedUntil      time.Time
+	tablePartitioned bool
+	readsFail        bool
+	// ackLossPercent is the probability that the answer to a write is lost.
+	ackLossPercent int
+	// open counts the requests of this process that are in its write window or
+	// at endpoints; writing counts those in the window.
 	open, writing map[string]int
 }
 
-// clock is this host's monotonic clock.
+// clock returns the time of this host's monotonic clock.
 func (h *simHost) clock() time.Time {
-	past := h.w.now.Sub(time.Unix(0, 0))
-	return time.Unix(0, 0).Add(time.Duration(float64(past) * h.rate))
+	elapsed := h.c.now.Sub(time.Unix(0, 0))
+	return time.Unix(0, 0).Add(time.Duration(float64(elapsed) * h.clockRate))
 }
 
 // start starts a new process.
@@ -54,75 +54,78 @@
 		Host: h.name, Incarnation: fmt.Sprintf("%s-%033d", h.name, h.incarnation),
 		Lease: h.lease, MaxRun: h.maxRun,
 	}, h.clock())
-	h.machine.flaws = h.w.flaws
-	h.readList(0, h.newest)
+	h.machine.flaws = h.c.flaws
+	h.readList(0, h.newestList)
 	h.tick()
 	h.traffic()
 }
 
-// readList has the host read a list after a lag.
+// readList delivers a membership list to the host after a lag.
 func (h *simHost) readList(lag time.Duration, list infra.MemberList) {
-	h.w.after(lag, func() {
-		if list.Revision < h.newest.Revision {
+	h.c.after(lag, func() {
+		if list.Revision < h.newestList.Revision {
 			return
 		}
-		h.newest = list
-		h.later(0, func() {
-			h.roster = roster.Build(h.roster, h.newest, h.lease)
-			h.do(h.machine.SetRoster(h.clock(), h.roster))
+		h.newestList = list
+		h.runLater(0, func() {
+			h.roster = roster.Build(h.roster, h.newestList, h.lease)
+			h.execute(h.machine.SetRoster(h.clock(), h.roster))
 		})
 	})
 }
 
-// later has this process do something, after its pause if it is paused, and
-// not at all if it dies before.
-func (h *simHost) later(d time.Duration, do func()) {
+// runLater schedules a function of this process. It is delayed by a pause, and
+// not called if the process has ended.
+func (h *simHost) runLater(d time.Duration, do func()) {
 	incarnation := h.incarnation
-	h.w.after(d, func() {
+	h.c.after(d, func() {
 		if !h.alive || h.incarnation != incarnation {
 			return
 		}
-		if h.w.now.Before(h.pausedUntil) {
-			h.later(h.pausedUntil.Sub(h.w.now), do)
+		if h.c.now.Before(h.pausedUntil) {
+			h.runLater(h.pausedUntil.Sub(h.c.now), do)
 			return
 		}
 		do()
 	})
 }
 
-// tick lets time pass for the machine, again and again.
+// tick calls the machine's Tick periodically.
 func (h *simHost) tick() {
-	h.later(h.lease.Renew.D()/4, func() {
-		h.do(h.machine.Tick(h.clock()))
+	h.runLater(h.lease.Renew.D()/4, func() {
+		h.execute(h.machine.Tick(h.clock()))
 		h.tick()
 	})
 }
 
-// do carries actions out.
-func (h *simHost) do(actions []Action) {
+// execute performs actions.
+func (h *simHost) execute(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Commit:
-			h.commit(a.Tx, func(r infra.CommitResult) { h.do(h.machine.Committed(h.clock(), a.ID, r)) })
+			h.commit(a.Tx, func(r infra.CommitResult) { h.execute(h.machine.Committed(h.clock(), a.ID, r)) })
 		case Read:
 			h.read(a)
 		case AskPromise:
 			var reply PromiseReply
 			h.call(a.Host, func(p *simHost) { reply = p.promise(a.Request) },
-				func() { h.do(h.machine.PromiseReplied(h.clock(), a.ID, reply)) },
-				func() { h.do(h.machine.AskFailed(h.clock(), a.ID)) })
+				func() { h.execute(h.machine.PromiseReplied(h.clock(), a.ID, reply)) },
+				func() { h.execute(h.machine.AskFailed(h.clock(), a.ID)) })
 		case AskStopped:
 			var reply StoppedReply
 			h.call(a.Host, func(p *simHost) { reply = p.stopped(a.Request) },
-				func() { h.do(h.machine.StoppedReplied(h.clock(), a.ID, reply)) },
-				func() { h.do(h.machine.AskFailed(h.clock(), a.ID)) })
+				func() { h.execute(h.machine.StoppedReplied(h.clock(), a.ID, reply)) },
+				func() { h.execute(h.machine.AskFailed(h.clock(), a.ID)) })
 		case Notify:
-			h.call(a.Host, func(p *simHost) { h.w.told += len(a.Updates) * 60; p.do(p.machine.Notified(p.clock(), a.Updates)) }, func() {}, func() {})
+			h.call(a.Host, func(p *simHost) {
+				h.c.notifyBytes += len(a.Updates) * 60
+				p.execute(p.machine.Notified(p.clock(), a.Updates))
+			}, func() {}, func() {})
 		case Drain:
 			h.drain(a)
 		case Report:
 			if a.Kind == ShardSeized {
-				h.w.seizures++
+				h.c.seizures++
 			}
 		}
 	}
@@ -130,31 +133,32 @@
 
 func (h *simHost) promise(r PromiseRequest) PromiseReply {
 	reply, actions := h.machine.PromiseAsked(h.clock(), r)
-	h.do(actions)
+	h.execute(actions)
 	return reply
 }
 
 func (h *simHost) stopped(r StoppedRequest) StoppedReply {
 	reply, actions := h.machine.StoppedAsked(h.clock(), r)
-	h.do(actions)
+	h.execute(actions)
 	return reply
 }
 
-// storeFails decides what becomes of a request to the table.
-func (h *simHost) storeFails() bool { return h.w.storeDown || h.storeCut }
+// tableFails reports whether requests to the table fail.
+func (h *simHost) tableFails() bool { return h.c.tableDown || h.tablePartitioned }
 
-// delay is the time of one way to the table or a peer, sometimes long.
+// delay returns a random one-way network delay, occasionally a long one.
 func (h *simHost) delay() time.Duration {
-	if h.w.chance(2) {
-		return h.w.between(100, 3000)
+	if h.c.chance(2) {
+		return h.c.between(100, 3000)
 	}
-	return h.w.between(1, 20)
+	return h.c.between(1, 20)
 }
 
-// once passes the first of a result and a timeout on.
-func (h *simHost) once(timeout time.Duration, expired func()) func(func()) {
+// firstOf returns a function that calls its argument unless the timeout has
+// expired or it was called before.
+func (h *simHost) firstOf(timeout time.Duration, expired func()) func(func()) {
 	done := false
-	h.later(timeout, func() {
+	h.runLater(timeout, func() {
 		if !done {
 			done = true
 			expired()
@@ -168,87 +172,90 @@
 	}
 }
 
-// commit sends a transaction. It may take effect though the answer is lost or
-// comes too late.
+// commit sends a transaction. It may take effect even if its answer is lost or
+// late.
 func (h *simHost) commit(tx infra.Transaction, done func(infra.CommitResult)) {
-	h.w.writes++
-	first := h.once(time.Second, func() { done(infra.CommitResult{}) })
-	h.w.after(h.delay(), func() {
-		if h.storeFails() {
-			if h.w.chance(50) {
-				h.later(0, func() { first(func() { done(infra.CommitResult{Status: infra.CommitNotApplied}) }) })
+	h.c.writes++
+	first := h.firstOf(time.Second, func() { done(infra.CommitResult{}) })
+	h.c.after(h.delay(), func() {
+		if h.tableFails() {
+			if h.c.chance(50) {
+				h.runLater(0, func() { first(func() { done(infra.CommitResult{Status: infra.CommitNotApplied}) }) })
 			}
 			return
 		}
-		result := h.w.table.commit(tx)
+		result := h.c.table.commit(tx)
 		if result.Status == infra.CommitApplied {
-			h.w.ownersChanged(tx)
+			h.c.ownersChanged(tx)
 		}
-		if h.w.chance(h.w.lossy) || h.w.chance(h.deaf) {
+		if h.c.chance(h.c.lossPercent) || h.c.chance(h.ackLossPercent) {
 			return
 		}
-		h.later(h.delay(), func() { first(func() { done(result) }) })
+		h.runLater(h.delay(), func() { first(func() { done(result) }) })
 	})
 }
 
-// read scans the sessions, then the shards; or gets rows, then scans a page.
+// read scans the sessions and then the shards, or gets rows by key and then
+// scans a page of shards.
 func (h *simHost) read(a Read) {
-	first := h.once(time.Second, func() { h.do(h.machine.ReadFailed(h.clock(), a.ID)) })
-	h.w.after(h.delay(), func() {
-		var one, two []infra.Row
+	first := h.firstOf(time.Second, func() { h.execute(h.machine.ReadFailed(h.clock(), a.ID)) })
+	h.c.after(h.delay(), func() {
+		var found, shards []infra.Row
 		if a.Full {
-			one = h.w.table.scan(SessionPrefix)
+			found = h.c.table.scan(SessionPrefix)
 		} else {
-			one = h.w.table.get(a.Keys)
+			found = h.c.table.get(a.Keys)
 		}
-		if len(one) > 0 {
-			h.w.reads++
+		if len(found) > 0 {
+			h.c.reads++
 		}
-		h.w.after(h.delay(), func() {
-			h.w.reads++
-			two = h.w.table.scan(ShardPrefix)
+		h.c.after(h.delay(), func() {
+			h.c.reads++
+			shards = h.c.table.scan(ShardPrefix)
 			if !a.Full {
-				two = slices.DeleteFunc(two, func(r infra.Row) bool { return r.Key <= a.After })
-				two = two[:min(a.Limit, len(two))]
+				shards = slices.DeleteFunc(shards, func(r infra.Row) bool { return r.Key <= a.After })
+				shards = shards[:min(a.Limit, len(shards))]
 			}
-			h.w.readBytes += sizeOf(one) + sizeOf(two)
-			if h.storeFails() || h.readsCut || h.w.readsDown || h.w.chance(h.w.lossy) {
+			h.c.readBytes += sizeOf(found) + sizeOf(shards)
+			if h.tableFails() || h.readsFail || h.c.readsDown || h.c.chance(h.c.lossPercent) {
 				return
 			}
-			h.later(h.delay(), func() {
+			h.runLater(h.delay(), func() {
 				first(func() {
 					if a.Full {
-						h.do(h.machine.RowsRead(h.clock(), a.ID, one, two))
+						h.execute(h.machine.RowsRead(h.clock(), a.ID, found, shards))
 						return
 					}
-					h.do(h.machine.KeysRead(h.clock(), a.ID, one, two, a.Limit))
+					h.execute(h.machine.KeysRead(h.clock(), a.ID, found, shards, a.Limit))
 				})
 			})
 		})
 	})
 }
 
-// call asks a peer.
+// call sends a request to a peer.
 func (h *simHost) call(to string, handle func(*simHost), answered, failed func()) {
-	first := h.once(time.Second, failed)
-	for _, p := range h.w.hosts {
+	first := h.firstOf(time.Second, failed)
+	for _, p := range h.c.hosts {
 		if p.name != to {
 			continue
 		}
-		h.w.after(h.delay(), func() {
-			if h.w.isCut(h.name, p.name) {
+		h.c.after(h.delay(), func() {
+			if h.c.partitioned(h.name, p.name) {
 				return
 			}
-			p.later(0, func() {
+			p.runLater(0, func() {
 				handle(p)
-				if h.w.isCut(h.name, p.name) || h.w.chance(h.w.lossy) {
+				if h.c.partitioned(h.name, p.name) || h.c.chance(h.c.lossPercent) {
 					return
 				}
-				h.later(h.delay(), func() { first(answered) })
+				h.runLater(h.delay(), func() { first(answered) })
 			})
 		})
 	}
 }
 
-// isCut reports whether two hosts cannot talk.
-func (w *world) isCut(a, b string) bool { return w.cut[[2]string{min(a, b), max(a, b)}] }
+// partitioned reports whether two hosts cannot communicate.
+func (c *simCluster) partitioned(a, b string) bool {
+	return c.partitions[[2]string{min(a, b), max(a, b)}]
+}
--- a/ownership/simtraffic_test.go
+++ b/ownership/simtraffic_test.go
@@ -8,10 +8,10 @@
 	"github.com/fireflygate/fireflygate/roster"
 )
 
-// traffic sends as much as the grants allow, again and again.
+// traffic periodically sends as much as the grants allow.
 func (h *simHost) traffic() {
-	h.later(h.w.between(50, 250), func() {
-		if h.w.idle {
+	h.runLater(h.c.between(50, 250), func() {
+		if h.c.noTraffic {
 			return
 		}
 		for _, shard := range h.shardNames() {
@@ -22,129 +22,131 @@
 			if roster.IsEndpointShard(shard) {
 				h.dispatch(g)
 			} else {
-				h.work(g)
+				h.commitAsOwner(g)
 			}
 		}
 		h.traffic()
 	})
 }
 
-// shardNames lists the machine's shards in order.
-func (h *simHost) shardNames() []string { return h.machine.names }
+// shardNames returns the names of the machine's shards in order.
+func (h *simHost) shardNames() []string { return h.machine.sortedShards }
 
-// dispatch fills the slots that a grant allows. At most half are between the
-// check of the grant and the end of the write.
+// dispatch uses all slots that a grant allows, with at most half of them
+// between the check of the grant and the end of the write.
 func (h *simHost) dispatch(g Grant) {
 	for h.open[g.Shard] < g.At(h.clock()).Of(simSlots) && h.writing[g.Shard] < simSlots/2 {
 		h.open[g.Shard]++
 		h.writing[g.Shard]++
 		incarnation := h.incarnation
 		// A pause between the check and the write delays the write.
-		h.later(h.w.between(0, 5), func() {
+		h.runLater(h.c.between(0, 5), func() {
 			h.writing[g.Shard]--
 			h.send(g.Shard, incarnation)
 		})
 	}
 }
 
-// send has the endpoint run a request, also when this process dies.
+// send simulates a request at an endpoint. It continues if the sending process
+// ends.
 func (h *simHost) send(shard string, incarnation int) {
-	truth := h.w.truth(shard)
-	truth.running++
-	h.w.dispatches++
-	if truth.running > simSlots {
-		h.w.fail("%s runs %d requests, capacity %d", shard, truth.running, simSlots)
+	actual := h.c.actual(shard)
+	actual.running++
+	h.c.dispatches++
+	if actual.running > simSlots {
+		h.c.fail("shard %s runs %d requests, capacity %d", shard, actual.running, simSlots)
 	}
-	runs := h.maxRun
-	if !h.w.bursts && h.w.chance(50) {
-		runs = time.Duration(h.w.rand.Int64N(int64(h.maxRun)))
+	runTime := h.maxRun
+	if !h.c.maxLengthRequests && h.c.chance(50) {
+		runTime = time.Duration(h.c.rand.Int64N(int64(h.maxRun)))
 	}
-	h.w.after(runs, func() {
-		truth.running--
+	h.c.after(runTime, func() {
+		actual.running--
 		if h.alive && h.incarnation == incarnation {
 			h.open[shard]--
 		}
 	})
 }
 
-// drain waits until nothing of a shard is open.
+// drain waits until no request of a shard is open.
 func (h *simHost) drain(a Drain) {
-	h.later(10*time.Millisecond, func() {
+	h.runLater(10*time.Millisecond, func() {
 		if h.open[a.Shard] > 0 {
 			h.drain(a)
 			return
 		}
-		h.do(h.machine.Drained(h.clock(), a.Shard, a.Epoch))
+		h.execute(h.machine.Drained(h.clock(), a.Shard, a.Epoch))
 	})
 }
 
-// simSendTime bounds the time from the check of a grant to the sending of the
-// task leases that it lets renew.
+// simSendTime is the maximum time from the check of a grant to the sending of
+// the task leases that it permits to be renewed.
 const simSendTime = time.Second
 
-// leasesRenewed begins the finding of a late renewal.
+// leasesRenewed is the prefix of a violation caused by a late renewal.
 const leasesRenewed = "task leases renewed"
 
-// renewTasks sends a renewal of a worker shard's task leases to its workers,
-// who know nothing of owners that they have not heard of.
+// renewTasks sends a renewal of a worker shard's task leases. Workers accept it
+// unless they have received a message of a later owner.
 func (h *simHost) renewTasks(g Grant) {
 	deadline := h.clock().Add(simSendTime)
 	h.open[g.Shard]++
-	h.later(h.w.between(0, 5), func() {
+	h.runLater(h.c.between(0, 5), func() {
 		h.open[g.Shard]--
 		if h.clock().After(deadline) {
 			return
 		}
-		truth := h.w.truth(g.Shard)
+		actual := h.c.actual(g.Shard)
 		late := time.Duration(float64(simSendTime) * (1 + h.lease.ClockRate))
-		if g.Epoch < truth.owned && h.w.now.Sub(truth.ownedAt) > late {
-			h.w.fail("%s: %s under epoch %d, %v after that of %d began", g.Shard, leasesRenewed, g.Epoch, h.w.now.Sub(truth.ownedAt), truth.owned)
+		if g.Epoch < actual.rowEpoch && h.c.now.Sub(actual.rowEpochAt) > late {
+			h.c.fail("shard %s: %s under epoch %d, %v after epoch %d began", g.Shard, leasesRenewed, g.Epoch, h.c.now.Sub(actual.rowEpochAt), actual.rowEpoch)
 		}
-		if g.Epoch < truth.owned {
-			h.w.lateRenewals++
+		if g.Epoch < actual.rowEpoch {
+			h.c.lateRenewals++
 		}
-		h.w.renewals++
-		truth.gap = max(truth.gap, h.w.now.Sub(truth.renewedAt))
-		truth.renewedAt = h.w.now
+		h.c.renewals++
+		actual.maxGap = max(actual.maxGap, h.c.now.Sub(actual.renewedAt))
+		actual.renewedAt = h.c.now
 	})
 }
 
-// ownersChanged notes the owners that a transaction has given shards.
-func (w *world) ownersChanged(tx infra.Transaction) {
+// ownersChanged records the owners set by a transaction.
+func (c *simCluster) ownersChanged(tx infra.Transaction) {
 	for _, wr := range tx.Writes {
 		row, err := DecodeShardRow(wr.Value)
 		if err != nil || !strings.HasPrefix(wr.Key, ShardPrefix) {
 			continue
 		}
-		truth := w.truth(shardOfKey(wr.Key))
-		if row.Epoch > truth.owned {
-			truth.owned = row.Epoch
-			truth.ownedAt = w.now
+		actual := c.actual(shardOfKey(wr.Key))
+		if row.Epoch > actual.rowEpoch {
+			actual.rowEpoch = row.Epoch
+			actual.rowEpochAt = c.now
 		}
 	}
 }
 
-// work commits to the table as the owner of a worker shard.
-func (h *simHost) work(g Grant) {
+// commitAsOwner renews task leases and commits to the table as the owner of a
+// worker shard.
+func (h *simHost) commitAsOwner(g Grant) {
 	if g.At(h.clock()) != Full {
 		return
 	}
 	h.renewTasks(g)
 	tx := infra.Transaction{Conditions: []infra.Condition{{Key: ShardKey(g.Shard), Version: g.Version}}}
-	if h.w.unfenced {
+	if h.c.unfenced {
 		tx.Conditions = nil
 	}
-	h.later(h.w.between(0, 5), func() {
-		h.w.after(h.delay(), func() {
-			if h.storeFails() || h.w.table.commit(tx).Status != infra.CommitApplied {
+	h.runLater(h.c.between(0, 5), func() {
+		h.c.after(h.delay(), func() {
+			if h.tableFails() || h.c.table.commit(tx).Status != infra.CommitApplied {
 				return
 			}
-			h.w.commits++
-			truth := h.w.truth(g.Shard)
-			if g.Epoch < truth.epoch {
-				h.w.fail("%s: commit of epoch %d after one of %d", g.Shard, g.Epoch, truth.epoch)
+			h.c.commits++
+			actual := h.c.actual(g.Shard)
+			if g.Epoch < actual.commitEpoch {
+				h.c.fail("shard %s: commit under epoch %d after one under epoch %d", g.Shard, g.Epoch, actual.commitEpoch)
 			}
-			truth.epoch = g.Epoch
+			actual.commitEpoch = g.Epoch
 		})
 	})
 }
