--- a/infra/members.go
+++ b/infra/members.go
@@ -35,9 +35,9 @@
 	State   MemberState `json:"state"`
 	// Service is the service that an endpoint belongs to.
 	Service string `json:"service,omitempty"`
-	// Slots is how many requests an endpoint serves at once.
+	// Slots is the number of requests an endpoint serves concurrently.
 	Slots int `json:"slots,omitempty"`
-	// Connections is how many connections an endpoint accepts.
+	// Connections is the number of connections an endpoint accepts.
 	Connections int `json:"connections,omitempty"`
 	// Capacity is the total resources of a worker.
 	Capacity Resources `json:"capacity,omitzero"`
