--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -18,7 +18,7 @@
 	w.setClock(now, a.ClockMS)
 	r := w.runs[o.Start.Task]
 	if r == nil || r.number != o.Start.Run || r.confirmed || r.phase == uncertain {
-		return false // a report has already settled this run
+		return false // a report has already resolved this start
 	}
 	// The run may have been ordered to stop meanwhile. A start that was never
 	// carried out reports no end, so its reservation is released here.
--- a/dispatch/membership_test.go
+++ b/dispatch/membership_test.go
@@ -72,8 +72,9 @@
 	}
 }
 
-// TestWorkerOfUnusedPoolIsIgnored checks that workers of a pool without a queue
-// are ignored, and those that serve open jobs of a removed queue kept.
+// TestWorkerOfUnusedPoolIsIgnored checks that a worker of a pool without a
+// queue is ignored, and that a worker stays known for the open jobs of a
+// removed queue.
 func TestWorkerOfUnusedPoolIsIgnored(t *testing.T) {
 	r := newRig(t, 1)
 	foreign := workerInfo("foreign")
--- a/dispatch/runlocation_test.go
+++ b/dispatch/runlocation_test.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// TestRefusedStartIsPlacedElsewhere checks that such a task starts elsewhere
-// once the store no longer names the first worker.
+// TestRefusedStartIsPlacedElsewhere checks that a task whose start was refused
+// during the commit that records its worker starts elsewhere once the store no
+// longer names that worker.
 func TestRefusedStartIsPlacedElsewhere(t *testing.T) {
 	r, _, b := refusedDuringCommit(t)
 	r.apply(b)
--- a/dispatch/settle_test.go
+++ b/dispatch/settle_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestBestEffortSettlesAfterTailWindow checks that a worker is polled often
-// until a new best-effort run has been in the tails for a full window, and
-// rarely after that.
+// until a new best-effort run has lasted for a full tail window, and rarely
+// after that.
 func TestBestEffortSettlesAfterTailWindow(t *testing.T) {
 	r, serving, bestEffort := startBestEffort(t)
 	running := active(bestEffort)
--- a/dispatch/state_test.go
+++ b/dispatch/state_test.go
@@ -143,8 +143,9 @@
 	r.wantState("job", workload.Complete)
 }
 
-// TestTakeOverOfLostWorker checks that such tasks start once all leases of the
-// earlier owner have expired.
+// TestTakeOverOfLostWorker checks that after a takeover the tasks of an
+// unresponsive worker start elsewhere once all leases of the earlier owner have
+// expired.
 func TestTakeOverOfLostWorker(t *testing.T) {
 	r := newRig(t, 2)
 	r.submit(queueShort, "job", step(1, 4))
--- a/dispatch/unanswered_test.go
+++ b/dispatch/unanswered_test.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// TestStoppedRunStillReported checks that such a run keeps its reservation
-// while its worker reports it, and is stopped again.
+// TestStoppedRunStillReported checks that a run that was stopped before its
+// start timed out keeps its reservation while its worker reports it, and is
+// stopped again.
 func TestStoppedRunStillReported(t *testing.T) {
 	r := newRig(t, 2)
 	_, copied := r.stopCopyEarly()
--- a/dispatch/workersnapshot.go
+++ b/dispatch/workersnapshot.go
@@ -20,31 +20,31 @@
 }
 
 // LogValue implements slog.LogValuer.
-func (e WorkerSnapshot) LogValue() slog.Value {
+func (s WorkerSnapshot) LogValue() slog.Value {
 	attrs := []slog.Attr{
-		slog.Int64("free_milli_cpu", e.FreeMilliCPU), slog.Int64("report_age_ms", e.ReportAge.Milliseconds()),
+		slog.Int64("free_milli_cpu", s.FreeMilliCPU), slog.Int64("report_age_ms", s.ReportAge.Milliseconds()),
 	}
-	if e.Serving > 0 {
-		attrs = append(attrs, slog.Int("serving", e.Serving), slog.Float64("least_slack", e.MinSlack))
+	if s.Serving > 0 {
+		attrs = append(attrs, slog.Int("serving", s.Serving), slog.Float64("least_slack", s.MinSlack))
 	}
-	if e.BestEffort > 0 {
-		attrs = append(attrs, slog.Int("fillers", e.BestEffort))
+	if s.BestEffort > 0 {
+		attrs = append(attrs, slog.Int("fillers", s.BestEffort))
 	}
 	return slog.GroupValue(attrs...)
 }
 
 func (w *worker) snapshot(now time.Time) WorkerSnapshot {
-	e := WorkerSnapshot{FreeMilliCPU: w.free.MilliCPU, ReportAge: now.Sub(w.polledAt)}
-	e.Serving, e.BestEffort = w.counts.serving, w.counts.bestEffort
+	s := WorkerSnapshot{FreeMilliCPU: w.free.MilliCPU, ReportAge: now.Sub(w.polledAt)}
+	s.Serving, s.BestEffort = w.counts.serving, w.counts.bestEffort
 	for _, r := range w.runsByNumber {
 		target := r.task.step.spec.TailTarget
 		if target <= 0 || r.percent < 100 || r.usage <= 0 {
 			continue
 		}
 		slack := float64(target.Milliseconds()) / float64(r.usage)
-		if e.MinSlack == 0 || slack < e.MinSlack {
-			e.MinSlack = slack
+		if s.MinSlack == 0 || slack < s.MinSlack {
+			s.MinSlack = slack
 		}
 	}
-	return e
+	return s
 }
