--- a/colocate/doc.go
+++ b/colocate/doc.go
@@ -1,16 +1,16 @@
-// Package colocate decides which tasks that fill what others leave may run
-// beside tasks that serve users, and what to do when a tail grows. It is pure.
+// Package colocate decides which best-effort tasks may share a worker with
+// serving tasks, and limits, pauses or migrates them when a tail latency
+// grows. It is pure.
 //
-// The load it answers is fillers in number and serving tasks on most workers:
-// there is no room to keep them apart, but only some pairs of images disturb
-// each other, and a task's own load takes it near its target at times.
+// It targets deployments in which serving tasks run on most workers, so that
+// best-effort tasks can't be kept apart from them, and in which only some
+// pairs of images interfere with each other.
 //
-// It reckons in slack, the target of a tail over the tail. A response time
-// grows as 1/(1-utilization), so the slack falls in a straight line with the
-// task's own load and with what each neighbour adds. Two things are learned
-// from the tails that workers report: the slack that the tasks of a step would
-// have by themselves, which all of them share since they share their users
-// (Swing), and what a filler of an image takes from it (package interference).
-// On recorded reports this explains 70% of the variance of what fillers do;
-// the logarithm of the tail, with a constant own load, explained 10%.
+// Decisions are based on slack, the ratio of a tail's target to the tail. A
+// response time grows as 1/(1-utilization), so slack falls linearly with the
+// task's own load and with the load of each neighbour. Two quantities are
+// learned from reported tails: the slack that the tasks of a step have without
+// interference, which they share because they share their users (SlackTrend),
+// and the slack that a best-effort task of an image takes from them (package
+// interference).
 package colocate
--- a/colocate/learn.go
+++ b/colocate/learn.go
@@ -7,60 +7,57 @@
 	"github.com/fireflygate/fireflygate/mechanism"
 )
 
-// Learn takes in what a worker reported: the tails there while its fillers
-// used what they did. Both figures are of the same half second.
+// Learn updates the model with a worker's report: its tails and the
+// utilization of its best-effort tasks over the same window.
 func (m *Model) Learn(now time.Time, w *Worker) {
-	if m.turnedSlow(now, w) {
+	if m.isSlow(now, w) {
 		return
 	}
 	load := w.load()
 	for i := range w.Serving {
 		s := &w.Serving[i]
-		if s.Tail == 0 || w.sameBefore(i) {
+		if s.Tail == 0 || w.isRepeatedStep(i) {
 			continue
 		}
-		m.know(s.Class)
+		m.registerClass(s.Class)
 		slack := w.meanSlack(s)
-		taken, variance := m.taken(s.Class, w)
-		swing := m.swing(now, s.Step)
-		swing.observe(now, slack+taken, noiseOf(slack)+variance)
-		m.low(s.Class).observe(swing)
-		if len(load.Batch) > 0 && !m.without.Has(mechanism.PairEffects) {
-			passing, extra := m.passing(s.Class, w)
-			m.effects.Observe(s.Class, load, swing.level-slack-passing, swing.levelVar+extra+noiseOf(slack))
-			delete(m.pairs, s.Class)
+		effect, variance := m.currentEffect(s.Class, w)
+		trend := m.trend(now, s.Step)
+		trend.observe(now, slack+effect, slackNoise(slack)+variance)
+		m.floor(s.Class).observe(trend)
+		if len(load.Batch) > 0 && !m.disabled.Has(mechanism.PairEffects) {
+			transient, transientVar := m.transientEffect(s.Class, w)
+			m.effects.Observe(s.Class, load, trend.level-slack-transient, trend.levelVar+transientVar+slackNoise(slack))
+			delete(m.pairEffects, s.Class)
 		}
 	}
-	m.forget(now)
+	m.expire(now)
 }
 
-// slowDeviations is how many deviations the tails of all steps on a worker must
-// be beyond what is expected for the worker to count as slow: one reading in
-// thousands by chance, while a worker that runs at a quarter of its speed shows
-// some ten.
+// slowDeviations is the number of deviations by which the slack of all steps
+// on a worker must fall short of the prediction for the worker to count as
+// slow.
 const slowDeviations = 4.0
 
-// turnedSlow reports whether all tails of a worker are longer than its fillers
-// and the load of its tasks explain: it has turned slow, and teaches nothing of
-// either. Learned from all the same, a twentieth of the workers at a quarter of
-// their speed had fillers count as disturbers everywhere: the worth of two days
-// with such workers was 0.71, without 0.72 (each of four plays better).
-func (m *Model) turnedSlow(now time.Time, w *Worker) bool {
+// isSlow reports whether all tails of a worker are longer than its best-effort
+// tasks and its own load explain. Such a worker runs slowly for other reasons,
+// so its reports would distort the estimates.
+func (m *Model) isSlow(now time.Time, w *Worker) bool {
 	steps := 0
 	for i := range w.Serving {
 		s := &w.Serving[i]
-		if s.Tail == 0 || w.sameBefore(i) {
+		if s.Tail == 0 || w.isRepeatedStep(i) {
 			continue
 		}
-		swing := m.swings[s.Step]
-		if swing == nil || swing.at.IsZero() {
+		trend := m.trends[s.Step]
+		if trend == nil || trend.updatedAt.IsZero() {
 			return false
 		}
 		slack := w.meanSlack(s)
-		taken, variance := m.taken(s.Class, w)
-		level, deviation := swing.ahead(now, 0, 0)
-		unexplained := level - taken - slack
-		if unexplained < slowDeviations*math.Sqrt(deviation*deviation+variance+noiseOf(slack)) {
+		effect, variance := m.currentEffect(s.Class, w)
+		level, deviation := trend.forecast(now, 0, 0)
+		unexplained := level - effect - slack
+		if unexplained < slowDeviations*math.Sqrt(deviation*deviation+variance+slackNoise(slack)) {
 			return false
 		}
 		steps++
@@ -68,15 +65,15 @@
 	return steps > 0
 }
 
-// noiseOf returns the variance of a reported slack.
-func noiseOf(slack float64) float64 {
+// slackNoise returns the variance of a reported slack.
+func slackNoise(slack float64) float64 {
 	n := reportNoise + relativeNoise*slack
 	return n * n
 }
 
-// sameBefore reports whether a serving task of the same step stands before the
-// i-th: tasks of a step on one worker have the same tail.
-func (w *Worker) sameBefore(i int) bool {
+// isRepeatedStep reports whether a serving task of the same step precedes the
+// i-th; the tasks of a step on one worker have the same tail.
+func (w *Worker) isRepeatedStep(i int) bool {
 	for j := range i {
 		if w.Serving[j].Step == w.Serving[i].Step && w.Serving[j].Tail > 0 {
 			return true
@@ -97,25 +94,25 @@
 	return sum / n
 }
 
-// taken returns what the worker's fillers take from a class's slack, as the
-// last report shows it, and the variance of the estimate.
-func (m *Model) taken(class string, w *Worker) (mean, variance float64) {
+// currentEffect returns the effect of the worker's best-effort tasks on a
+// class in the last report, and the variance of the estimate.
+func (m *Model) currentEffect(class string, w *Worker) (mean, variance float64) {
 	for i := range w.BestEffort {
-		if f := &w.BestEffort[i]; f.Settled {
-			e, d := m.effect(class, f.Image, f.press())
+		if t := &w.BestEffort[i]; t.Settled {
+			e, d := m.effect(class, t.Image, t.pressure())
 			mean += e
 			variance += d * d
 		}
 	}
-	more, extra := m.passing(class, w)
+	more, extra := m.transientEffect(class, w)
 	return mean + more, variance + extra
 }
 
-// passing is taken for the fillers that are not, or no longer, at work for the
-// whole window of a report: about half of their effect shows.
-func (m *Model) passing(class string, w *Worker) (mean, variance float64) {
-	add := func(f *BestEffortTask) {
-		e, d := m.effect(class, f.Image, f.CPUShare)
+// transientEffect is currentEffect for the tasks that started or ended within
+// the report window; half of their effect is counted.
+func (m *Model) transientEffect(class string, w *Worker) (mean, variance float64) {
+	add := func(t *BestEffortTask) {
+		e, d := m.effect(class, t.Image, t.CPUShare)
 		mean += e / 2
 		variance += (d + e/2) * (d + e/2)
 	}
--- a/colocate/model.go
+++ b/colocate/model.go
@@ -8,128 +8,123 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// Model is what was learned from the tails of serving tasks.
+// Model holds what is learned from the tails of serving tasks. It is not safe
+// for concurrent use.
 type Model struct {
-	// effects holds what fillers take from the slack of a class, pairs what it
-	// says of pairs since a class was last learned of.
-	effects *interference.Model
-	pairs   map[string]map[string]pairEffect
-	// classes are the classes that effects knows, as its objectives.
+	// effects estimates the effect of best-effort images on the slack of a
+	// class; pairEffects caches its estimates by class and image until the
+	// class is updated.
+	effects     *interference.Model
+	pairEffects map[string]map[string]pairEffect
+	// classes holds the objectives of effects, all 1.
 	classes map[string]float64
-	swings  map[workload.StepID]*SlackTrend
-	lows    map[string]*low
-	// without names what the policy leaves out, for experiments.
-	without mechanism.Set
-	// forgotAt is when steps were last dropped.
-	forgotAt time.Time
+	trends  map[workload.StepID]*SlackTrend
+	floors  map[string]*slackFloor
+	// disabled is the set of mechanisms left out in experiments.
+	disabled mechanism.Set
+	// lastExpiry is when inactive steps and classes were last dropped.
+	lastExpiry time.Time
 }
 
 const (
-	// The effect on the slack of a filler that has all processors of a
-	// worker. Pairs that disturb each other take 6 to 13 from it, others less
-	// than 1.5, where the target is five times the idle tail, by regression
-	// over 60,000 readings of tails on two deployments.
-	// What isn't known yet is taken for rather quiet: with the mean of both
-	// kinds, 4, pairs that don't disturb were never tried, and stayed unknown.
-	anyEffect, anyVariance = 2.0, 9.0
-	classVariance          = 16.0
-	// effectDrift lets a pair's effect of some 10 change by 1 within 500
-	// reports, half a minute of a class on a dozen workers.
+	// The prior effect on the slack of a best-effort task that has all
+	// processors of a worker. It is nearer to that of low-impact images, since
+	// images with a large prior would never be placed and so stay unknown.
+	priorEffect, priorVariance = 2.0, 9.0
+	priorClassVariance         = 16.0
+	// effectDrift is the growth of an effect's variance per report.
 	effectDrift = 0.002
-	// reportNoise is the deviation of a slack as reported, relativeNoise the
-	// part of it that grows with the slack: tails come in whole milliseconds.
+	// The standard deviation of a reported slack is reportNoise plus
+	// relativeNoise times the slack; tails are reported in whole milliseconds.
 	reportNoise, relativeNoise = 0.05, 0.04
-	// maxSwings bounds the steps followed; at the size to come some 18,000
-	// serving tasks run in steps of about ten.
-	maxSwings = 4096
-	// swingForgotten is how long a step that reports nothing is kept.
-	swingForgotten = 30 * time.Second
-	// classForgotten is how long a class is kept that reports nothing: longer
-	// than a service is away for a new release, short enough that those of a
-	// working day stay below the bound on classes of package interference.
-	classForgotten = 10 * time.Minute
+	// maxTrends bounds the steps that are tracked.
+	maxTrends = 4096
+	// trendRetention is how long a step that doesn't report is kept.
+	trendRetention = 30 * time.Second
+	// classRetention is how long a class that doesn't report is kept: longer
+	// than the restart of a service, short enough to stay below the bound on
+	// classes of package interference.
+	classRetention = 10 * time.Minute
 )
 
-// NewModel returns a model that knows nothing.
+// NewModel returns an untrained model.
 func NewModel() *Model { return NewModelWithout(0) }
 
-// NewModelWithout returns a model that knows nothing and leaves out some of the
-// policy, for experiments.
-func NewModelWithout(without mechanism.Set) *Model {
+// NewModelWithout returns an untrained model with some mechanisms disabled.
+func NewModelWithout(disabled mechanism.Set) *Model {
 	classes := map[string]float64{}
 	return &Model{
-		without: without,
+		disabled: disabled,
 		effects: interference.NewModelWith(classes, 0, interference.Priors{
-			AnyBatch:   interference.Prior{Mean: anyEffect, Variance: anyVariance},
-			BatchClass: interference.Prior{Variance: classVariance},
+			AnyBatch:   interference.Prior{Mean: priorEffect, Variance: priorVariance},
+			BatchClass: interference.Prior{Variance: priorClassVariance},
 			Drift:      effectDrift,
 		}),
-		classes: classes,
-		pairs:   map[string]map[string]pairEffect{},
-		swings:  map[workload.StepID]*SlackTrend{},
-		lows:    map[string]*low{},
+		classes:     classes,
+		pairEffects: map[string]map[string]pairEffect{},
+		trends:      map[workload.StepID]*SlackTrend{},
+		floors:      map[string]*slackFloor{},
 	}
 }
 
-// Lessons returns what is known of pairs, to be recalled by a later model. How
-// steps swing is left out: it is learned again within a second.
+// Export returns the learned effects, for Import by another model. Slack
+// trends aren't included: they are learned within seconds.
 func (m *Model) Export() []interference.ClassEstimate { return m.effects.Export() }
 
-// Recall takes in what another model has learned.
-func (m *Model) Import(lessons []interference.ClassEstimate) {
-	m.effects.Import(lessons)
-	clear(m.pairs)
+// Import adds the effects learned by another model.
+func (m *Model) Import(estimates []interference.ClassEstimate) {
+	m.effects.Import(estimates)
+	clear(m.pairEffects)
 }
 
-// low returns how far the class falls and begins to follow it if need be.
-func (m *Model) low(class string) *low {
-	l := m.lows[class]
-	if l == nil {
-		l = &low{}
-		m.lows[class] = l
+// floor returns the class's slack floor, creating it if needed.
+func (m *Model) floor(class string) *slackFloor {
+	f := m.floors[class]
+	if f == nil {
+		f = &slackFloor{}
+		m.floors[class] = f
 	}
-	return l
+	return f
 }
 
-// swing returns the step's swing and begins one if need be.
-func (m *Model) swing(now time.Time, step workload.StepID) *SlackTrend {
-	s := m.swings[step]
+// trend returns the step's slack trend at now, creating it if needed.
+func (m *Model) trend(now time.Time, step workload.StepID) *SlackTrend {
+	s := m.trends[step]
 	if s == nil {
 		s = &SlackTrend{}
-		if len(m.swings) < maxSwings {
-			m.swings[step] = s
+		if len(m.trends) < maxTrends {
+			m.trends[step] = s
 		}
 	}
 	s.advance(now)
 	return s
 }
 
-// forget drops the steps and classes that have reported nothing for long.
-func (m *Model) forget(now time.Time) {
-	if now.Sub(m.forgotAt) < swingForgotten {
+// expire drops steps and classes that haven't reported within their retention.
+func (m *Model) expire(now time.Time) {
+	if now.Sub(m.lastExpiry) < trendRetention {
 		return
 	}
-	m.forgotAt = now
-	for step, s := range m.swings {
-		if now.Sub(s.at) > swingForgotten {
-			delete(m.swings, step)
+	m.lastExpiry = now
+	for step, s := range m.trends {
+		if now.Sub(s.updatedAt) > trendRetention {
+			delete(m.trends, step)
 		}
 	}
 	for class := range m.classes {
-		l := m.low(class)
+		f := m.floor(class)
 		switch {
-		case l.at.IsZero():
-			l.at = now // placed and not heard of yet
-		case now.Sub(l.at) > classForgotten:
-			m.forgetClass(class)
+		case f.lastReport.IsZero():
+			f.lastReport = now // placed, but hasn't reported yet
+		case now.Sub(f.lastReport) > classRetention:
+			m.removeClass(class)
 		}
 	}
 }
 
-// forgetClass drops all that is known of a class.
-func (m *Model) forgetClass(class string) {
+func (m *Model) removeClass(class string) {
 	delete(m.classes, class)
-	delete(m.lows, class)
-	delete(m.pairs, class)
+	delete(m.floors, class)
+	delete(m.pairEffects, class)
 	m.effects.Forget(class)
 }
--- a/colocate/worker.go
+++ b/colocate/worker.go
@@ -7,31 +7,31 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// Worker is what runs on a worker, as last reported.
+// Worker describes the tasks of a worker as last reported.
 type Worker struct {
 	Serving []Serving
-	// Fillers are at work, Leaving have ended so lately that the tails may
-	// still show them.
+	// BestEffort holds the running tasks. RecentlyEnded holds tasks whose
+	// effect may still show in the tails.
 	BestEffort, RecentlyEnded []BestEffortTask
 }
 
-// Serving is a task that serves users.
+// Serving is a serving task.
 type Serving struct {
-	// Class names its image and target.
+	// Class identifies the image and target.
 	Class string
-	// Step names the step; its tasks share their users' load.
+	// Step identifies the step; its tasks share the load of their users.
 	Step workload.StepID
-	// Target bounds its tail.
+	// Target is the largest acceptable Tail.
 	Target time.Duration
-	// Tail is the tail of its response times over the last half second, 0
-	// while it doesn't serve yet.
+	// Tail is the tail latency over the last report window; 0 if the task
+	// doesn't serve yet.
 	Tail time.Duration
-	// OverTargetFor is how long its tail has been over the target.
+	// OverTargetFor is how long Tail has exceeded Target.
 	OverTargetFor time.Duration
 }
 
-// Slack is the target over the tail; below 1 the tail is too long. 0 while the
-// task doesn't serve yet.
+// Slack is Target divided by Tail; a value below 1 means that the target is
+// missed. It is 0 if the task doesn't serve yet.
 func (s *Serving) Slack() float64 {
 	if s.Tail <= 0 {
 		return 0
@@ -39,60 +39,63 @@
 	return float64(s.Target) / float64(s.Tail)
 }
 
-// Filler is a task that fills what others leave.
+// BestEffortTask is a task without reserved processors.
 type BestEffortTask struct {
 	Image string
-	// Part is the share of the worker's processors that it asks for, 0 to 1.
+	// CPUShare is the requested share of the worker's processors, 0 to 1.
 	CPUShare float64
-	// Use is how much it used over the last half second of what it asks for,
-	// at its pace.
+	// Utilization is the CPU usage over the last report window, as a fraction
+	// of what the task may use at its CPU limit.
 	Utilization float64
-	// Pace is the share of its speed that it is allowed, in percent.
+	// CPULimit is the share of its requested processors that the task may use,
+	// in percent.
 	CPULimit int
-	// Saves is set if it can resume elsewhere from a checkpoint.
+	// Resumable is set if the task can resume on another worker from a
+	// checkpoint.
 	Resumable bool
-	// Percent is how far it has come.
+	// ProgressPercent is the completed part of the task.
 	ProgressPercent int
-	// Settled is set once a report covers a whole window of it at its pace.
+	// Settled is set once a report covers a full window at the current CPU
+	// limit.
 	Settled bool
 }
 
-// press is the share of the worker's processors by which a filler disturbs
-// now: what it asks for, weighed by the cube of how busy it is. One that uses
-// 0.67 of its processors disturbs a third as much as one that uses all, by
-// regression over 9,000 readings of tails.
-func (f *BestEffortTask) press() float64 {
-	allowed := f.CPUShare * float64(f.CPULimit) / 100
-	if !f.Settled {
+// pressure returns the share of the worker's processors, 0 to 1, that the
+// task's effect is proportional to. The effect grows with the cube of the
+// utilization.
+func (t *BestEffortTask) pressure() float64 {
+	allowed := t.CPUShare * float64(t.CPULimit) / 100
+	if !t.Settled {
 		return allowed
 	}
-	u := min(f.Utilization, 1)
-	return allowed * u * u * u
+	utilization := min(t.Utilization, 1)
+	return allowed * utilization * utilization * utilization
 }
 
-// load returns the settled fillers as the interference model sees them.
+// load returns the settled best-effort tasks as input of the interference
+// model.
 func (w *Worker) load() interference.Load {
 	var l interference.Load
 	for i := range w.BestEffort {
-		if f := &w.BestEffort[i]; f.Settled {
-			l.Batch = addShare(l.Batch, f.Image, f.press())
+		if t := &w.BestEffort[i]; t.Settled {
+			l.Batch = addShare(l.Batch, t.Image, t.pressure())
 		}
 	}
 	return l
 }
 
-// addShare adds to the share of a class.
-func addShare(batch []interference.Share, class string, part float64) []interference.Share {
+func addShare(batch []interference.Share, class string, cpuShare float64) []interference.Share {
 	for i := range batch {
 		if batch[i].Class == class {
-			batch[i].CPUShare += part
+			batch[i].CPUShare += cpuShare
 			return batch
 		}
 	}
-	return append(batch, interference.Share{Class: class, CPUShare: part})
+	return append(batch, interference.Share{Class: class, CPUShare: cpuShare})
 }
 
-// Unsettled reports whether a filler's effect isn't in the tails yet.
+// Unsettled reports whether the tails don't show the effect of some
+// best-effort task yet.
 func (w *Worker) Unsettled() bool {
 	for i := range w.BestEffort {
 		if !w.BestEffort[i].Settled {
