--- a/interference/doc.go
+++ b/interference/doc.go
@@ -1,4 +1,4 @@
-// Package interference learns from lagged reports which batch classes slow
-// which latency-critical classes down, with the uncertainty of each estimate.
-// It is pure and its memory is bounded.
+// Package interference learns from delayed reports how much each batch class
+// slows each latency-critical class, with the uncertainty of each estimate. It
+// does no I/O, reads no clock and uses bounded memory.
 package interference
--- a/interference/explorer.go
+++ b/interference/explorer.go
@@ -2,22 +2,20 @@
 
 import "time"
 
-// Explorer bounds how often pairs that are little known are tried out where
-// caution alone would forbid it: some trials an interval in all, and by the
-// caller's Trial one an interval on each host.
+// Explorer bounds the trials of pairs with uncertain estimates: a limited
+// number per interval in total, and one per interval on each host.
 type Explorer struct {
-	// Interval is how long a trial is given to show its effect; longer than
-	// the lag.
+	// Interval is the length of a trial; it must exceed the lag of reports.
 	Interval time.Duration
 	began    time.Time
 	count    int
 }
 
-// Trial is when a host last had a trial; the zero value is for never.
-type Trial struct{ at time.Time }
+// Trial records the last trial on a host; the zero value means none.
+type Trial struct{ began time.Time }
 
-// Allowed reports whether a trial may begin at now on a host, with at most
-// limit in all within the interval.
+// Allowed reports whether a trial may begin on a host at now, with at most
+// limit trials per interval in total.
 func (e *Explorer) Allowed(now time.Time, host Trial, limit int) bool {
 	if e.Interval <= 0 {
 		return false
@@ -25,11 +23,11 @@
 	if now.Sub(e.began) >= e.Interval {
 		e.began, e.count = now, 0
 	}
-	return e.count < limit && now.Sub(host.at) >= e.Interval
+	return e.count < limit && now.Sub(host.began) >= e.Interval
 }
 
-// Begin counts a trial on a host.
+// Begin records a trial on a host.
 func (e *Explorer) Begin(now time.Time, host *Trial) {
-	host.at = now
+	host.began = now
 	e.count++
 }
--- a/interference/export.go
+++ b/interference/export.go
@@ -5,18 +5,19 @@
 	"strings"
 )
 
-// Lesson is what is known of one latency-critical class, in a form that can be
-// kept and recalled by another Model.
+// ClassEstimate holds the estimates of one latency-critical class in
+// serializable form.
 type ClassEstimate struct {
 	Class       string  `msgpack:"c"`
 	ObjectiveMS float64 `msgpack:"o"`
-	// Common are the weights that every class has, in the model's order.
+	// Common holds the weights of the features that every class has, in order
+	// of the feature indexes.
 	Common []Weight `msgpack:"w"`
-	// Pairs are the weights of the batch classes.
+	// Pairs holds the weights of the batch classes.
 	Pairs []PairWeight `msgpack:"p"`
 }
 
-// Weight is one weight of a regression and how sure it is.
+// Weight is a regression weight with its variance.
 type Weight struct {
 	Mean     float32 `msgpack:"m"`
 	Variance float32 `msgpack:"v"`
@@ -28,54 +29,52 @@
 	Weight     Weight `msgpack:"w"`
 }
 
-// Lessons returns what is known, in the order of classes. How the weights
-// depend on each other is left out: it is most of the state, and soon learned
-// again.
+// Export returns the estimates in order of class. Covariances between weights
+// aren't included: they make up most of the state and are soon learned again.
 func (m *Model) Export() []ClassEstimate {
 	all := make([]ClassEstimate, 0, len(m.services))
 	for class, s := range m.services {
-		l := ClassEstimate{Class: class, ObjectiveMS: s.objectiveMS}
+		e := ClassEstimate{Class: class, ObjectiveMS: s.objectiveMS}
 		for i := range featureClass {
-			l.Common = append(l.Common, s.weight(i))
+			e.Common = append(e.Common, s.weight(i))
 		}
-		for other, p := range s.pairs {
-			l.Pairs = append(l.Pairs, PairWeight{BatchClass: other, Weight: s.weight(p.at)})
+		for batchClass, p := range s.pairs {
+			e.Pairs = append(e.Pairs, PairWeight{BatchClass: batchClass, Weight: s.weight(p.feature)})
 		}
-		slices.SortFunc(l.Pairs, func(a, b PairWeight) int { return strings.Compare(a.BatchClass, b.BatchClass) })
-		all = append(all, l)
+		slices.SortFunc(e.Pairs, func(a, b PairWeight) int { return strings.Compare(a.BatchClass, b.BatchClass) })
+		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b ClassEstimate) int { return strings.Compare(a.Class, b.Class) })
 	return all
 }
 
-// weight returns one weight of a service.
-func (s *service) weight(at int) Weight {
-	return Weight{Mean: float32(s.model.mean[at]), Variance: float32(s.model.covariance[at*s.model.size+at])}
+func (s *service) weight(feature int) Weight {
+	return Weight{Mean: float32(s.model.mean[feature]), Variance: float32(s.model.covariance[feature*s.model.size+feature])}
 }
 
-// recall sets one weight of a service.
-func (s *service) recall(at int, w Weight) {
-	s.model.mean[at] = float64(w.Mean)
-	s.model.covariance[at*s.model.size+at] = float64(w.Variance)
+// setWeight sets the weight of a feature and its variance.
+func (s *service) setWeight(feature int, w Weight) {
+	s.model.mean[feature] = float64(w.Mean)
+	s.model.covariance[feature*s.model.size+feature] = float64(w.Variance)
 }
 
-// Recall takes in what another Model has learned. Classes that this one knows
-// already are left as they are.
-func (m *Model) Import(lessons []ClassEstimate) {
-	for _, l := range lessons {
-		if m.services[l.Class] != nil || len(m.services) >= maxServices || l.ObjectiveMS <= 0 || len(l.Common) != featureClass {
+// Import adds estimates exported by another Model. Classes that this Model has
+// estimates of are left unchanged, and malformed estimates are skipped.
+func (m *Model) Import(estimates []ClassEstimate) {
+	for _, e := range estimates {
+		if m.services[e.Class] != nil || len(m.services) >= maxServices || e.ObjectiveMS <= 0 || len(e.Common) != featureClass {
 			continue
 		}
-		s := newService(l.ObjectiveMS, m.priors)
-		for i, w := range l.Common {
-			s.recall(i, w)
+		s := newService(e.ObjectiveMS, m.priors)
+		for i, w := range e.Common {
+			s.setWeight(i, w)
 		}
-		for _, p := range l.Pairs[:min(len(l.Pairs), maxPairs)] {
-			s.recall(s.pair(p.BatchClass).at, p.Weight)
+		for _, p := range e.Pairs[:min(len(e.Pairs), maxPairs)] {
+			s.setWeight(s.pair(p.BatchClass).feature, p.Weight)
 		}
-		m.services[l.Class] = s
-		if m.objectives[l.Class] == 0 {
-			m.objectives[l.Class] = l.ObjectiveMS
+		m.services[e.Class] = s
+		if m.objectives[e.Class] == 0 {
+			m.objectives[e.Class] = e.ObjectiveMS
 		}
 	}
 }
--- a/interference/load.go
+++ b/interference/load.go
@@ -1,17 +1,18 @@
 package interference
 
-// Share is how much of a host's processors the runs of one class use.
+// Share is the share of a host's processors that the runs of a class use.
 type Share struct {
 	Class string
-	// Part is from 0 to 1.
+	// CPUShare is between 0 and 1.
 	CPUShare float64
 }
 
-// Load is what runs on a host beside a latency-critical class, at one time.
+// Load describes the runs on a host alongside a latency-critical class.
 type Load struct {
-	// Self is how busy the class's own runs are, as the share used of what
-	// they reserve. It keeps their own load from being blamed on others.
+	// OwnUtilization is the CPU usage of the class's own runs as a share of
+	// their reservation. It separates the effect of their own load from
+	// interference.
 	OwnUtilization float64
-	// Batch is the neighbours, one entry to a class.
+	// Batch holds the shares of the batch classes, one entry per class.
 	Batch []Share
 }
--- a/interference/model.go
+++ b/interference/model.go
@@ -5,17 +5,18 @@
 )
 
 const (
-	// maxServices bounds the latency-critical classes.
+	// maxServices bounds the number of latency-critical classes.
 	maxServices = 64
-	// DefaultMargin is by how much below its objective a class should stay,
-	// as a logarithm: harm is counted from 0.64 of the objective on.
+	// DefaultMargin is how far the logarithm of a latency should stay below
+	// that of its objective; it corresponds to 0.64 of the objective.
 	DefaultMargin = 0.45
-	// certain is the deviation of a weight below which a pair is learned.
-	certain = 0.35
+	// certainDeviation is the standard deviation below which an effect counts
+	// as known.
+	certainDeviation = 0.35
 )
 
-// Model holds what is known of each pair of classes. It is not safe for
-// concurrent use.
+// Model holds the estimated effects of batch classes on latency-critical
+// classes. It is not safe for concurrent use.
 type Model struct {
 	objectives map[string]float64
 	margin     float64
@@ -23,28 +24,30 @@
 	services   map[string]*service
 }
 
-// NewModel returns a Model for latency-critical classes with their objectives
-// in milliseconds; others are ignored. Margin is by how much below their
-// objectives they should stay, as a logarithm.
+// NewModel returns a Model for the latency-critical classes in objectivesMS,
+// which holds their objectives in milliseconds; other classes are ignored.
+// Margin is how far the logarithms of their latencies should stay below those
+// of the objectives.
 func NewModel(objectivesMS map[string]float64, margin float64) *Model {
 	return NewModelWith(objectivesMS, margin, LogLatencyPriors())
 }
 
-// NewModelWith is NewModel with priors of the caller's, who learns a value of
-// its own by Observe.
+// NewModelWith is NewModel with custom priors, for callers that use Observe
+// with a value of their own.
 func NewModelWith(objectivesMS map[string]float64, margin float64, p Priors) *Model {
 	return &Model{objectives: objectivesMS, margin: margin, priors: p, services: map[string]*service{}}
 }
 
-// SetObjectives replaces the objectives, in milliseconds, and the margin. What
-// was learned stays; a class without an objective is not judged meanwhile.
+// SetObjectives replaces the objectives, in milliseconds, and the margin.
+// Estimates are kept; classes without an objective are ignored until they have
+// one again.
 func (m *Model) SetObjectives(objectivesMS map[string]float64, margin float64) {
 	m.objectives, m.margin = objectivesMS, margin
 }
 
-// Learn takes in the tail latency that class had while load ran beside it.
-// The caller has allowed for the lag: load is of the time that the latency
-// was measured at, not of when it was reported.
+// Learn updates the estimates with the tail latency of class under load.
+// Reports are delayed: load must be that of the time when the latency was
+// measured.
 func (m *Model) Learn(class string, load Load, latencyMS float64) {
 	s := m.service(class)
 	if s == nil || latencyMS <= 0 {
@@ -53,8 +56,8 @@
 	m.Observe(class, load, math.Log(latencyMS/s.objectiveMS), 0)
 }
 
-// Observe takes in a value that the class showed while load ran beside it.
-// Variance is how uncertain the value is besides the noise of reports.
+// Observe updates the estimates with a value of class under load. Variance is
+// the uncertainty of the value in addition to the noise of reports.
 func (m *Model) Observe(class string, load Load, value, variance float64) {
 	s := m.service(class)
 	if s == nil {
@@ -67,11 +70,12 @@
 	s.model.learn(v, value, variance)
 }
 
-// Forget drops what is known of a class.
+// Forget drops the estimates of a class.
 func (m *Model) Forget(class string) { delete(m.services, class) }
 
-// Excess is by how much the logarithm of the latency is expected to be above
-// the objective less a margin, uncertainty counted in.
+// Excess returns the expected amount by which the logarithm of the latency
+// exceeds that of the objective less the margin, taking into account the
+// uncertainty of the estimates; 0 for a class without an objective.
 func (m *Model) Excess(class string, load Load) float64 {
 	s := m.service(class)
 	if s == nil {
@@ -82,8 +86,8 @@
 	return expectedAbove(mean, math.Sqrt(s.model.variance(v)+unknown))
 }
 
-// MeanExcess is Excess as if the estimates were certain. It is for trying a
-// pair out in order to learn it.
+// MeanExcess is Excess without the uncertainty of the estimates. It decides
+// whether to run a pair for a trial.
 func (m *Model) MeanExcess(class string, load Load) float64 {
 	s := m.service(class)
 	if s == nil {
@@ -93,47 +97,50 @@
 	return max(v.dot(s.model.mean)+m.margin, 0)
 }
 
-// Blame is what part of a host's processors given to batch class other adds
-// to the logarithm of class's latency: the estimate and its deviation.
-func (m *Model) Effect(class, other string, part float64) (mean, deviation float64) {
+// Effect returns what batchClass adds to the logarithm of class's latency if it
+// uses the given share of a host's processors, and the standard deviation of
+// the estimate; 0 and 0 for a class without an objective.
+func (m *Model) Effect(class, batchClass string, cpuShare float64) (mean, deviation float64) {
 	s := m.service(class)
 	if s == nil {
 		return 0, 0
 	}
-	v := vector{{featureAny, part}}
-	p, known := s.pairs[other]
+	v := vector{{featureAnyBatch, cpuShare}}
+	p, known := s.pairs[batchClass]
 	if !known {
-		variance := s.model.variance(v) + part*part*s.priors.BatchClass.Variance
-		return v.dot(s.model.mean) + part*s.priors.BatchClass.Mean, math.Sqrt(variance)
+		variance := s.model.variance(v) + cpuShare*cpuShare*s.priors.BatchClass.Variance
+		return v.dot(s.model.mean) + cpuShare*s.priors.BatchClass.Mean, math.Sqrt(variance)
 	}
-	v = append(v, entry{p.at, part})
+	v = append(v, entry{p.feature, cpuShare})
 	return v.dot(s.model.mean), math.Sqrt(s.model.variance(v))
 }
 
-// Loudest is the most that a batch class which fills a host is estimated to
-// add to the logarithm of any class's latency; 0 if nothing is known of it.
-func (m *Model) MaxEffect(other string) float64 {
-	loudest := 0.0
+// MaxEffect returns the largest mean Effect on any class of a batch class that
+// uses a whole host; 0 if there is no estimate.
+func (m *Model) MaxEffect(batchClass string) float64 {
+	largest := 0.0
 	for class, s := range m.services {
-		if _, known := s.pairs[other]; known {
-			mean, _ := m.Effect(class, other, 1)
-			loudest = max(loudest, mean)
+		if _, known := s.pairs[batchClass]; known {
+			mean, _ := m.Effect(class, batchClass, 1)
+			largest = max(largest, mean)
 		}
 	}
-	return loudest
+	return largest
 }
 
-// Uncertain reports whether too little is known of a pair.
-func (m *Model) Uncertain(class, other string) bool {
+// Uncertain reports whether the estimate for a pair has a larger deviation
+// than certainDeviation.
+func (m *Model) Uncertain(class, batchClass string) bool {
 	s := m.service(class)
 	if s == nil {
 		return false
 	}
-	_, deviation := m.Effect(class, other, 1)
-	return deviation > certain
+	_, deviation := m.Effect(class, batchClass, 1)
+	return deviation > certainDeviation
 }
 
-// service returns what is known of a class, nil if it has no objective.
+// service returns the state of a class, creating it if needed. It returns nil
+// if the class has no objective or the maximum of classes is reached.
 func (m *Model) service(class string) *service {
 	objective := m.objectives[class]
 	s, known := m.services[class]
@@ -151,7 +158,8 @@
 	return s
 }
 
-// expectedAbove is the expectation of max(0, X) for a normal X.
+// expectedAbove returns the expectation of max(0, X) for a normally
+// distributed X.
 func expectedAbove(mean, deviation float64) float64 {
 	if deviation < 1e-9 {
 		return max(mean, 0)
--- a/interference/model_test.go
+++ b/interference/model_test.go
@@ -6,95 +6,95 @@
 	"testing"
 )
 
-// world is a hidden truth: what each batch class adds, and noise.
-type world struct {
-	hurts map[string]float64
-	noise float64
-	rng   *rand.Rand
+// simulation draws latencies from true effects of batch classes, with noise.
+type simulation struct {
+	effects map[string]float64
+	noise   float64
+	rng     *rand.Rand
 }
 
-func (w world) latency(load Load) float64 {
+func (sim simulation) latency(load Load) float64 {
 	log := -0.6 + 0.3*load.OwnUtilization
 	for _, s := range load.Batch {
-		log += w.hurts[s.Class] * s.CPUShare
+		log += sim.effects[s.Class] * s.CPUShare
 	}
-	return 100 * math.Exp(log+w.noise*w.rng.NormFloat64())
+	return 100 * math.Exp(log+sim.noise*sim.rng.NormFloat64())
 }
 
-func (w world) randomLoad() Load {
-	load := Load{OwnUtilization: w.rng.Float64()}
+func (sim simulation) randomLoad() Load {
+	load := Load{OwnUtilization: sim.rng.Float64()}
 	for class := range 4 {
-		if w.rng.IntN(2) == 0 {
+		if sim.rng.IntN(2) == 0 {
 			name := string(rune('a' + class))
-			load.Batch = append(load.Batch, Share{Class: name, CPUShare: 0.4 * w.rng.Float64()})
+			load.Batch = append(load.Batch, Share{Class: name, CPUShare: 0.4 * sim.rng.Float64()})
 		}
 	}
 	return load
 }
 
-func newWorld(seed uint64) world {
-	return world{
-		hurts: map[string]float64{"a": 2.5, "b": 0, "c": 0.3, "d": 1.2},
-		noise: 0.15,
-		rng:   rand.New(rand.NewPCG(seed, 0)),
+func newSimulation(seed uint64) simulation {
+	return simulation{
+		effects: map[string]float64{"a": 2.5, "b": 0, "c": 0.3, "d": 1.2},
+		noise:   0.15,
+		rng:     rand.New(rand.NewPCG(seed, 0)),
 	}
 }
 
-// TestLearnsWhoHurts checks that estimates come near a hidden truth and that
-// the deviation told covers the error.
-func TestLearnsWhoHurts(t *testing.T) {
+// TestLearnsEffects checks that estimates are close to the true effects and
+// that their deviations cover the error.
+func TestLearnsEffects(t *testing.T) {
 	for seed := range uint64(10) {
-		w := newWorld(seed)
+		sim := newSimulation(seed)
 		m := NewModel(map[string]float64{"dispatch": 100}, DefaultMargin)
 		for range 800 {
-			load := w.randomLoad()
-			m.Learn("dispatch", load, w.latency(load))
+			load := sim.randomLoad()
+			m.Learn("dispatch", load, sim.latency(load))
 		}
-		for class, want := range w.hurts {
+		for class, want := range sim.effects {
 			mean, deviation := m.Effect("dispatch", class, 1)
 			if got := math.Abs(mean - want); got > 0.4 || got > 4*deviation {
-				t.Errorf("seed %d: %s adds %.2f±%.2f, in truth %.2f", seed, class, mean, deviation, want)
+				t.Errorf("seed %d: effect of %s %.2f±%.2f, want %.2f", seed, class, mean, deviation, want)
 			}
 			if m.Uncertain("dispatch", class) {
-				t.Errorf("seed %d: %s still uncertain after 800 reports", seed, class)
+				t.Errorf("seed %d: %s is uncertain after 800 reports", seed, class)
 			}
 		}
 	}
 }
 
-func TestUnknownPairCountsAsUncertain(t *testing.T) {
+func TestUnknownPairIsUncertain(t *testing.T) {
 	m := NewModel(map[string]float64{"dispatch": 100}, DefaultMargin)
-	quiet := Load{}
-	beside := Load{Batch: []Share{{Class: "new", CPUShare: 0.5}}}
+	idle := Load{}
+	loaded := Load{Batch: []Share{{Class: "new", CPUShare: 0.5}}}
 	if !m.Uncertain("dispatch", "new") {
-		t.Error("a pair never seen counts as learned")
+		t.Error("a pair without reports isn't uncertain")
 	}
-	if m.Excess("dispatch", beside) <= m.Excess("dispatch", quiet) {
-		t.Error("an unknown neighbour is expected to do no harm")
+	if m.Excess("dispatch", loaded) <= m.Excess("dispatch", idle) {
+		t.Error("an unknown batch class has no expected excess")
 	}
 	for range 500 {
 		m.Learn("dispatch", Load{Batch: []Share{{Class: "old", CPUShare: 0.5}}}, 50)
 	}
 	old := Load{Batch: []Share{{Class: "old", CPUShare: 0.5}}}
-	if m.Excess("dispatch", beside) <= m.Excess("dispatch", old)+0.1 {
-		t.Error("an unknown neighbour is expected to harm no more than a harmless one")
+	if m.Excess("dispatch", loaded) <= m.Excess("dispatch", old)+0.1 {
+		t.Error("the expected excess of an unknown batch class is no larger than that of one without an effect")
 	}
-	if m.Excess("other", beside) != 0 {
-		t.Error("a class without an objective is harmed")
+	if m.Excess("other", loaded) != 0 {
+		t.Error("a class without an objective has an excess")
 	}
 }
 
-func TestFollowsAChange(t *testing.T) {
-	w := newWorld(1)
+func TestFollowsChangedEffect(t *testing.T) {
+	sim := newSimulation(1)
 	m := NewModel(map[string]float64{"dispatch": 100}, DefaultMargin)
-	for _, hurts := range []float64{2.5, 0, 2.5} {
-		w.hurts["a"] = hurts
+	for _, effect := range []float64{2.5, 0, 2.5} {
+		sim.effects["a"] = effect
 		for range 4000 {
-			load := w.randomLoad()
-			m.Learn("dispatch", load, w.latency(load))
+			load := sim.randomLoad()
+			m.Learn("dispatch", load, sim.latency(load))
 		}
-		if mean, _ := m.Effect("dispatch", "a", 1); math.Abs(mean-hurts) > 0.5 {
-			t.Errorf("a adds %.2f, in truth %.2f now", mean, hurts)
+		if mean, _ := m.Effect("dispatch", "a", 1); math.Abs(mean-effect) > 0.5 {
+			t.Errorf("effect of a %.2f after the change, want %.2f", mean, effect)
 		}
 	}
 }
--- a/interference/priors.go
+++ b/interference/priors.go
@@ -1,23 +1,23 @@
 package interference
 
-// Prior is what is assumed of a weight before anything was learned.
+// Prior is the prior distribution of a weight.
 type Prior struct{ Mean, Variance float64 }
 
-// Priors are the priors of a class's weights. A weight is what its feature
-// adds to the learned value where it is 1: a constant, a class at full load
-// of its own, or a batch class that fills the host.
+// Priors holds the priors of a class's weights.
 type Priors struct {
-	// Base is the constant, Self the class's own load.
+	// Intercept is constant. OwnUtilization applies to a class that uses all
+	// of its reservation.
 	Intercept, OwnUtilization Prior
-	// Any is what all batch classes have in common, Class what one adds to it.
+	// AnyBatch is common to all batch classes, BatchClass is added for each
+	// one. Both apply to a class that uses a whole host.
 	AnyBatch, BatchClass Prior
-	// Drift is by how much the variance of a weight in use grows with each
-	// observation, so that old lessons fade.
+	// Drift is the growth per observation of the variances of the weights
+	// involved, so that older observations lose influence.
 	Drift float64
 }
 
-// LogLatencyPriors returns the priors for learning the logarithm of a latency over
-// its objective.
+// LogLatencyPriors returns the priors for the logarithm of the ratio of a
+// latency to its objective.
 func LogLatencyPriors() Priors {
 	return Priors{
 		Intercept:      Prior{Mean: -0.7, Variance: 1.0},
--- a/interference/regression.go
+++ b/interference/regression.go
@@ -2,38 +2,40 @@
 
 import "math"
 
-// regression is a Bayesian linear regression, updated by one observation at a
-// time: the mean and covariance of each weight, as in a Kalman filter whose
-// weights drift slowly.
+// regression is a recursive Bayesian linear regression: a Kalman filter over
+// weights that drift slowly.
 type regression struct {
 	size int
 	mean []float64
-	// covariance is size by size, row by row.
+	// covariance is a size by size matrix in row-major order.
 	covariance []float64
 	prior      []float64
 	gain       []float64
-	// noise is the variance of an observation, learned from the residuals.
+	// noise is the variance of an observation, estimated from the residuals.
 	noise float64
-	// drift is what the variance of a weight in use grows by.
+	// drift is the growth per observation of the variances of the weights
+	// involved.
 	drift float64
 }
 
 const (
-	firstNoise = 0.05
-	leastNoise = 0.01
-	mostNoise  = 1.0
-	// noiseRate is how fast noise follows the residuals.
+	initialNoise = 0.05
+	minNoise     = 0.01
+	maxNoise     = 1.0
+	// noiseRate is the weight of the newest residual in noise.
 	noiseRate = 0.02
-	// correlated is how many consecutive reports say as much as one: a
-	// tail latency covers a window longer than the interval of reports.
+	// correlated is the number of consecutive reports that carry as much
+	// information as one independent report; their measurement windows
+	// overlap.
 	correlated = 4.0
-	// outlier is how many deviations an observation counts for at most.
-	outlier = 3.0
+	// maxDeviations bounds the residual of an observation, in deviations, to
+	// limit the influence of outliers.
+	maxDeviations = 3.0
 )
 
 func newRegression(means, variances []float64, drift float64) *regression {
 	size := len(means)
-	r := &regression{size: size, noise: firstNoise, drift: drift}
+	r := &regression{size: size, noise: initialNoise, drift: drift}
 	r.mean = append([]float64(nil), means...)
 	r.prior = append([]float64(nil), variances...)
 	r.covariance = make([]float64, size*size)
@@ -44,71 +46,73 @@
 	return r
 }
 
-// forget resets one weight to a prior.
-func (r *regression) forget(at int, mean, variance float64) {
+// reset sets a weight to a prior and clears its covariances.
+func (r *regression) reset(index int, mean, variance float64) {
 	for i := range r.size {
-		r.covariance[at*r.size+i] = 0
-		r.covariance[i*r.size+at] = 0
+		r.covariance[index*r.size+i] = 0
+		r.covariance[i*r.size+index] = 0
 	}
-	r.covariance[at*r.size+at] = variance
-	r.prior[at] = variance
-	r.mean[at] = mean
+	r.covariance[index*r.size+index] = variance
+	r.prior[index] = variance
+	r.mean[index] = mean
 }
 
-// variance is the uncertainty of the prediction for v, without noise.
+// variance returns the variance of the prediction for v, without noise.
 func (r *regression) variance(v vector) float64 {
 	sum := 0.0
 	for _, a := range v {
-		row := r.covariance[a.at*r.size:]
+		row := r.covariance[a.index*r.size:]
 		for _, b := range v {
-			sum += a.value * b.value * row[b.at]
+			sum += a.value * b.value * row[b.index]
 		}
 	}
 	return max(sum, 0)
 }
 
-// learn takes in one observation; extra is a variance that it has besides the
-// noise of reports.
+// learn updates the weights with an observation whose variance is extra plus
+// the noise of reports.
 func (r *regression) learn(v vector, observed, extra float64) {
-	r.spread(v)
+	r.addDrift(v)
 	variance := r.variance(v)
 	noise := r.noise * correlated
 	total := variance + noise + extra
 	residual := observed - v.dot(r.mean)
-	limit := outlier * math.Sqrt(total)
+	limit := maxDeviations * math.Sqrt(total)
 	residual = min(max(residual, -limit), limit)
-	r.multiply(v)
+	r.computeGain(v)
 	for i, g := range r.gain {
 		r.mean[i] += g / total * residual
 	}
-	r.shrink(total)
+	r.reduceCovariance(total)
 	squared := max(residual*residual-extra, 0)
 	r.noise += noiseRate * (squared - r.noise)
-	r.noise = min(max(r.noise, leastNoise), mostNoise)
+	r.noise = min(max(r.noise, minNoise), maxNoise)
 }
 
-// spread lets the weights in use drift, up to their prior variance.
-func (r *regression) spread(v vector) {
+// addDrift adds drift to the variances of the weights in v, up to their prior
+// variances.
+func (r *regression) addDrift(v vector) {
 	for _, e := range v {
-		at := e.at*r.size + e.at
-		r.covariance[at] = max(r.covariance[at], min(r.covariance[at]+r.drift, r.prior[e.at]))
+		diagonal := e.index*r.size + e.index
+		r.covariance[diagonal] = max(r.covariance[diagonal], min(r.covariance[diagonal]+r.drift, r.prior[e.index]))
 	}
 }
 
-// multiply sets gain to covariance times v.
-func (r *regression) multiply(v vector) {
+// computeGain sets gain to the product of covariance and v.
+func (r *regression) computeGain(v vector) {
 	for i := range r.gain {
 		row := r.covariance[i*r.size:]
 		sum := 0.0
 		for _, e := range v {
-			sum += row[e.at] * e.value
+			sum += row[e.index] * e.value
 		}
 		r.gain[i] = sum
 	}
 }
 
-// shrink takes what was learned off the covariance.
-func (r *regression) shrink(total float64) {
+// reduceCovariance subtracts the information of an observation with the given
+// total variance from covariance.
+func (r *regression) reduceCovariance(total float64) {
 	for i, a := range r.gain {
 		if a == 0 {
 			continue
--- a/interference/service.go
+++ b/interference/service.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// The features of a latency-critical class, in their order: those every class
-// has, then one to a batch class.
+// Feature indexes of a latency-critical class. Those of the batch classes
+// begin at featureClass.
 const (
-	featureBase = iota
-	featureSelf
-	featureAny
+	featureIntercept = iota
+	featureOwnUtilization
+	featureAnyBatch
 	featureClass
-	// maxPairs bounds the batch classes told apart; the one not seen for
-	// longest gives way.
+	// maxPairs bounds the batch classes per latency-critical class; beyond it
+	// the least recently observed one is replaced.
 	maxPairs = 24
 )
 
-// service is what is known of one latency-critical class.
+// service is the state of one latency-critical class.
 type service struct {
 	objectiveMS float64
 	priors      Priors
@@ -24,19 +24,19 @@
 	scratch     vector
 }
 
-// pair is one batch class beside the service.
+// pair identifies the feature of a batch class.
 type pair struct {
-	at   int
-	seen uint64
+	feature  int
+	lastSeen uint64
 }
 
 func newService(objectiveMS float64, p Priors) *service {
 	size := featureClass + maxPairs
 	means := make([]float64, size)
 	variances := make([]float64, size)
-	means[featureBase], variances[featureBase] = p.Intercept.Mean, p.Intercept.Variance
-	means[featureSelf], variances[featureSelf] = p.OwnUtilization.Mean, p.OwnUtilization.Variance
-	means[featureAny], variances[featureAny] = p.AnyBatch.Mean, p.AnyBatch.Variance
+	means[featureIntercept], variances[featureIntercept] = p.Intercept.Mean, p.Intercept.Variance
+	means[featureOwnUtilization], variances[featureOwnUtilization] = p.OwnUtilization.Mean, p.OwnUtilization.Variance
+	means[featureAnyBatch], variances[featureAnyBatch] = p.AnyBatch.Mean, p.AnyBatch.Variance
 	for i := featureClass; i < size; i++ {
 		means[i], variances[i] = p.BatchClass.Mean, p.BatchClass.Variance
 	}
@@ -48,66 +48,68 @@
 	}
 }
 
-// rebase moves what was learned to another objective: latencies are counted as
-// logarithms over it, so only the base moves.
+// rebase adjusts the weights to a changed objective. Values are logarithms of
+// the ratio to the objective, so only the intercept changes.
 func (s *service) rebase(objectiveMS float64) {
 	if s.objectiveMS == objectiveMS {
 		return
 	}
-	s.model.mean[featureBase] += math.Log(s.objectiveMS / objectiveMS)
+	s.model.mean[featureIntercept] += math.Log(s.objectiveMS / objectiveMS)
 	s.objectiveMS = objectiveMS
 }
 
-// pair returns the pair with a batch class and begins one if need be.
+// pair returns the pair with a batch class, creating it if needed, and marks
+// it as observed.
 func (s *service) pair(class string) *pair {
 	s.clock++
 	p, known := s.pairs[class]
 	if !known {
-		p = &pair{at: s.freeFeature()}
+		p = &pair{feature: s.freeFeature()}
 		s.pairs[class] = p
 	}
-	p.seen = s.clock
+	p.lastSeen = s.clock
 	return p
 }
 
-// freeFeature returns a feature without a class, if need be that of the class
-// not seen for longest.
+// freeFeature returns an unused feature; if there is none, that of the least
+// recently observed class.
 func (s *service) freeFeature() int {
 	if len(s.pairs) < maxPairs {
 		return featureClass + len(s.pairs)
 	}
 	oldest := ""
 	for class, p := range s.pairs {
-		if oldest == "" || p.seen < s.pairs[oldest].seen {
+		if oldest == "" || p.lastSeen < s.pairs[oldest].lastSeen {
 			oldest = class
 		}
 	}
-	at := s.pairs[oldest].at
+	feature := s.pairs[oldest].feature
 	delete(s.pairs, oldest)
-	s.model.forget(at, s.priors.BatchClass.Mean, s.priors.BatchClass.Variance)
-	return at
+	s.model.reset(feature, s.priors.BatchClass.Mean, s.priors.BatchClass.Variance)
+	return feature
 }
 
-// vector turns a load into features. What is not known of a class yet counts
-// as any class, with extra variance returned besides.
-func (s *service) vector(load Load) (v vector, unknown float64) {
-	v = append(s.scratch[:0], entry{featureBase, 1})
+// vector returns the features of a load. A batch class without an estimate
+// counts with the common weight only, and its variance is returned in
+// unknownVariance.
+func (s *service) vector(load Load) (v vector, unknownVariance float64) {
+	v = append(s.scratch[:0], entry{featureIntercept, 1})
 	if load.OwnUtilization != 0 {
-		v = append(v, entry{featureSelf, load.OwnUtilization})
+		v = append(v, entry{featureOwnUtilization, load.OwnUtilization})
 	}
 	batch := 0.0
 	for _, share := range load.Batch {
 		batch += share.CPUShare
 		p, known := s.pairs[share.Class]
 		if !known {
-			unknown += share.CPUShare * share.CPUShare * s.priors.BatchClass.Variance
+			unknownVariance += share.CPUShare * share.CPUShare * s.priors.BatchClass.Variance
 			continue
 		}
-		v = append(v, entry{p.at, share.CPUShare})
+		v = append(v, entry{p.feature, share.CPUShare})
 	}
 	if batch != 0 {
-		v = append(v, entry{featureAny, batch})
+		v = append(v, entry{featureAnyBatch, batch})
 	}
 	s.scratch = v
-	return v, unknown
+	return v, unknownVariance
 }
