--- a/queue/doc.go
+++ b/queue/doc.go
@@ -1,8 +1,8 @@
-// Package queue orders waiting steps. It is pure.
+// Package queue orders steps that wait for workers. It does no I/O and reads
+// no clock.
 //
-// The load it answers is more work than room: a burst of large jobs, or a
-// third of the workers gone. Serving strictly by deadline then makes every
-// job late, since each one that is already lost takes room from one that
-// could still be met. So what can still meet its objective goes first, what
-// can still be of some use next, and what is past both last.
+// Under overload, strict deadline order makes every job late, since jobs that
+// have already missed their objective take capacity from jobs that can still
+// meet it. Steps that can still meet their objective therefore go first, then
+// those whose result is still useful, then the others.
 package queue
--- a/queue/entry.go
+++ b/queue/entry.go
@@ -4,23 +4,25 @@
 
 // Entry is a step that waits for workers.
 type Entry struct {
-	// Priority is the queue's; 0 comes first.
+	// Priority is the priority of the step's queue; 0 is the highest.
 	Priority int
-	// Restart marks long-running tasks, whose users notice each second.
+	// Restart is set for long-running tasks that ran before, whose users are
+	// without service until they restart.
 	Restart bool
-	// Lasting marks the first start of long-running tasks.
+	// LongRunning is set for the first start of long-running tasks.
 	LongRunning bool
-	// MaxPerWorker bounds the step's tasks on one worker, 0 for no bound.
+	// MaxPerWorker bounds the step's tasks on one worker; 0 means no bound.
 	MaxPerWorker int
 	// LatestStart is when the step must start for its job to meet its
-	// objective, by the caller's estimates.
+	// objective.
 	LatestStart time.Time
-	// LatestUsefulStart is when it must start for the job's end to be of any use.
+	// LatestUsefulStart is when the step must start for its job's result to be
+	// useful.
 	LatestUsefulStart time.Time
-	// Arrived is when the job was submitted or came due.
+	// Arrived is when the job was submitted or became due.
 	Arrived time.Time
-	// Work is what the rest of the step takes, in core-milliseconds.
+	// RemainingWork is the unfinished work of the step, in core-milliseconds.
 	RemainingWork int64
-	// ID breaks ties, so that the order is the same each time.
+	// ID makes the order deterministic.
 	ID string
 }
--- a/queue/order.go
+++ b/queue/order.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Hope says what a step's job can still reach.
+// Timeliness tells whether a step's job can still meet its objective.
 type Timeliness uint8
 
-// From best to worst.
+// The values of Timeliness, from best to worst.
 const (
-	// OnTime can still meet its objective.
+	// OnTime means that the objective can still be met.
 	OnTime Timeliness = iota
-	// Late can still end while that is of some use.
+	// Late means that the objective is missed, but the result is still useful.
 	Late
-	// Lost is past both; it is owed all the same.
+	// Expired means that the result is no longer useful; the job still has to
+	// run.
 	Expired
 )
 
-// hopeNames are the hopes as logs show them.
-var hopeNames = [...]string{"on time", "late", "lost"}
+// timelinessNames are the names used in logs.
+var timelinessNames = [...]string{"on time", "late", "lost"}
 
-// String returns the hope as logs show it.
-func (h Timeliness) String() string {
-	if int(h) < len(hopeNames) {
-		return hopeNames[h]
+// String returns the name used in logs.
+func (t Timeliness) String() string {
+	if int(t) < len(timelinessNames) {
+		return timelinessNames[t]
 	}
 	return "unknown"
 }
 
-// TimelinessOf returns what the entry can still reach.
+// TimelinessOf returns the timeliness of an entry that starts at now.
 func TimelinessOf(e *Entry, now time.Time) Timeliness {
 	switch {
 	case !now.After(e.LatestStart):
@@ -41,23 +42,23 @@
 	}
 }
 
-// Compare orders two entries for slices.SortFunc: by priority; long-running
-// tasks that ran before, then those that haven't; by hope; then, among those on time, the one that must
-// start first, among the late the one with least work, which frees its room
-// soonest, and among the lost the one that came first.
+// Compare orders two entries, for use with slices.SortFunc. It orders by
+// priority, then restarts of long-running tasks, then their first starts, then
+// timeliness. Entries on time are ordered by latest start; late ones by least
+// remaining work, which frees their capacity soonest; expired ones by arrival.
 func Compare(a, b *Entry, now time.Time) int {
 	if c := compareUrgency(a, b); c != 0 {
 		return c
 	}
-	if c := compareLasting(a, b); c != 0 {
+	if c := compareLongRunning(a, b); c != 0 {
 		return c
 	}
-	ha, hb := TimelinessOf(a, now), TimelinessOf(b, now)
-	if c := cmp.Compare(ha, hb); c != 0 {
+	ta, tb := TimelinessOf(a, now), TimelinessOf(b, now)
+	if c := cmp.Compare(ta, tb); c != 0 {
 		return c
 	}
 	c := 0
-	switch ha {
+	switch ta {
 	case OnTime:
 		c = a.LatestStart.Compare(b.LatestStart)
 	case Late:
@@ -71,8 +72,8 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// CompareArrival orders two entries by priority, long-running tasks that ran
-// before, and arrival. It is what Compare is measured against.
+// CompareArrival orders two entries by priority, then restarts of long-running
+// tasks, then arrival. It is the baseline that Compare is measured against.
 func CompareArrival(a, b *Entry, _ time.Time) int {
 	if c := compareUrgency(a, b); c != 0 {
 		return c
@@ -80,8 +81,7 @@
 	return cmp.Or(a.Arrived.Compare(b.Arrived), cmp.Compare(a.ID, b.ID))
 }
 
-// compareUrgency orders by priority, and long-running tasks that ran before
-// ahead of others.
+// compareUrgency orders by priority, then restarts of long-running tasks.
 func compareUrgency(a, b *Entry) int {
 	if c := cmp.Compare(a.Priority, b.Priority); c != 0 || a.Restart == b.Restart {
 		return c
@@ -92,12 +92,11 @@
 	return 1
 }
 
-// compareLasting orders the first starts of long-running tasks: before others,
-// and of them those first that may share a worker with fewest of their step.
-// Such a step needs many workers of its class. Placed last it finds these full
-// and ends up among other classes, where hardly a filler suits: of 48 workers
-// that 37 jobs fill to 75%, 9 to 14 mixed classes, now none.
-func compareLasting(a, b *Entry) int {
+// compareLongRunning puts first starts of long-running tasks before other
+// entries, those with the smallest MaxPerWorker first. They need the most
+// workers; placed last they would have to share workers with other classes,
+// which few best-effort tasks can run alongside.
+func compareLongRunning(a, b *Entry) int {
 	if a.LongRunning != b.LongRunning {
 		if a.LongRunning {
 			return -1
--- a/queue/order_test.go
+++ b/queue/order_test.go
@@ -9,39 +9,38 @@
 	"github.com/fireflygate/fireflygate/queue"
 )
 
-// start is when the tests begin.
 var start = time.Unix(1000, 0)
 
-// TestCompare checks the order of a few entries that differ in one thing each.
+// TestCompare checks the order of entries that differ in one property each.
 func TestCompare(t *testing.T) {
 	soon, later := start.Add(time.Second), start.Add(5*time.Second)
 	past := start.Add(-time.Second)
 	entries := []*queue.Entry{
-		{ID: "lost second", Priority: 2, LatestStart: past, LatestUsefulStart: past, Arrived: soon},
-		{ID: "lost first", Priority: 2, LatestStart: past, LatestUsefulStart: past, Arrived: past},
+		{ID: "expired second", Priority: 2, LatestStart: past, LatestUsefulStart: past, Arrived: soon},
+		{ID: "expired first", Priority: 2, LatestStart: past, LatestUsefulStart: past, Arrived: past},
 		{ID: "late large", Priority: 2, LatestStart: past, LatestUsefulStart: later, RemainingWork: 90},
 		{ID: "late small", Priority: 2, LatestStart: past, LatestUsefulStart: later, RemainingWork: 10},
 		{ID: "on time later", Priority: 2, LatestStart: later, LatestUsefulStart: later},
 		{ID: "on time soon", Priority: 2, LatestStart: soon, LatestUsefulStart: later},
 		{ID: "restart", Priority: 2, Restart: true, LatestStart: past, LatestUsefulStart: past},
-		{ID: "lasting", Priority: 2, LongRunning: true, LatestStart: past, LatestUsefulStart: past},
-		{ID: "lasting, two a worker", Priority: 2, LongRunning: true, MaxPerWorker: 2, LatestStart: past, LatestUsefulStart: past},
-		{ID: "lasting, one a worker", Priority: 2, LongRunning: true, MaxPerWorker: 1, LatestStart: later, LatestUsefulStart: later},
-		{ID: "first queue, lost", Priority: 0, LatestStart: past, LatestUsefulStart: past},
+		{ID: "long-running", Priority: 2, LongRunning: true, LatestStart: past, LatestUsefulStart: past},
+		{ID: "long-running, two per worker", Priority: 2, LongRunning: true, MaxPerWorker: 2, LatestStart: past, LatestUsefulStart: past},
+		{ID: "long-running, one per worker", Priority: 2, LongRunning: true, MaxPerWorker: 1, LatestStart: later, LatestUsefulStart: later},
+		{ID: "first queue, expired", Priority: 0, LatestStart: past, LatestUsefulStart: past},
 	}
 	slices.SortFunc(entries, func(a, b *queue.Entry) int { return queue.Compare(a, b, start) })
 	want := []string{
-		"first queue, lost", "restart", "lasting, one a worker", "lasting, two a worker", "lasting", "on time soon", "on time later", "late small", "late large", "lost first", "lost second",
+		"first queue, expired", "restart", "long-running, one per worker", "long-running, two per worker", "long-running", "on time soon", "on time later", "late small", "late large", "expired first", "expired second",
 	}
 	for i, e := range entries {
 		if e.ID != want[i] {
-			t.Errorf("place %d: %s, want %s", i, e.ID, want[i])
+			t.Errorf("position %d: %s, want %s", i, e.ID, want[i])
 		}
 	}
 }
 
-// burst is a load of jobs, each of one task of 1 to 4 s on one of a few
-// workers, due after twice its run time and a second: more than fit.
+// burst returns 60 single-task jobs of 1 to 4 s, with an objective of twice
+// the run time plus one second.
 func burst() []queue.Entry {
 	var all []queue.Entry
 	for i := range 60 {
@@ -56,8 +55,8 @@
 	return all
 }
 
-// replay serves the load on workers and counts the jobs that meet their
-// objective and those that end in time to be of use.
+// replay runs the load on workers in the order of compare and counts the jobs
+// that meet their objective and those that end while useful.
 func replay(load []queue.Entry, workers int, compare func(a, b *queue.Entry, now time.Time) int) (onTime, useful int) {
 	free := make([]time.Time, workers)
 	for i := range free {
@@ -98,8 +97,8 @@
 	return onTime, useful
 }
 
-// TestBurst compares the order with the two usual ones on a burst of twice
-// what fits: first come first served, and earliest deadline first.
+// TestBurst checks that under twice the load that fits, more jobs meet their
+// objective than with first come first served or earliest deadline first.
 func TestBurst(t *testing.T) {
 	const workers = 5
 	fifo := func(a, b *queue.Entry, _ time.Time) int { return a.Arrived.Compare(b.Arrived) }
@@ -107,9 +106,9 @@
 	first, firstUseful := replay(burst(), workers, fifo)
 	deadline, deadlineUseful := replay(burst(), workers, edf)
 	ours, oursUseful := replay(burst(), workers, queue.Compare)
-	t.Logf("on time, useful of 60: first come %d, %d; earliest deadline %d, %d; by hope %d, %d",
+	t.Logf("on time, useful of 60: first come first served %d, %d; earliest deadline first %d, %d; by timeliness %d, %d",
 		first, firstUseful, deadline, deadlineUseful, ours, oursUseful)
 	if ours <= first || ours <= deadline {
-		t.Errorf("%d jobs on time, want more than %d (first come) and %d (earliest deadline)", ours, first, deadline)
+		t.Errorf("%d jobs on time, want more than %d (first come first served) and %d (earliest deadline first)", ours, first, deadline)
 	}
 }
