--- a/rank/doc.go
+++ b/rank/doc.go
@@ -1,7 +1,7 @@
-// Package rank chooses a worker for a task. It is pure.
+// Package rank computes the cost of placing a task on a worker. It does no I/O
+// and reads no clock.
 //
-// Tasks are packed where they fit best, so that room for large ones remains.
-// Tasks that serve users and tasks that fill what others leave are kept on
-// different workers, since a filler makes the tail of its neighbours longer
-// in a way that is known only after it has been measured.
+// Tasks are packed where they fit best, so that capacity for large tasks
+// remains. Serving and best-effort tasks are kept apart where possible, since
+// best-effort tasks lengthen the tails of serving tasks.
 package rank
--- a/rank/rank.go
+++ b/rank/rank.go
@@ -1,59 +1,61 @@
 package rank
 
-// The weights of the reasons against a worker. A worker's share of free
-// processors after placement counts 0 to 1; each weight says how many such
-// shares the reason outweighs. They are ordered: a failure there is worse
-// than a doubtful worker, that worse than distant data, which makes a task
-// take 2 to 3 times as long, that worse than a disturbed neighbour, and that
-// worse than a poor fit. Opening one more worker to tasks that serve closes it
-// to fillers, which outweighs spreading a step's tasks. Mixing classes that
-// serve is worse: a filler must then suit all of them, and most suit only some.
-// Fillers that suit all workers leave those that others want to them.
+// Weights of the reasons against a worker, relative to the share of processors
+// left free, which counts 0 to 1. In decreasing order: an earlier failure of
+// the task on the worker, a suspect worker, remote data, which makes a task
+// take 2 to 3 times as long, interference, and a poor fit.
+//
+// Using one more worker for serving tasks makes it unavailable to most
+// best-effort tasks, which outweighs spreading the tasks of a step. Mixing
+// classes of serving tasks costs more, since a best-effort task must then suit
+// all of them. Low-impact tasks leave the workers that suit other best-effort
+// tasks to those, and tasks with a reservation avoid workers with best-effort
+// tasks.
 const (
 	failedBeforeWeight = 1000
 	suspectWeight      = 300
-	farDataWeight      = 100
-	disturbWeight      = 12
-	mixWeight          = 8
-	openWeight         = 5
-	wantedWeight       = 8
-	siblingWeight      = 0.1
-	squeezeWeight      = 2
+	remoteDataWeight   = 100
+	interferenceWeight = 12
+	mixedClassWeight   = 8
+	newServingWeight   = 5
+	demandWeight       = 8
+	sameStepWeight     = 0.1
+	displaceWeight     = 2
 )
 
-// Cost returns how bad a worker is for a task, least is best. The worker must
-// have room.
+// Cost returns the cost of placing a task on a worker; lower is better. The
+// worker must have the capacity.
 func Cost(t *Task, w *Worker) float64 {
-	cost := fitCost(t, w) + doubtCost(w)
+	cost := fitCost(t, w) + suspicionCost(w)
 	if !w.DataLocal {
-		cost += farDataWeight
+		cost += remoteDataWeight
 	}
 	switch {
 	case t.Serving && t.IgnoreClasses:
 	case t.Serving:
-		cost += disturbWeight * w.Impact
+		cost += interferenceWeight * w.Impact
 		if w.Serving == 0 {
-			cost += openWeight
+			cost += newServingWeight
 		}
 		if w.OtherClasses > 0 {
-			cost += mixWeight
+			cost += mixedClassWeight
 		}
 	case t.BestEffort:
-		cost += disturbWeight * w.Impact
+		cost += interferenceWeight * w.Impact
 		if t.LowImpact {
-			cost += wantedWeight * w.Demand // left to fillers that aren't
+			cost += demandWeight * w.Demand // left to tasks with a larger impact
 		}
 	default:
-		cost += squeezeWeight * float64(w.BestEffort) / float64(1+w.BestEffort)
+		cost += displaceWeight * float64(w.BestEffort) / float64(1+w.BestEffort)
 	}
 	if t.Spread {
-		cost += siblingWeight * float64(w.SameStep)
+		cost += sameStepWeight * float64(w.SameStep)
 	}
 	return cost
 }
 
-// fitCost prefers the fullest worker for tasks with a reservation, and the
-// one with most unused processors for fillers.
+// fitCost prefers the fullest worker for tasks with a reservation, and the one
+// with most unused processors for best-effort tasks.
 func fitCost(t *Task, w *Worker) float64 {
 	if w.Capacity.MilliCPU == 0 {
 		return 0
@@ -64,8 +66,8 @@
 	return float64(w.Free.MilliCPU-t.Request.MilliCPU) / float64(w.Capacity.MilliCPU)
 }
 
-// doubtCost keeps tasks from workers that fail them.
-func doubtCost(w *Worker) float64 {
+// suspicionCost keeps tasks from workers that failed them or are suspect.
+func suspicionCost(w *Worker) float64 {
 	cost := 0.0
 	if w.FailedBefore {
 		cost += failedBeforeWeight
--- a/rank/rank_test.go
+++ b/rank/rank_test.go
@@ -7,36 +7,36 @@
 	"github.com/fireflygate/fireflygate/rank"
 )
 
-// TestCost compares two workers for one task: the first must be better.
+// TestCost compares the costs of two workers for a task in each case.
 func TestCost(t *testing.T) {
-	room := func(cpu int64) infra.Resources { return infra.Resources{MilliCPU: cpu, MemoryMB: 1000} }
-	base := rank.Worker{Free: room(8000), Capacity: room(16_000), UnusedMilliCPU: 8000, DataLocal: true}
+	resources := func(cpu int64) infra.Resources { return infra.Resources{MilliCPU: cpu, MemoryMB: 1000} }
+	base := rank.Worker{Free: resources(8000), Capacity: resources(16_000), UnusedMilliCPU: 8000, DataLocal: true}
 	with := func(f func(*rank.Worker)) rank.Worker {
 		w := base
 		f(&w)
 		return w
 	}
-	short := rank.Task{Request: room(4000)}
-	serving := rank.Task{Request: room(4000), Serving: true, Spread: true}
-	filler := rank.Task{Request: room(4000), BestEffort: true}
-	quiet := rank.Task{Request: room(4000), BestEffort: true, LowImpact: true}
+	short := rank.Task{Request: resources(4000)}
+	serving := rank.Task{Request: resources(4000), Serving: true, Spread: true}
+	bestEffort := rank.Task{Request: resources(4000), BestEffort: true}
+	lowImpact := rank.Task{Request: resources(4000), BestEffort: true, LowImpact: true}
 	for _, c := range []struct {
 		name          string
 		task          rank.Task
 		better, worse rank.Worker
 	}{
-		{"the fuller worker", short, with(func(w *rank.Worker) { w.Free = room(4000) }), base},
-		{"near the data, though emptier", short, with(func(w *rank.Worker) { w.Free = room(16_000) }), with(func(w *rank.Worker) { w.DataLocal = false })},
-		{"a sound worker, though far from the data", short, with(func(w *rank.Worker) { w.DataLocal = false }), with(func(w *rank.Worker) { w.Suspect = true })},
-		{"a suspect worker rather than where it failed", short, with(func(w *rank.Worker) { w.Suspect = true }), with(func(w *rank.Worker) { w.FailedBefore = true })},
-		{"where its class serves already", serving, with(func(w *rank.Worker) { w.Serving = 1 }), base},
-		{"an empty worker rather than among strangers", serving, base, with(func(w *rank.Worker) { w.Serving, w.OtherClasses = 2, 2 })},
-		{"where fillers don't disturb it", serving, base, with(func(w *rank.Worker) { w.Serving, w.BestEffort, w.Impact = 1, 2, 0.5 })},
-		{"a filler where most lies idle", filler, base, with(func(w *rank.Worker) { w.UnusedMilliCPU = 4000 })},
-		{"a filler where it does no harm", filler, base, with(func(w *rank.Worker) { w.Serving, w.Impact = 1, 0.04 })},
-		{"a quiet filler leaves free workers to others", quiet, with(func(w *rank.Worker) { w.Serving = 1 }), with(func(w *rank.Worker) { w.Demand = 0.6 })},
-		{"a quiet filler leaves workers that suit loud ones to them", quiet, with(func(w *rank.Worker) { w.Serving, w.UnusedMilliCPU = 1, 6000 }), with(func(w *rank.Worker) { w.Serving, w.Demand = 1, 0.3 })},
-		{"a loud filler goes to them", filler, with(func(w *rank.Worker) { w.Serving, w.Demand = 1, 0.3 }), with(func(w *rank.Worker) { w.Serving, w.Impact = 1, 0.5 })},
+		{"fuller worker", short, with(func(w *rank.Worker) { w.Free = resources(4000) }), base},
+		{"local data, though emptier", short, with(func(w *rank.Worker) { w.Free = resources(16_000) }), with(func(w *rank.Worker) { w.DataLocal = false })},
+		{"healthy worker, though with remote data", short, with(func(w *rank.Worker) { w.DataLocal = false }), with(func(w *rank.Worker) { w.Suspect = true })},
+		{"suspect worker rather than one on which the task failed", short, with(func(w *rank.Worker) { w.Suspect = true }), with(func(w *rank.Worker) { w.FailedBefore = true })},
+		{"worker that already serves the class", serving, with(func(w *rank.Worker) { w.Serving = 1 }), base},
+		{"empty worker rather than one that serves other classes", serving, base, with(func(w *rank.Worker) { w.Serving, w.OtherClasses = 2, 2 })},
+		{"serving task where the impact is small", serving, base, with(func(w *rank.Worker) { w.Serving, w.BestEffort, w.Impact = 1, 2, 0.5 })},
+		{"best-effort task where most processors are unused", bestEffort, base, with(func(w *rank.Worker) { w.UnusedMilliCPU = 4000 })},
+		{"best-effort task where its impact is small", bestEffort, base, with(func(w *rank.Worker) { w.Serving, w.Impact = 1, 0.04 })},
+		{"low-impact task leaves workers without serving tasks to others", lowImpact, with(func(w *rank.Worker) { w.Serving = 1 }), with(func(w *rank.Worker) { w.Demand = 0.6 })},
+		{"low-impact task leaves workers that others need to them", lowImpact, with(func(w *rank.Worker) { w.Serving, w.UnusedMilliCPU = 1, 6000 }), with(func(w *rank.Worker) { w.Serving, w.Demand = 1, 0.3 })},
+		{"other best-effort task uses the workers that it needs", bestEffort, with(func(w *rank.Worker) { w.Serving, w.Demand = 1, 0.3 }), with(func(w *rank.Worker) { w.Serving, w.Impact = 1, 0.5 })},
 	} {
 		better, worse := rank.Cost(&c.task, &c.better), rank.Cost(&c.task, &c.worse)
 		if better >= worse {
--- a/rank/task.go
+++ b/rank/task.go
@@ -2,18 +2,22 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// Task is what the choice depends on.
+// Task holds the properties of a task that its cost depends on.
 type Task struct {
-	// Needs is what the task asks for.
+	// Request is what the task requests.
 	Request infra.Resources
-	// Serving tasks have users of their own and a target for their tail.
+	// Serving is set for tasks that serve users and have a tail latency
+	// target.
 	Serving bool
-	// Filler tasks take what others leave; their processors aren't reserved.
+	// BestEffort is set for tasks that reserve no processors.
 	BestEffort bool
-	// Quiet fillers do no harm to any serving task, as far as is known.
+	// LowImpact is set for best-effort tasks with little effect on any serving
+	// task, as far as is known.
 	LowImpact bool
-	// IgnoreClasses leaves out who serves on a worker, for experiments.
+	// IgnoreClasses disables the costs that depend on the serving classes of a
+	// worker, for experiments.
 	IgnoreClasses bool
-	// Spread tasks should not share a worker with others of their step.
+	// Spread is set for tasks that should not share a worker with others of
+	// their step.
 	Spread bool
 }
--- a/rank/worker.go
+++ b/rank/worker.go
@@ -2,33 +2,34 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// Worker is what the choice depends on.
+// Worker holds the properties of a worker that a task's cost depends on.
 type Worker struct {
-	// Free is what no run has reserved.
+	// Free is what isn't reserved.
 	Free infra.Resources
-	// Capacity is what it holds in all.
+	// Capacity is the total capacity.
 	Capacity infra.Resources
-	// UnusedMilliCPU is thousandths of a core that neither a reservation nor a
-	// filler's request covers; it may be negative.
+	// UnusedMilliCPU is what neither reservations nor requests of best-effort
+	// tasks cover, in thousandths of a core; it may be negative.
 	UnusedMilliCPU int64
-	// Serving and Fillers count runs that serve users and that fill.
+	// Serving and BestEffort count the runs of serving and of best-effort
+	// tasks.
 	Serving, BestEffort int
-	// Strangers counts runs that serve users and are of another class than
-	// the task.
+	// OtherClasses counts runs of serving tasks whose class differs from the
+	// task's.
 	OtherClasses int
-	// Harm is how much the placement is expected to take from the slack of a
-	// serving task, its target over its tail.
+	// Impact is the expected reduction of a serving task's slack, which is the
+	// ratio of its tail's target to the tail.
 	Impact float64
-	// Wanted is the share of the fillers' work that only some workers suit and
-	// that this one does, 0 to 1.
+	// Demand is the share of best-effort work, 0 to 1, that suits this worker
+	// and not every other one.
 	Demand float64
-	// Siblings counts runs of the same step.
+	// SameStep counts runs of the same step.
 	SameStep int
-	// DataLocal is set if the task's data is in the worker's rack, or it has
-	// none.
+	// DataLocal is set if the task's data is in the worker's rack, or if it
+	// has none.
 	DataLocal bool
-	// Suspect workers seem to fail whatever they get.
+	// Suspect is set for workers that seem to fail every task.
 	Suspect bool
-	// FailedBefore is set if the task failed there.
+	// FailedBefore is set if the task failed on the worker.
 	FailedBefore bool
 }
