--- a/preempt/choose.go
+++ b/preempt/choose.go
@@ -8,8 +8,9 @@
 )
 
 // Choose returns the victims on one worker that must end for needs to fit into
-// what is free there, and the work that this throws away. Those who lose least
-// go first. It returns false if all of them don't make the room.
+// free, and the work lost with them, in core-milliseconds. Victims that lose
+// the least work are chosen first. It returns false if ending all victims
+// doesn't free enough capacity.
 func Choose(needs, free infra.Resources, victims []Victim) (chosen []Victim, loss int64, ok bool) {
 	if needs.Fits(free) {
 		return nil, 0, true
@@ -24,22 +25,22 @@
 		loss += v.LostWork
 		free = free.Add(v.Reserved)
 		if needs.Fits(free) {
-			return spare(chosen, needs, free, loss)
+			return spareUnneeded(chosen, needs, free, loss)
 		}
 	}
 	return nil, 0, false
 }
 
-// helps reports whether a run holds some of what is missing.
+// helps reports whether a run reserves some of what is missing.
 func helps(reserved, needs, free infra.Resources) bool {
 	return (needs.MilliCPU > free.MilliCPU && reserved.MilliCPU > 0) ||
 		(needs.MemoryMB > free.MemoryMB && reserved.MemoryMB > 0) ||
 		(needs.Accelerators > free.Accelerators && reserved.Accelerators > 0)
 }
 
-// spare leaves out victims whose room isn't needed after all, the one that
-// loses most first.
-func spare(chosen []Victim, needs, free infra.Resources, loss int64) ([]Victim, int64, bool) {
+// spareUnneeded drops victims that turn out not to be needed, the one that
+// loses most work first.
+func spareUnneeded(chosen []Victim, needs, free infra.Resources, loss int64) ([]Victim, int64, bool) {
 	for i := len(chosen) - 1; i >= 0; i-- {
 		if without := free.Sub(chosen[i].Reserved); needs.Fits(without) {
 			free = without
--- a/preempt/choose_test.go
+++ b/preempt/choose_test.go
@@ -7,14 +7,14 @@
 	"github.com/fireflygate/fireflygate/preempt"
 )
 
-// TestChoose checks that room is made where it can be, with least loss.
+// TestChoose checks that enough capacity is freed with the least work lost.
 func TestChoose(t *testing.T) {
-	room := func(cpu, mem int64) infra.Resources { return infra.Resources{MilliCPU: cpu, MemoryMB: mem} }
+	resources := func(cpu, mem int64) infra.Resources { return infra.Resources{MilliCPU: cpu, MemoryMB: mem} }
 	victims := []preempt.Victim{
-		{ID: 0, Reserved: room(0, 100), LostWork: 50},
-		{ID: 1, Reserved: room(0, 300), LostWork: 60},
-		{ID: 2, Reserved: room(5000, 10), LostWork: 10},
-		{ID: 3, Reserved: room(0, 100), LostWork: 900},
+		{ID: 0, Reserved: resources(0, 100), LostWork: 50},
+		{ID: 1, Reserved: resources(0, 300), LostWork: 60},
+		{ID: 2, Reserved: resources(5000, 10), LostWork: 10},
+		{ID: 3, Reserved: resources(0, 100), LostWork: 900},
 	}
 	for _, c := range []struct {
 		name        string
@@ -23,11 +23,11 @@
 		loss        int64
 		ok          bool
 	}{
-		{"fits already", room(1000, 100), room(1000, 100), nil, 0, true},
-		{"memory: the small one was not needed after all", room(1000, 300), room(1000, 0), []int{1}, 60, true},
-		{"processors: only the run that holds some", room(4000, 10), room(0, 10), []int{2}, 10, true},
-		{"both", room(4000, 90), room(0, 0), []int{0, 2}, 60, true},
-		{"never enough", room(9000, 100), room(0, 100), nil, 0, false},
+		{"fits already", resources(1000, 100), resources(1000, 100), nil, 0, true},
+		{"memory: the smaller victim isn't needed", resources(1000, 300), resources(1000, 0), []int{1}, 60, true},
+		{"processors: only the run that reserves some", resources(4000, 10), resources(0, 10), []int{2}, 10, true},
+		{"both", resources(4000, 90), resources(0, 0), []int{0, 2}, 60, true},
+		{"not enough in total", resources(9000, 100), resources(0, 100), nil, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			chosen, loss, ok := preempt.Choose(c.needs, c.free, victims)
--- a/preempt/doc.go
+++ b/preempt/doc.go
@@ -1,8 +1,7 @@
-// Package preempt chooses which runs give way to a task of a queue that comes
-// first. It is pure.
+// Package preempt chooses the runs to end for a task of a queue with a higher
+// priority. It does no I/O and reads no clock.
 //
-// The load it answers is a pool whose room is taken by work that can wait: a
-// rack or a third of the workers is gone, or large jobs came at once, and a
-// long-running task that lost its worker fits nowhere. Least work is thrown
-// away, and only where it makes the room that is needed.
+// A long-running task that lost its worker may fit nowhere when many workers
+// are lost or large jobs arrive. Victims are chosen so that the least work is
+// lost, and only where ending them frees enough capacity.
 package preempt
--- a/preempt/victim.go
+++ b/preempt/victim.go
@@ -2,13 +2,12 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// Victim is a run that may give way.
+// Victim is a run that may be ended.
 type Victim struct {
-	// ID is the caller's own.
+	// ID identifies the run to the caller.
 	ID int
-	// Reserved is the room that its end frees.
+	// Reserved is the capacity that ending the run frees.
 	Reserved infra.Resources
-	// Loss is the work that its end throws away, in core-milliseconds: what
-	// it has done since it last saved.
+	// LostWork is the work since the last checkpoint, in core-milliseconds.
 	LostWork int64
 }
