--- a/headroom/headroom.go
+++ b/headroom/headroom.go
@@ -1,10 +1,10 @@
-// Package headroom keeps room for short work in a pool that long-running
-// tasks would fill. It is pure.
+// Package headroom reserves capacity for short tasks in a pool that also runs
+// long-running tasks. It does no I/O and reads no clock.
 //
-// The load it answers is long-running tasks that come until the pool is full:
-// they never leave, so each short task that comes later finds only what is
-// left between them. So a long-running task's first start waits while less
-// would be left than short work has lately needed.
+// Long-running tasks don't release their capacity, so unless their number is
+// limited, short tasks that arrive later find no worker. The first start of a
+// long-running task therefore waits while it would leave less than short tasks
+// have needed lately.
 package headroom
 
 import (
@@ -13,33 +13,32 @@
 )
 
 const (
-	// halfLife is in how long the remembered need falls by half; several
-	// times a short job's run, so that a lull between two jobs doesn't give
-	// its room away.
+	// halfLife is the half-life of the tracked demand; it exceeds the run time
+	// of short jobs, so that capacity stays reserved between two of them.
 	halfLife = 6 * time.Second
-	// spare is kept beyond the need: the swing of arrivals within seconds.
-	spare = 1.25
+	// spareFactor allows for variations of the arrival rate.
+	spareFactor = 1.25
 )
 
-// Tracker remembers how much room short work has needed, in thousandths of a
-// core. The zero value remembers nothing.
+// Tracker tracks the demand of short tasks, in thousandths of a core. The zero
+// value tracks no demand.
 type Tracker struct {
-	need float64
-	at   time.Time
+	demand    float64
+	updatedAt time.Time
 }
 
-// Observe takes in what short work uses and waits for now. The need rises at
-// once and falls slowly.
+// Observe updates the demand with what short tasks use and what waiting ones
+// request. It rises at once and decays exponentially.
 func (t *Tracker) Observe(now time.Time, inUse, waiting int64) {
-	if !t.at.IsZero() && now.After(t.at) {
-		t.need *= math.Exp2(-float64(now.Sub(t.at)) / float64(halfLife))
+	if !t.updatedAt.IsZero() && now.After(t.updatedAt) {
+		t.demand *= math.Exp2(-float64(now.Sub(t.updatedAt)) / float64(halfLife))
 	}
-	t.at = now
-	t.need = max(t.need, float64(inUse+waiting))
+	t.updatedAt = now
+	t.demand = max(t.demand, float64(inUse+waiting))
 }
 
-// Keep returns how much of the free room must stay free of long-running
-// tasks, given what short work uses now.
+// Headroom returns the free capacity that must not be given to long-running
+// tasks, in thousandths of a core, if short tasks use inUse.
 func (t *Tracker) Headroom(inUse int64) int64 {
-	return max(int64(spare*t.need)-inUse, 0)
+	return max(int64(spareFactor*t.demand)-inUse, 0)
 }
