--- a/estimate/class.go
+++ b/estimate/class.go
@@ -1,15 +1,14 @@
 package estimate
 
-// class is what is known of one job class: ratios of the truth to what was
-// declared.
+// class holds the ratios of actual to declared values of a job class.
 type class struct {
 	cpu    *sketch
 	memory *sketch
 	run    *sketch
-	// memoryFloor is the least memory ratio since a run was killed, in
-	// permille; it decays with each run that ends well.
+	// memoryFloor is the least memory ratio after an out-of-memory kill, in
+	// permille; it decays with each successful run.
 	memoryFloor int64
-	used        uint64
+	lastUpdate  uint64
 }
 
 func newClass() *class {
--- a/estimate/doc.go
+++ b/estimate/doc.go
@@ -1,3 +1,3 @@
-// Package estimate learns by job class how far declared sizes and run times
-// are from the truth. It is pure and its memory is bounded.
+// Package estimate learns the ratios of actual to declared sizes and run times
+// by job class. It does no I/O, reads no clock and uses bounded memory.
 package estimate
--- a/estimate/estimator.go
+++ b/estimate/estimator.go
@@ -9,46 +9,52 @@
 	sizeQuantile   = 95
 	memoryQuantile = 99
 	runQuantile    = 90
-	// priorSamples is how many samples the declared value weighs.
+	// priorSamples is the weight of the declared value, in samples.
 	priorSamples = 4
-	// maxClasses bounds the classes remembered; the least recently learned
-	// one goes first.
+	// maxClasses bounds the number of classes; beyond it the least recently
+	// updated one is dropped.
 	maxClasses = 512
-	// killRaise is by how much a kill raises the reservation, in permille.
+	// killRaise is the factor by which an out-of-memory kill raises the
+	// reservation, in permille.
 	killRaise = 1500
-	// floorDecay is what a run that ends well leaves of a kill's floor.
+	// floorDecay is the part of the memory floor that a successful run leaves,
+	// in permille.
 	floorDecay = 990
-	// cpuStep and memoryStep are what learned sizes are rounded up to, so
-	// that small changes leave pending jobs of a class alike.
+	// cpuStep and memoryStep are the units that learned sizes are rounded up
+	// to, in thousandths of a core and megabytes, so that pending jobs of a
+	// class get equal sizes.
 	cpuStep    = 50
 	memoryStep = 32
 )
 
-// Book holds the estimates of every class. It is not safe for concurrent use.
+// Estimator holds the estimates of every class. It is not safe for concurrent
+// use.
 type Estimator struct {
 	classes map[string]*class
 	clock   uint64
 }
 
-// NewEstimator returns a Book that trusts what is declared.
+// NewEstimator returns an Estimator without samples, which estimates what jobs
+// declare.
 func NewEstimator() *Estimator {
 	return &Estimator{classes: map[string]*class{}}
 }
 
-// Size is what to reserve for a job: processors by a learned high quantile,
-// weighed against the declared value by the number of runs seen; memory by
-// the larger of declared and learned, and at least the job's own floor.
-// Latency-critical work reserves at least the processors that it declares.
-func (b *Estimator) Size(s task.Spec) infra.Resources {
-	size := b.classSize(s)
+// Size returns what to reserve for a job. Processors are a high quantile of
+// past usage, combined with the declared value according to the number of
+// samples. Memory is the larger of the declared and the learned value, and at
+// least the job's floor. Latency-critical jobs get at least the processors
+// that they declare.
+func (e *Estimator) Size(s task.Spec) infra.Resources {
+	size := e.classSize(s)
 	size.MemoryMB = max(size.MemoryMB, s.Floor.MemoryMB)
 	return size
 }
 
-// classSize is the size by what is known of the job's class.
-func (b *Estimator) classSize(s task.Spec) infra.Resources {
+// classSize returns the size without the job's own floor.
+func (e *Estimator) classSize(s task.Spec) infra.Resources {
 	size := s.Resources
-	c, known := b.classes[s.Class]
+	c, known := e.classes[s.Class]
 	if !known {
 		return size
 	}
@@ -63,18 +69,18 @@
 	return size
 }
 
-// RunMS is the run time to plan with, in milliseconds; 0 for a standing job.
-func (b *Estimator) RunMS(s task.Spec) int64 {
-	c, known := b.classes[s.Class]
+// RunMS returns the expected run time, in milliseconds; 0 for a standing job.
+func (e *Estimator) RunMS(s task.Spec) int64 {
+	c, known := e.classes[s.Class]
 	if !known {
 		return s.RunMS
 	}
 	return s.RunMS * blend(c.run) / permille
 }
 
-// LearnSize takes in the peak of what one run used.
-func (b *Estimator) LearnSize(s task.Spec, peak infra.Resources) {
-	c := b.class(s.Class)
+// LearnSize records the peak usage of a run.
+func (e *Estimator) LearnSize(s task.Spec, peak infra.Resources) {
+	c := e.class(s.Class)
 	if s.Resources.MilliCPU > 0 && peak.MilliCPU > 0 {
 		c.cpu.record(peak.MilliCPU * permille / s.Resources.MilliCPU)
 	}
@@ -83,52 +89,53 @@
 	}
 }
 
-// LearnRun takes in the run time of a run that ended well, in milliseconds.
-func (b *Estimator) LearnRun(s task.Spec, actualMS int64) {
-	c := b.class(s.Class)
+// LearnRun records the run time of a successful run, in milliseconds.
+func (e *Estimator) LearnRun(s task.Spec, actualMS int64) {
+	c := e.class(s.Class)
 	c.memoryFloor = c.memoryFloor * floorDecay / permille
 	if s.RunMS > 0 && actualMS > 0 {
 		c.run.record(actualMS * permille / s.RunMS)
 	}
 }
 
-// Killed raises the class's memory at once, after a run was killed for
+// RecordOOMKill raises the memory of the class after a run was killed for
 // exceeding reserved.
-func (b *Estimator) RecordOOMKill(s task.Spec, reserved infra.Resources) {
+func (e *Estimator) RecordOOMKill(s task.Spec, reserved infra.Resources) {
 	if s.Resources.MemoryMB <= 0 {
 		return
 	}
-	c := b.class(s.Class)
+	c := e.class(s.Class)
 	raised := reserved.MemoryMB * killRaise / s.Resources.MemoryMB
 	c.memoryFloor = min(max(c.memoryFloor, raised), maxRatio)
 }
 
-func (b *Estimator) class(name string) *class {
-	b.clock++
-	c, known := b.classes[name]
+func (e *Estimator) class(name string) *class {
+	e.clock++
+	c, known := e.classes[name]
 	if !known {
-		b.makeRoom()
+		e.evictOldest()
 		c = newClass()
-		b.classes[name] = c
+		e.classes[name] = c
 	}
-	c.used = b.clock
+	c.lastUpdate = e.clock
 	return c
 }
 
-func (b *Estimator) makeRoom() {
-	if len(b.classes) < maxClasses {
+func (e *Estimator) evictOldest() {
+	if len(e.classes) < maxClasses {
 		return
 	}
 	oldest := ""
-	for name, c := range b.classes {
-		if oldest == "" || c.used < b.classes[oldest].used {
+	for name, c := range e.classes {
+		if oldest == "" || c.lastUpdate < e.classes[oldest].lastUpdate {
 			oldest = name
 		}
 	}
-	delete(b.classes, oldest)
+	delete(e.classes, oldest)
 }
 
-// blend weighs the learned ratio against "as declared" by samples.
+// blend returns the mean of the learned ratio and the declared value, weighted
+// by samples, in permille.
 func blend(s *sketch) int64 {
 	n := s.samples()
 	if n == 0 {
@@ -137,7 +144,7 @@
 	return (priorSamples*permille + n*s.value()) / (priorSamples + n)
 }
 
-// scale multiplies by a ratio in permille and rounds up to a step.
+// scale multiplies by a ratio in permille and rounds up to a multiple of step.
 func scale(declared, ratio, step int64) int64 {
 	scaled := declared * ratio / permille
 	return (scaled + step - 1) / step * step
--- a/estimate/estimator_test.go
+++ b/estimate/estimator_test.go
@@ -15,10 +15,10 @@
 	}
 }
 
-// within reports whether got is between a tenth below and a quarter above.
+// within reports whether got is at most a tenth below or a quarter above want.
 func within(got, want int64) bool { return got >= want*9/10 && got <= want*5/4 }
 
-func TestDeclaredFarOff(t *testing.T) {
+func TestLearnsActualSizes(t *testing.T) {
 	tests := []struct {
 		name          string
 		qos           task.QoS
@@ -27,7 +27,7 @@
 	}{
 		{"declared four times too large", task.Batch, 0.25, 1000, 8000, 15_000},
 		{"declared four times too small", task.Batch, 4, 16_000, 32_000, 240_000},
-		{"latency-critical keeps what it declares", task.LatencyCritical, 0.25, 4000, 8000, 15_000},
+		{"latency-critical keeps declared processors", task.LatencyCritical, 0.25, 4000, 8000, 15_000},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -47,34 +47,34 @@
 	}
 }
 
-func TestFewSamplesLeanOnDeclared(t *testing.T) {
+func TestFewSamplesStayNearDeclared(t *testing.T) {
 	b, s := NewEstimator(), spec(task.Batch)
 	if b.Size(s) != s.Resources || b.RunMS(s) != s.RunMS {
-		t.Error("a class never seen is not taken as declared")
+		t.Error("estimates without samples differ from the declared values")
 	}
 	b.LearnSize(s, infra.Resources{MilliCPU: 1000, MemoryMB: 1000})
 	if got := b.Size(s).MilliCPU; got < 3000 || got >= 4000 {
-		t.Errorf("one sample of 1000 moved 4000 to %d", got)
+		t.Errorf("estimate %d after one sample of 1000; want 3000 to 4000, near the declared 4000", got)
 	}
 }
 
-func TestKillRaisesAtOnceAndFades(t *testing.T) {
+func TestOOMKillRaisesMemoryAndDecays(t *testing.T) {
 	b, s := NewEstimator(), spec(task.Batch)
 	b.RecordOOMKill(s, s.Resources)
 	if got := b.Size(s).MemoryMB; got < 12_000 {
-		t.Fatalf("%d MB after a kill at 8000", got)
+		t.Fatalf("%d MB after an out-of-memory kill at 8000 MB, want at least 12000", got)
 	}
 	reserved := b.Size(s)
 	b.RecordOOMKill(s, reserved)
 	if got := b.Size(s).MemoryMB; got < 18_000 {
-		t.Fatalf("%d MB after a second kill at %d", got, reserved.MemoryMB)
+		t.Fatalf("%d MB after a second out-of-memory kill at %d MB, want at least 18000", got, reserved.MemoryMB)
 	}
 	for range 200 {
 		b.LearnSize(s, infra.Resources{MemoryMB: 6000})
 		b.LearnRun(s, 60_000)
 	}
 	if got := b.Size(s).MemoryMB; got != 8000 {
-		t.Errorf("%d MB after 200 good runs", got)
+		t.Errorf("%d MB after 200 successful runs, want the declared 8000", got)
 	}
 }
 
@@ -85,7 +85,7 @@
 			b.LearnSize(s, infra.Resources{MilliCPU: used})
 		}
 		if got := b.Size(s).MilliCPU; !within(got, used) {
-			t.Errorf("%d after samples of %d", got, used)
+			t.Errorf("estimate %d after samples of %d", got, used)
 		}
 	}
 }
@@ -98,6 +98,6 @@
 		b.LearnRun(s, 1)
 	}
 	if len(b.classes) != maxClasses {
-		t.Errorf("%d classes", len(b.classes))
+		t.Errorf("%d classes kept", len(b.classes))
 	}
 }
--- a/estimate/sketch.go
+++ b/estimate/sketch.go
@@ -3,16 +3,18 @@
 import "github.com/HdrHistogram/hdrhistogram-go"
 
 const (
-	// permille is the unit of recorded ratios: 1000 is "as declared".
+	// permille is the unit of recorded ratios; 1000 means equal to the
+	// declared value.
 	permille = 1000
-	// maxRatio is the largest ratio told apart, in permille.
+	// maxRatio is the largest recorded ratio, in permille.
 	maxRatio = 64 * permille
-	// windowSamples is how many samples a half of the window holds.
+	// windowSamples is the number of samples in each half of the window.
 	windowSamples = 128
 )
 
-// sketch keeps quantiles of the last windowSamples to 2*windowSamples
-// samples. Older samples are dropped by halves, so that it follows drift.
+// sketch estimates a quantile over the last windowSamples to 2*windowSamples
+// samples. Older samples are dropped by halves of the window, so that the
+// estimate follows changes.
 type sketch struct {
 	recent   *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
@@ -30,7 +32,7 @@
 	return s
 }
 
-// record adds one ratio in permille; it is clamped to what is told apart.
+// record adds a ratio in permille, clamped to 1 to maxRatio.
 func (s *sketch) record(ratio int64) {
 	clamped := min(max(ratio, 1), maxRatio)
 	if err := s.recent.RecordValue(clamped); err != nil {
@@ -44,12 +46,12 @@
 	s.recent.Reset()
 }
 
-// samples is how many samples the window holds.
+// samples returns the number of samples in the window.
 func (s *sketch) samples() int64 {
 	return s.recent.TotalCount() + s.previous.TotalCount()
 }
 
-// value is the sketch's quantile in permille; 0 without samples.
+// value returns the quantile in permille; 0 without samples.
 func (s *sketch) value() int64 {
 	if !s.dirty {
 		return s.cached
