--- a/forecast/assess.go
+++ b/forecast/assess.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Supply is what is at hand for the work of an event.
+// Supply is the progress of an event's jobs and the capacity available to
+// them.
 type Supply struct {
-	// FreeMilliCPU is free for its pending jobs now, in thousandths of a
-	// core.
+	// FreeMilliCPU is available to pending jobs, in thousandths of a core.
 	FreeMilliCPU int64
-	// Done is how many jobs of this occurrence are done, and Late how many
-	// of these were done after they were due.
+	// Done counts the finished jobs of the occurrence, Late those of them that
+	// finished after they were due.
 	Done int
 	Late int
 }
 
-// Assess foresees an event from the jobs that are not done yet. Jobs are put
-// in the order of their due times.
+// Assess reports whether the unfinished jobs of an event will finish in time.
+// It sorts jobs by due time.
 func Assess(event string, start, now time.Time, jobs []Job, supply Supply) Report {
 	r := Report{Event: event, Start: start, Done: supply.Done}
 	slices.SortFunc(jobs, func(a, b Job) int {
@@ -44,7 +44,7 @@
 	}
 }
 
-// judge gives the verdict, the first reason that applies.
+// judge returns the verdict with the first reason that applies.
 func judge(now time.Time, jobs []Job, supply Supply) (Verdict, string) {
 	if supply.Late > 0 {
 		return Missed, fmt.Sprintf("%d jobs were done after they were due", supply.Late)
@@ -72,7 +72,8 @@
 	}
 }
 
-// risk says why one job by itself may be late; empty if it should not be.
+// risk returns why the job alone may be late; empty if it is expected to
+// finish in time.
 func (j Job) risk(now time.Time) string {
 	left := j.Due.Sub(now)
 	switch {
@@ -87,9 +88,9 @@
 	}
 }
 
-// shortage says which due time the pending jobs together can't keep with the
-// processors at hand; empty if there is none. Jobs are in the order of their
-// due times.
+// shortage returns the first due time for which the pending jobs need more
+// processor time than is available; empty if there is none. Jobs must be
+// sorted by due time.
 func shortage(now time.Time, jobs []Job, free int64) string {
 	work := 0.0
 	for _, j := range jobs {
@@ -97,10 +98,10 @@
 			free += j.MilliCPU
 		}
 		work += j.Remaining.Seconds() * float64(j.MilliCPU)
-		room := j.Due.Sub(now).Seconds() * float64(max(free, 0))
-		if !j.Running && work > room {
+		available := j.Due.Sub(now).Seconds() * float64(max(free, 0))
+		if !j.Running && work > available {
 			return fmt.Sprintf("work due by %s needs %.0f core hours, %.0f are at hand",
-				j.Due.UTC().Format(time.TimeOnly), work/3.6e6, room/3.6e6)
+				j.Due.UTC().Format(time.TimeOnly), work/3.6e6, available/3.6e6)
 		}
 	}
 	return ""
--- a/forecast/calendar.go
+++ b/forecast/calendar.go
@@ -9,30 +9,30 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// dailyLayout is how a daily start is written.
+// dailyLayout is the time format of a daily start.
 const dailyLayout = "15:04"
 
-// Event is a named start with its times read.
+// Event is a parsed event of the settings.
 type Event struct {
 	Name     string
 	Services []string
-	// Headroom is the share of processors kept free in the window.
+	// Headroom is the share of processors kept free during the window.
 	Headroom float64
 	before   time.Duration
 	after    time.Duration
-	// once is the start of an event that does not recur, else zero.
+	// once is the start of a one-time event; zero for a daily one.
 	once time.Time
-	// hour and minute are a daily start in location.
+	// hour and minute are the daily start in location.
 	hour     int
 	minute   int
 	location *time.Location
 }
 
-// Calendar is every event, by name.
+// Calendar holds all events, sorted by name.
 type Calendar []Event
 
-// NewCalendar reads the events of the settings. Those that can't be read are
-// left out and named in the error, beside a calendar of the others.
+// NewCalendar parses the events of the settings. Invalid events are left out
+// of the calendar and named in the error.
 func NewCalendar(configured map[string]settings.Event) (Calendar, error) {
 	var calendar Calendar
 	var failed error
@@ -69,24 +69,24 @@
 	return e, errors.Wrap(err, "location")
 }
 
-// Window returns the window that now is in, or else the next one. It reports
-// false when the event is over for good.
+// Window returns the current window at now, or else the next one. It returns
+// false if the event doesn't recur and has ended.
 func (e Event) Window(now time.Time) (Window, bool) {
 	if !e.once.IsZero() {
-		w := e.around(e.once)
+		w := e.windowAround(e.once)
 		return w, now.Before(w.Until)
 	}
 	local := now.In(e.location)
 	for day := -1; day <= 2; day++ {
 		start := time.Date(local.Year(), local.Month(), local.Day()+day, e.hour, e.minute, 0, 0, e.location)
-		if w := e.around(start); now.Before(w.Until) {
+		if w := e.windowAround(start); now.Before(w.Until) {
 			return w, true
 		}
 	}
 	return Window{}, false
 }
 
-// Next returns the first start after a time. It reports false when there is
+// Next returns the first start later than after. It returns false if there is
 // none.
 func (e Event) Next(after time.Time) (time.Time, bool) {
 	if !e.once.IsZero() {
@@ -102,11 +102,11 @@
 	return time.Time{}, false
 }
 
-func (e Event) around(start time.Time) Window {
+func (e Event) windowAround(start time.Time) Window {
 	return Window{From: start.Add(-e.before), Start: start, Until: start.Add(e.after)}
 }
 
-// Find returns an event by name.
+// Find returns the event with the given name.
 func (c Calendar) Find(name string) (Event, bool) {
 	for _, e := range c {
 		if e.Name == name {
--- a/forecast/job.go
+++ b/forecast/job.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Job is work due by an event that is not done yet.
+// Job is an unfinished job that is due by an event.
 type Job struct {
 	ID string
-	// Running tells a job with a host from a pending one.
+	// Running is set if the job occupies a host.
 	Running bool
-	// Remaining is the run time that is left, by what was learned.
+	// Remaining is the expected remaining run time.
 	Remaining time.Duration
-	// Due is when it must be done.
+	// Due is when the job must be finished.
 	Due time.Time
-	// MilliCPU is what it reserves.
+	// MilliCPU is the job's reservation, in thousandths of a core.
 	MilliCPU int64
-	// Blocked is why a pending job can't start now; empty if it can.
+	// BlockedReason is why a pending job can't start now; empty if it can.
 	BlockedReason string
 }
 
-// latestStart is when the job must go on, or start, to be done when due.
+// latestStart returns when the job must start, or resume, to finish by Due.
 func (j Job) latestStart() time.Time { return j.Due.Add(-j.Remaining) }
--- a/forecast/report.go
+++ b/forecast/report.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Verdict says whether the work due by an event will be done.
+// Verdict tells whether the jobs due by an event will finish in time.
 type Verdict string
 
-// The verdicts.
+// The possible verdicts.
 const (
 	WillMeet Verdict = "will_meet"
 	AtRisk   Verdict = "at_risk"
@@ -13,24 +13,24 @@
 	Missed   Verdict = "missed"
 )
 
-// Report is what is foreseen of one event in one shard.
+// Report is the forecast for one event in one shard.
 type Report struct {
 	Event string
-	// Start is the start that the report is on.
+	// Start is the start of the occurrence.
 	Start   time.Time
 	Verdict Verdict
-	// Reason says why, for people.
+	// Reason explains the verdict to users.
 	Reason string
 	// Done, Running and Pending count the jobs due by the event.
 	Done    int
 	Running int
 	Pending int
-	// LatestStart is when the first of the pending jobs must start; zero if
-	// none is pending.
+	// LatestStart is when the first pending job must start; zero if none is
+	// pending.
 	LatestStart time.Time
 }
 
-// severity orders verdicts from the best to the worst.
+// severity orders verdicts from best to worst.
 func (v Verdict) severity() int {
 	switch v {
 	case Met:
@@ -44,8 +44,8 @@
 	}
 }
 
-// Merge joins the reports of two shards on the same event: the worse verdict
-// with its reason.
+// Merge combines the reports of two shards for the same event. The worse
+// verdict is kept with its reason.
 func (r Report) Merge(o Report) Report {
 	merged := r
 	if o.Verdict.severity() > r.Verdict.severity() {
--- a/forecast/window.go
+++ b/forecast/window.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Window is the time around one occurrence of an event in which headroom is
+// Window is the time around an occurrence of an event during which headroom is
 // kept.
 type Window struct {
 	From  time.Time
@@ -10,7 +10,7 @@
 	Until time.Time
 }
 
-// Overlaps reports whether a run from begin to end would be within the window.
+// Overlaps reports whether a run from begin to end overlaps the window.
 func (w Window) Overlaps(begin, end time.Time) bool {
 	return end.After(w.From) && begin.Before(w.Until)
 }
