--- a/eviction/budget.go
+++ b/eviction/budget.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// Budget bounds how many evictions happen in any minute. The zero value
-// allows none.
+// Budget bounds the evictions in any minute. The zero value allows none.
 type Budget struct {
 	limit int
 	taken []time.Time
 }
 
-// NewBudget returns a Budget of limit evictions a minute.
+// NewBudget returns a Budget of limit evictions per minute.
 func NewBudget(limit int) *Budget { return &Budget{limit: limit} }
 
 // SetLimit replaces the limit; evictions of the last minute still count.
 func (b *Budget) SetLimit(limit int) { b.limit = limit }
 
-// Available is how many more evictions may happen at now.
+// Available returns how many more evictions are allowed at now.
 func (b *Budget) Available(now time.Time) int {
 	expired := 0
 	for expired < len(b.taken) && now.Sub(b.taken[expired]) >= time.Minute {
@@ -25,7 +24,7 @@
 	return b.limit - len(b.taken)
 }
 
-// Take counts one eviction at now and reports whether it is allowed.
+// Take records an eviction at now if it is allowed, and reports whether it is.
 func (b *Budget) Take(now time.Time) bool {
 	if b.Available(now) <= 0 {
 		return false
--- a/eviction/candidate.go
+++ b/eviction/candidate.go
@@ -1,21 +1,22 @@
 package eviction
 
-// Suspect is a batch task beside a latency-critical class.
+// Candidate is a batch task that runs alongside a latency-critical class.
 type Candidate struct {
 	Job string
-	// Percent is the share of its processors that it has now.
+	// CPULimit is the current limit, in percent.
 	CPULimit int
-	// Blame is what it is estimated to add to the logarithm of the latency
-	// at full speed; Deviation is the uncertainty of that.
+	// Effect is the estimated addition to the logarithm of the latency when
+	// the task isn't throttled; Deviation is its standard deviation.
 	Effect    float64
 	Deviation float64
-	// LostMS is the work that is lost if it is evicted, in milliseconds.
+	// LostMS is the work that an eviction loses, in milliseconds.
 	LostMS int64
 	// Protected tasks may be throttled but not evicted.
 	Protected bool
 }
 
-// removed is what a throttle to percent is estimated to take off.
-func (s Candidate) removed(percent int) float64 {
-	return s.Effect * float64(s.CPULimit-percent) / 100
+// reduction returns by how much a CPU limit of percent is estimated to reduce
+// the logarithm of the latency.
+func (c Candidate) reduction(percent int) float64 {
+	return c.Effect * float64(c.CPULimit-percent) / 100
 }
--- a/eviction/decision.go
+++ b/eviction/decision.go
@@ -1,19 +1,18 @@
 package eviction
 
-// Kind is what is decided about a task.
+// Kind is the kind of a Decision.
 type Kind uint8
 
-// The kinds of decisions.
 const (
-	// Throttle the task to Percent of its processors.
+	// Throttle limits the task to CPULimit percent of its processors.
 	Throttle Kind = iota + 1
-	// Lift the throttle of the task.
+	// Unthrottle removes the limit.
 	Unthrottle
-	// Evict the task.
+	// Evict stops the task and requeues it.
 	Evict
 )
 
-// Decision is one step of relief.
+// Decision is an action on one task.
 type Decision struct {
 	Kind     Kind
 	Job      string
--- a/eviction/evict.go
+++ b/eviction/evict.go
@@ -1,27 +1,27 @@
 package eviction
 
-// leastBlame is what a task must be estimated to add to the logarithm of the
-// latency to be evicted for it: 3%.
-const leastBlame = 0.03
+// minEffect is the least estimated effect on the logarithm of the latency for
+// which a task is throttled or evicted.
+const minEffect = 0.03
 
-// restartMS is what an eviction costs besides lost work, in milliseconds:
-// checkpoint, queue and start.
+// restartMS is the cost of an eviction in addition to lost work, in
+// milliseconds: checkpoint, queueing and start.
 const restartMS = 10_000
 
-// chooseVictim returns the suspect with the least work lost per harm removed.
-// Harm beyond what is over the objective counts for nothing.
-func chooseVictim(suspects []Candidate, over float64) (Candidate, bool) {
+// chooseVictim returns the candidate that loses the least work relative to the
+// reduction of the latency. Reductions beyond excess don't count.
+func chooseVictim(candidates []Candidate, excess float64) (Candidate, bool) {
 	var chosen Candidate
 	found := false
-	least := 0.0
-	for _, s := range suspects {
-		removed := min(s.removed(0), over)
-		if s.Protected || s.removed(0) < leastBlame || s.Effect < s.Deviation {
+	lowest := 0.0
+	for _, c := range candidates {
+		reduction := min(c.reduction(0), excess)
+		if c.Protected || c.reduction(0) < minEffect || c.Effect < c.Deviation {
 			continue
 		}
-		price := float64(s.LostMS+restartMS) / removed
-		if !found || price < least || (price == least && s.Job < chosen.Job) {
-			chosen, least, found = s, price, true
+		cost := float64(c.LostMS+restartMS) / reduction
+		if !found || cost < lowest || (cost == lowest && c.Job < chosen.Job) {
+			chosen, lowest, found = c, cost, true
 		}
 	}
 	return chosen, found
--- a/eviction/monitor.go
+++ b/eviction/monitor.go
@@ -11,56 +11,58 @@
 	calmBelow = 0.85
 	// smoothing is the weight of the newest report.
 	smoothing = 0.4
-	// maxPatience bounds how often the wait before a lift is doubled.
-	maxPatience = 5
-	// staleAfter is after how many lags without a report nothing is decided.
+	// maxBackoff bounds how often the wait before an unthrottle is doubled.
+	maxBackoff = 5
+	// staleAfter is the number of lags without a report after which nothing is
+	// decided.
 	staleAfter = 3
 )
 
-// Watch follows one host whose latency-critical classes have objectives. It
-// is not safe for concurrent use.
+// HostMonitor tracks the latencies of a host that runs latency-critical
+// classes with objectives. It is not safe for concurrent use.
 type HostMonitor struct {
 	options Options
-	// level is the smoothed logarithm of the worst latency over its
+	// level is the smoothed logarithm of the worst ratio of latency to
 	// objective.
 	level         float64
 	lastSeen      time.Time
 	violatedSince time.Time
 	calmSince     time.Time
-	// relief is when a throttle began that is still in force, zero if none.
-	relief    time.Time
-	lastStep  time.Time
-	lastLift  time.Time
-	throttled map[string]bool
-	// patience is how often the wait before a lift was doubled, since a
-	// lift brought the violation back.
-	patience int
+	// throttledSince is when the first of the current throttles began; zero if
+	// there are none.
+	throttledSince time.Time
+	lastDecision   time.Time
+	lastUnthrottle time.Time
+	throttled      map[string]bool
+	// backoff is how often the wait before an unthrottle has been doubled
+	// because a violation followed one.
+	backoff int
 }
 
-// NewHostMonitor returns a Watch on a host of which nothing is known.
+// NewHostMonitor returns a HostMonitor without observations.
 func NewHostMonitor(o Options) *HostMonitor {
 	return &HostMonitor{options: o, throttled: map[string]bool{}}
 }
 
-// SetOptions replaces the bounds; what was observed stays.
-func (w *HostMonitor) SetOptions(o Options) { w.options = o }
+// SetOptions replaces the options; observations are kept.
+func (m *HostMonitor) SetOptions(o Options) { m.options = o }
 
-// Observe takes in the largest latency over its objective of the classes on
-// the host.
-func (w *HostMonitor) Observe(now time.Time, ratio float64) {
+// Observe records the largest ratio of latency to objective among the classes
+// on the host.
+func (m *HostMonitor) Observe(now time.Time, ratio float64) {
 	log := math.Log(max(ratio, 0.01))
-	if w.lastSeen.IsZero() {
-		w.level = log
+	if m.lastSeen.IsZero() {
+		m.level = log
 	}
-	w.lastSeen = now
-	w.level += smoothing * (log - w.level)
-	violated := w.level > 0
-	calm := w.level < math.Log(calmBelow)
-	w.violatedSince = since(w.violatedSince, now, violated)
-	w.calmSince = since(w.calmSince, now, calm)
+	m.lastSeen = now
+	m.level += smoothing * (log - m.level)
+	violated := m.level > 0
+	calm := m.level < math.Log(calmBelow)
+	m.violatedSince = since(m.violatedSince, now, violated)
+	m.calmSince = since(m.calmSince, now, calm)
 }
 
-// since keeps when a condition began to hold; zero while it does not.
+// since returns when a condition began to hold; zero if it doesn't hold.
 func since(began, now time.Time, holds bool) time.Time {
 	switch {
 	case !holds:
@@ -73,90 +75,92 @@
 }
 
 // Idle reports whether there is nothing to decide.
-func (w *HostMonitor) Idle() bool {
-	return w.violatedSince.IsZero() && len(w.throttled) == 0
+func (m *HostMonitor) Idle() bool {
+	return m.violatedSince.IsZero() && len(m.throttled) == 0
 }
 
 // Violated reports whether the objective has been missed for longer than the
 // lag.
-func (w *HostMonitor) Violated(now time.Time) bool {
-	return !w.violatedSince.IsZero() && now.Sub(w.violatedSince) > w.options.Lag
+func (m *HostMonitor) Violated(now time.Time) bool {
+	return !m.violatedSince.IsZero() && now.Sub(m.violatedSince) > m.options.Lag
 }
 
-// Step takes at most limit decisions at now about the suspects on the host.
-// With mayEvict false no eviction is decided. It decides nothing until the last step's effect can
-// have been seen, and nothing without recent reports.
-func (w *HostMonitor) Decide(now time.Time, suspects []Candidate, limit int, mayEvict bool) []Decision {
-	w.prune(suspects)
-	if now.Sub(w.lastSeen) > staleAfter*w.options.Lag {
+// Decide returns at most limit decisions about the candidates on the host. It
+// decides nothing until the effect of its last decisions is visible, nor on
+// outdated reports, and evicts only if mayEvict is set.
+func (m *HostMonitor) Decide(now time.Time, candidates []Candidate, limit int, mayEvict bool) []Decision {
+	m.prune(candidates)
+	if now.Sub(m.lastSeen) > staleAfter*m.options.Lag {
 		return nil
 	}
-	if !w.lastStep.IsZero() && now.Sub(w.lastStep) < w.options.settle() {
+	if !m.lastDecision.IsZero() && now.Sub(m.lastDecision) < m.options.settleTime() {
 		return nil
 	}
 	var decisions []Decision
 	switch {
-	case w.Violated(now):
-		decisions = w.relieve(now, suspects, limit, mayEvict)
-	case !w.calmSince.IsZero():
-		decisions = w.lift(now, suspects)
+	case m.Violated(now):
+		decisions = m.relieve(now, candidates, limit, mayEvict)
+	case !m.calmSince.IsZero():
+		decisions = m.unthrottle(now, candidates)
 	}
 	if len(decisions) > 0 {
-		w.lastStep = now
+		m.lastDecision = now
 	}
 	return decisions
 }
 
-// prune forgets throttles of tasks that are gone.
-func (w *HostMonitor) prune(suspects []Candidate) {
-	if len(w.throttled) == 0 {
+// prune forgets throttled tasks that are no longer on the host.
+func (m *HostMonitor) prune(candidates []Candidate) {
+	if len(m.throttled) == 0 {
 		return
 	}
-	present := make(map[string]bool, len(suspects))
-	for _, s := range suspects {
-		present[s.Job] = true
+	present := make(map[string]bool, len(candidates))
+	for _, c := range candidates {
+		present[c.Job] = true
 	}
-	for job := range w.throttled {
+	for job := range m.throttled {
 		if !present[job] {
-			delete(w.throttled, job)
+			delete(m.throttled, job)
 		}
 	}
-	if len(w.throttled) == 0 {
-		w.relief = time.Time{}
+	if len(m.throttled) == 0 {
+		m.throttledSince = time.Time{}
 	}
 }
 
-// relieve throttles first and evicts what throttling did not relieve.
-func (w *HostMonitor) relieve(now time.Time, suspects []Candidate, limit int, mayEvict bool) []Decision {
-	w.loseTrust(now)
-	if !w.relief.IsZero() && now.Sub(w.relief) >= w.options.EvictAfter && mayEvict {
-		if victim, found := chooseVictim(suspects, w.level); found {
-			delete(w.throttled, victim.Job)
-			w.relief = now
+// relieve throttles tasks, or evicts one if throttling hasn't helped within
+// EvictAfter.
+func (m *HostMonitor) relieve(now time.Time, candidates []Candidate, limit int, mayEvict bool) []Decision {
+	m.increaseBackoff(now)
+	if !m.throttledSince.IsZero() && now.Sub(m.throttledSince) >= m.options.EvictAfter && mayEvict {
+		if victim, found := chooseVictim(candidates, m.level); found {
+			delete(m.throttled, victim.Job)
+			m.throttledSince = now
 			return []Decision{{Kind: Evict, Job: victim.Job}}
 		}
 	}
-	decisions := chooseThrottles(suspects, w.level, w.options.ThrottlePercent, min(limit, maxThrottles))
+	decisions := chooseThrottles(candidates, m.level, m.options.ThrottlePercent, min(limit, maxThrottles))
 	for _, d := range decisions {
-		w.throttled[d.Job] = true
+		m.throttled[d.Job] = true
 	}
-	if len(decisions) > 0 && w.relief.IsZero() {
-		w.relief = now
+	if len(decisions) > 0 && m.throttledSince.IsZero() {
+		m.throttledSince = now
 	}
 	return decisions
 }
 
-// loseTrust doubles the wait before the next lift when a violation follows a
-// lift.
-func (w *HostMonitor) loseTrust(now time.Time) {
-	if w.lastLift.IsZero() || now.Sub(w.lastLift) > w.liftAfter()+w.options.EvictAfter {
+// increaseBackoff doubles the wait before the next unthrottle if a violation
+// follows an unthrottle.
+func (m *HostMonitor) increaseBackoff(now time.Time) {
+	if m.lastUnthrottle.IsZero() || now.Sub(m.lastUnthrottle) > m.unthrottleAfter()+m.options.EvictAfter {
 		return
 	}
-	w.lastLift = time.Time{}
-	w.patience = min(w.patience+1, maxPatience)
+	m.lastUnthrottle = time.Time{}
+	m.backoff = min(m.backoff+1, maxBackoff)
 }
 
-// liftAfter is how long a host must be calm before a throttle is lifted.
-func (w *HostMonitor) liftAfter() time.Duration {
-	return w.options.EvictAfter << w.patience
+// unthrottleAfter returns how long a host must be calm before a throttle is
+// removed.
+func (m *HostMonitor) unthrottleAfter() time.Duration {
+	return m.options.EvictAfter << m.backoff
 }
--- a/eviction/unthrottle.go
+++ b/eviction/unthrottle.go
@@ -6,50 +6,50 @@
 )
 
 const (
-	// liftBelow is the ratio to the objective that may be expected after a
-	// lift.
-	liftBelow = 0.95
-	// unbelieved is after how many waits a throttle is lifted though its
-	// estimate speaks against it, since the estimate may be out of date.
-	unbelieved = 4
+	// unthrottleBelow is the largest ratio of latency to objective that may be
+	// expected after a throttle is removed.
+	unthrottleBelow = 0.95
+	// forceWaits is the number of waits after which a throttle is removed
+	// whatever the estimate, since the estimate may be outdated.
+	forceWaits = 4
 )
 
-// lift takes the throttle off the least blamed task, once the host has been
-// calm for long enough and is expected to stay so.
-func (w *HostMonitor) lift(now time.Time, suspects []Candidate) []Decision {
-	calm := now.Sub(w.calmSince)
-	if len(w.throttled) == 0 || calm < w.liftAfter() {
+// unthrottle removes the throttle of the task with the least effect, once the
+// host has been calm for long enough and is expected to stay so.
+func (m *HostMonitor) unthrottle(now time.Time, candidates []Candidate) []Decision {
+	calm := now.Sub(m.calmSince)
+	if len(m.throttled) == 0 || calm < m.unthrottleAfter() {
 		return nil
 	}
-	least, found := w.leastBlamed(suspects)
+	least, found := m.leastEffect(candidates)
 	if !found {
 		return nil
 	}
-	expected := w.level - least.removed(fullSpeed)
-	if expected > math.Log(liftBelow) && calm < unbelieved*w.liftAfter() {
+	expected := m.level - least.reduction(fullCPU)
+	if expected > math.Log(unthrottleBelow) && calm < forceWaits*m.unthrottleAfter() {
 		return nil
 	}
-	delete(w.throttled, least.Job)
-	if len(w.throttled) == 0 {
-		w.relief = time.Time{}
+	delete(m.throttled, least.Job)
+	if len(m.throttled) == 0 {
+		m.throttledSince = time.Time{}
 	}
-	w.lastLift = now
-	return []Decision{{Kind: Unthrottle, Job: least.Job, CPULimit: fullSpeed}}
+	m.lastUnthrottle = now
+	return []Decision{{Kind: Unthrottle, Job: least.Job, CPULimit: fullCPU}}
 }
 
-// fullSpeed is the percentage of a task that is not throttled.
-const fullSpeed = 100
+// fullCPU is the CPU limit, in percent, of a task that isn't throttled.
+const fullCPU = 100
 
-// leastBlamed returns the throttled task that adds least.
-func (w *HostMonitor) leastBlamed(suspects []Candidate) (Candidate, bool) {
+// leastEffect returns the throttled task with the least effect.
+func (m *HostMonitor) leastEffect(candidates []Candidate) (Candidate, bool) {
 	var least Candidate
 	found := false
-	for _, s := range suspects {
-		if !w.throttled[s.Job] {
+	for _, c := range candidates {
+		if !m.throttled[c.Job] {
 			continue
 		}
-		if !found || s.Effect < least.Effect || (s.Effect == least.Effect && s.Job < least.Job) {
-			least, found = s, true
+		if !found || c.Effect < least.Effect || (c.Effect == least.Effect && c.Job < least.Job) {
+			least, found = c, true
 		}
 	}
 	return least, found
