--- a/placement/action.go
+++ b/placement/action.go
@@ -2,29 +2,28 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// ActionKind is what a plan asks for.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The kinds of actions.
 const (
-	// Start a pending job on Host.
+	// Start starts a pending job on Host.
 	Start ActionKind = iota + 1
-	// Throttle a running job to Percent of its processors; 100 lifts it.
+	// Throttle sets the CPU limit of a running job; 100 removes the limit.
 	Throttle
-	// Evict a running job: checkpoint, stop, and queue it again.
+	// Evict checkpoints and stops a running job, and requeues it.
 	Evict
 )
 
-// Action is one step of a plan. The planner has already reserved what a start
-// needs; the owner calls Release if it can't commit it.
+// Action is one action of a plan. The planner has already reserved the
+// resources of a start; the owner calls Release if it can't commit it.
 type Action struct {
 	Kind     ActionKind
 	Job      string
 	Host     string
 	CPULimit int
-	// Resources is what a start reserves, which may differ from what the
-	// job declares.
+	// Resources is what a start reserves, which may differ from what the job
+	// declares.
 	Resources infra.Resources
-	// Reason says why, for people.
+	// Reason explains the action to users.
 	Reason string
 }
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// fleet is a Scheduler filled for a benchmark.
+// fleet is a Scheduler filled with hosts and jobs for a benchmark.
 type fleet struct {
 	s    *Scheduler
 	rng  *rand.Rand
@@ -35,8 +35,8 @@
 	return f
 }
 
-// spec draws a job: 1 to 8 cores with 2 to 5 GB each, nearly half of them
-// latency-critical, of 46 teams.
+// spec returns a random job: 1 to 8 cores with 2 to 5 GB each, nearly half of
+// them latency-critical, from 46 teams.
 func (f *fleet) spec() task.Spec {
 	f.next++
 	cores := 1 + f.rng.Int64N(8)
@@ -44,8 +44,8 @@
 		ID: fmt.Sprint("job-", f.next), Team: fmt.Sprint("team-", f.rng.IntN(46)),
 		Class: fmt.Sprint("class-", f.rng.IntN(8)), QoS: task.Batch, RunMS: 600_000,
 		Resources: infra.Resources{MilliCPU: cores * 1000, MemoryMB: cores * (2000 + f.rng.Int64N(3000))},
-		// Waited long enough to be placed in spite of harm: what is
-		// measured is the search.
+		// Submitted long ago, so that interference doesn't delay the
+		// placement.
 		SubmittedUnixMS: f.now.Add(-24 * time.Hour).UnixMilli(),
 	}
 	if f.rng.IntN(20) < 9 {
@@ -54,7 +54,7 @@
 	return s
 }
 
-// fill places jobs until a share of the processors is reserved.
+// fill places jobs until the given share of the processors is reserved.
 func (f *fleet) fill(share float64) {
 	var used int64
 	for used < int64(share*float64(f.s.capacity.MilliCPU)) {
@@ -76,8 +76,9 @@
 	}
 }
 
-// swap releases one job and has another decided on by decide, which is timed.
-func (f *fleet) swap(decide func(task.Spec) bool) time.Duration {
+// replaceJob releases one job, decides on another and returns the time that
+// the decision takes.
+func (f *fleet) replaceJob(decide func(task.Spec) bool) time.Duration {
 	at := f.rng.IntN(len(f.ids))
 	f.s.Release(f.now, f.ids[at], false)
 	spec := f.spec()
@@ -99,7 +100,8 @@
 	return len(f.s.Plan(f.now, 1)) == 1
 }
 
-// scan decides by looking at each host, with the same filters and scores.
+// scan decides with the same filters and scores as Scheduler, but examines
+// each host.
 func (f *fleet) scan(spec task.Spec) bool {
 	j := &pending{spec: spec}
 	q := f.s.request(f.now, j)
@@ -113,7 +115,7 @@
 		return false
 	}
 	n, _ := f.s.best(&q, f.s.candidates)
-	f.s.occupy(&run{spec: spec, size: q.size, percent: fullSpeed}, n)
+	f.s.occupy(&run{spec: spec, size: q.size, cpuLimit: fullCPU}, n)
 	return true
 }
 
@@ -128,7 +130,7 @@
 					var took []time.Duration
 					b.ReportAllocs()
 					for b.Loop() {
-						took = append(took, f.swap(deciders[how]))
+						took = append(took, f.replaceJob(deciders[how]))
 					}
 					slices.Sort(took)
 					b.ReportMetric(float64(took[len(took)/2]), "p50-ns")
@@ -139,8 +141,8 @@
 	}
 }
 
-// BenchmarkBacklog measures a plan that places nothing, with jobs of all sizes
-// waiting on full hosts.
+// BenchmarkBacklog runs plans that place nothing, with jobs of all sizes
+// waiting while the hosts are full.
 func BenchmarkBacklog(b *testing.B) {
 	for _, waiting := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprint("waiting=", waiting), func(b *testing.B) {
@@ -160,7 +162,7 @@
 	}
 }
 
-// BenchmarkMemory measures what a host and a running task cost.
+// BenchmarkMemory reports the memory per host and per running task.
 func BenchmarkMemory(b *testing.B) {
 	for _, hosts := range []int{65, 650, 4300} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
--- a/placement/colocation.go
+++ b/placement/colocation.go
@@ -10,11 +10,11 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// observeLatency learns from a host's latencies, which are of a lag ago, and
-// tells its watch of the worst.
+// observeLatency updates the interference model and the host's monitor with
+// reported latencies, which are a lag old.
 func (s *Scheduler) observeLatency(n *node, u Usage) {
-	if n.watch == nil {
-		n.watch = eviction.NewHostMonitor(s.watchOptions())
+	if n.monitor == nil {
+		n.monitor = eviction.NewHostMonitor(s.monitorOptions())
 	}
 	batch := s.batchAt(n, u.At.Add(-s.options.Colocation.UsageLag.D()))
 	worst := 0.0
@@ -23,19 +23,19 @@
 		if objective <= 0 || latency <= 0 {
 			continue
 		}
-		s.model.Learn(class, interference.Load{OwnUtilization: n.self(class), Batch: batch}, latency)
-		if over := latency / objective; over > worst {
-			worst, n.worst = over, class
+		s.model.Learn(class, interference.Load{OwnUtilization: n.ownUtilization(class), Batch: batch}, latency)
+		if relative := latency / objective; relative > worst {
+			worst, n.worstClass = relative, class
 		}
 	}
 	if worst == 0 {
 		return
 	}
-	n.watch.Observe(u.At, worst)
-	s.follow(n)
+	n.monitor.Observe(u.At, worst)
+	s.addWatched(n)
 }
 
-func (s *Scheduler) watchOptions() eviction.Options {
+func (s *Scheduler) monitorOptions() eviction.Options {
 	c := s.options.Colocation
 	return eviction.Options{
 		Lag:             c.UsageLag.D(),
@@ -44,16 +44,16 @@
 	}
 }
 
-// follow puts a node among the watched ones if its watch has work.
-func (s *Scheduler) follow(n *node) {
-	if n.watched || n.watch.Idle() {
+// addWatched adds a node to the watched ones unless its monitor is idle.
+func (s *Scheduler) addWatched(n *node) {
+	if n.watched || n.monitor.Idle() {
 		return
 	}
 	n.watched = true
 	s.watched = append(s.watched, n)
 }
 
-// relieve lets the watched nodes decide.
+// relieve applies the decisions of the monitors of watched nodes.
 func (s *Scheduler) relieve(p *plan) {
 	kept := s.watched[:0]
 	for _, n := range s.watched {
@@ -61,7 +61,7 @@
 			continue
 		}
 		s.relieveNode(p, n)
-		if n.watch.Idle() {
+		if n.monitor.Idle() {
 			n.watched = false
 			continue
 		}
@@ -72,66 +72,66 @@
 }
 
 func (s *Scheduler) relieveNode(p *plan, n *node) {
-	if p.room() == 0 {
+	if p.remaining() == 0 {
 		return
 	}
 	if !n.hasCritical() {
-		s.liftAll(p, n)
+		s.unthrottleAll(p, n)
 		return
 	}
-	suspects := s.suspects(p.now, n)
+	candidates := s.evictionCandidates(p.now, n)
 	mayEvict := s.budget.Available(p.now) > 0
-	for _, d := range n.watch.Decide(p.now, suspects, p.room(), mayEvict) {
+	for _, d := range n.monitor.Decide(p.now, candidates, p.remaining(), mayEvict) {
 		s.apply(p, n, d)
 	}
 }
 
-// apply turns a decision of the watch into an action.
+// apply adds the action for a monitor's decision to the plan.
 func (s *Scheduler) apply(p *plan, n *node, d eviction.Decision) {
 	r := s.runs[d.Job]
 	if d.Kind == eviction.Evict {
-		n.cool(p.now, r.spec.Class, p.now.Add(coolingWaits*s.options.Colocation.EvictAfter.D()))
-		s.evict(p, r, "slows "+n.worst)
+		n.startCooldown(p.now, r.spec.Class, p.now.Add(cooldownWaits*s.options.Colocation.EvictAfter.D()))
+		s.evict(p, r, "slows "+n.worstClass)
 		return
 	}
-	r.throttle(p.now, int32(d.CPULimit))
-	reason := n.worst + " is calm"
+	r.setCPULimit(p.now, int32(d.CPULimit))
+	reason := n.worstClass + " is calm"
 	if d.Kind == eviction.Throttle {
-		reason = "slows " + n.worst
+		reason = "slows " + n.worstClass
 	}
 	p.add(Action{Kind: Throttle, Job: d.Job, Host: n.host.Name, CPULimit: d.CPULimit, Reason: reason})
 }
 
-// liftAll lifts every throttle on a node that has no latency-critical work
-// left.
-func (s *Scheduler) liftAll(p *plan, n *node) {
+// unthrottleAll removes every throttle on a node without latency-critical
+// runs.
+func (s *Scheduler) unthrottleAll(p *plan, n *node) {
 	for _, r := range n.runs {
-		if r.percent == fullSpeed || p.room() == 0 {
+		if r.cpuLimit == fullCPU || p.remaining() == 0 {
 			continue
 		}
-		r.throttle(p.now, fullSpeed)
+		r.setCPULimit(p.now, fullCPU)
 		p.add(Action{
-			Kind: Throttle, Job: r.spec.ID, Host: n.host.Name, CPULimit: fullSpeed,
+			Kind: Throttle, Job: r.spec.ID, Host: n.host.Name, CPULimit: fullCPU,
 			Reason: "no latency-critical work is left here",
 		})
 	}
-	n.watch = eviction.NewHostMonitor(s.watchOptions())
+	n.monitor = eviction.NewHostMonitor(s.monitorOptions())
 }
 
-func (n *node) hasCritical() bool { return n.criticals > 0 }
+func (n *node) hasCritical() bool { return n.criticalRuns > 0 }
 
-// suspects are the batch runs of a node with what they are estimated to add
-// to the worst class's latency.
-func (s *Scheduler) suspects(now time.Time, n *node) []eviction.Candidate {
+// evictionCandidates returns the batch runs of a node with their estimated
+// effect on the latency of the worst class.
+func (s *Scheduler) evictionCandidates(now time.Time, n *node) []eviction.Candidate {
 	var list []eviction.Candidate
 	for _, r := range n.runs {
 		if r.spec.QoS == task.LatencyCritical || r.isEvicting(now) {
 			continue
 		}
-		mean, deviation := s.model.Effect(n.worst, r.spec.Class, n.part(r.fullMilliCPU()))
+		mean, deviation := s.model.Effect(n.worstClass, r.spec.Class, n.cpuShare(r.fullMilliCPU()))
 		list = append(list, eviction.Candidate{
 			Job:       r.spec.ID,
-			CPULimit:  int(r.percent),
+			CPULimit:  int(r.cpuLimit),
 			Effect:    mean,
 			Deviation: deviation,
 			LostMS:    r.doneMS,
--- a/placement/colocation_test.go
+++ b/placement/colocation_test.go
@@ -10,15 +10,15 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// TestLagIsAllowedFor checks that a report is held against what ran a lag ago:
-// a run that ended since counts, one that started since does not, and a
-// throttle counts from when it was given.
-func TestLagIsAllowedFor(t *testing.T) {
+// TestBatchLoadAccountsForLag checks that the load for a report is that of a
+// lag ago: runs that have ended since count, runs that have started since
+// don't, and a throttle counts from when it was set.
+func TestBatchLoadAccountsForLag(t *testing.T) {
 	s := New(Options{})
 
 	s.SetHost(testHost(0))
 	n := s.order[0]
-	n.watch = eviction.NewHostMonitor(s.watchOptions())
+	n.monitor = eviction.NewHostMonitor(s.monitorOptions())
 	at := func(second int) time.Time { return epoch.Add(time.Duration(second) * time.Second) }
 	start := func(second int, id string) {
 		spec := batchSpec(id, 16, 1)
@@ -30,7 +30,7 @@
 	start(0, "old")
 	start(0, "throttled")
 	start(10, "new")
-	s.runs["throttled"].throttle(at(10), 50)
+	s.runs["throttled"].setCPULimit(at(10), 50)
 	s.Release(at(10), "old", false)
 	tests := []struct {
 		second int
@@ -52,16 +52,16 @@
 	}
 }
 
-// TestCoolingHostIsLastChoice checks that a class is put back where it was
-// evicted only where nothing else fits.
-func TestCoolingHostIsLastChoice(t *testing.T) {
+// TestCooldownHostIsLastChoice checks that a class isn't placed again where it
+// was evicted while another host fits.
+func TestCooldownHostIsLastChoice(t *testing.T) {
 	s := New(Options{ObjectivesMS: map[string]float64{"dispatch": 100}})
 	s.SetHost(testHost(0))
 	s.SetHost(testHost(1))
-	spec := batchSpec("filler", 32, 125)
+	spec := batchSpec("other", 32, 125)
 	spec.Class = "other"
 	s.Adopt(spec, testHost(0).Name)
-	s.nodes[testHost(0).Name].cool(epoch, "plan", epoch.Add(time.Minute))
+	s.nodes[testHost(0).Name].startCooldown(epoch, "plan", epoch.Add(time.Minute))
 	place := func(id string, now time.Time) string {
 		spec := batchSpec(id, 4, 1)
 		spec.SubmittedUnixMS = now.Add(-24 * time.Hour).UnixMilli()
@@ -72,15 +72,15 @@
 		return host
 	}
 	if host := place("early", epoch); host != testHost(1).Name {
-		t.Errorf("put on the cooling host")
+		t.Errorf("placed on the host of the cooldown")
 	}
 	if host := place("late", epoch.Add(time.Minute)); host != testHost(0).Name {
-		t.Errorf("kept off after the cooling")
+		t.Errorf("not placed on the host after the cooldown")
 	}
 }
 
-// TestLearnedSizesReachPlacement checks that learned sizes reach
-// placement and that memory never goes below what is declared.
+// TestLearnedSizesReachPlacement checks that jobs reserve learned sizes, and
+// no less memory than declared.
 func TestLearnedSizesReachPlacement(t *testing.T) {
 	s := New(Options{})
 	s.SetHost(testHost(0))
@@ -96,12 +96,12 @@
 	s.Enqueue(epoch, batchSpec("last", 8, 8))
 	got := s.Plan(epoch, 1)[0].Resources
 	if got.MilliCPU > 3000 || got.MemoryMB != 8000 {
-		t.Errorf("reserves %+v", got)
+		t.Errorf("reserves %+v, want at most 3000 thousandths of a core and 8000 MB", got)
 	}
 	s.RecordOOMKill("last")
 	s.Release(epoch, "last", false)
 	s.Enqueue(epoch, batchSpec("again", 8, 8))
 	if got := s.Plan(epoch, 1)[0].Resources; got.MemoryMB < 12_000 {
-		t.Errorf("reserves %+v after a kill at 8000 MB", got)
+		t.Errorf("reserves %+v after an out-of-memory kill at 8000 MB, want at least 12000 MB", got)
 	}
 }
--- a/placement/consolidate.go
+++ b/placement/consolidate.go
@@ -9,67 +9,69 @@
 )
 
 const (
-	// gatherLags is the least time between two moves of latency-critical work
-	// in a shard, in lags, so that the effect of one is seen before the next.
-	gatherLags = 3
-	// gatherInstances is how many instances a class must have for one of them
-	// to be moved, so that the others carry its load meanwhile.
-	gatherInstances = 8
-	// gatherShare is the largest share of a host's processors given to
-	// latency-critical work by gathering it, one in this many.
-	gatherShare = 2
-	// gatherSpread is the largest part of a class's instances gathered on one
-	// host, one in this many, since a host's failure takes them all.
-	gatherSpread = 4
-	// gatherSources bounds the hosts looked at for work to move.
-	gatherSources = 4
+	// consolidateLags is the least time between two moves of latency-critical
+	// runs in a shard, in lags, so that the effect of one is reported before
+	// the next.
+	consolidateLags = 3
+	// consolidateInstances is the least number of instances of a class from
+	// which one may be moved, so that the others can carry its load.
+	consolidateInstances = 8
+	// Latency-critical runs are consolidated on a host up to a share of
+	// 1/consolidateShare of its processors.
+	consolidateShare = 2
+	// Up to 1/consolidateSpread of a class's instances are consolidated on one
+	// host, to limit the effect of a host failure.
+	consolidateSpread = 4
+	// consolidateSources bounds the hosts examined for a run to move.
+	consolidateSources = 4
 )
 
-// mostGathered is how many instances of a latency-critical job's class may be
-// gathered on one host; 0 if its class is none to gather.
-func (s *Scheduler) mostGathered(spec task.Spec) int {
+// maxConsolidated returns how many instances of a latency-critical job's class
+// may be consolidated on one host; 0 if the class isn't consolidated.
+func (s *Scheduler) maxConsolidated(spec task.Spec) int {
 	if spec.QoS != task.LatencyCritical || s.options.ObjectivesMS[spec.Class] <= 0 {
 		return 0
 	}
 	total := s.spread.runs[spreadKey{class: spec.Class}]
 	if s.runs[spec.ID] == nil {
-		total++ // the job itself
+		total++ // the job itself isn't counted yet
 	}
-	return max(1, total/gatherSpread)
+	return max(1, total/consolidateSpread)
 }
 
-// gathers reports whether a host is one to gather the latency-critical job on:
-// some runs there already, and neither the host nor the job's class would be
-// concentrated too much.
-func (q *request) gathers(n *node) bool {
-	if q.mostGathered == 0 || !n.hasCritical() || q.gathered(n) > 1 {
+// consolidates reports whether a latency-critical job may be consolidated on a
+// host: one that has such runs already, within the limits on the host's share
+// and on the class's spread.
+func (q *request) consolidates(n *node) bool {
+	if q.maxConsolidated == 0 || !n.hasCritical() || q.consolidation(n) > 1 {
 		return false
 	}
-	most := q.mostGathered
+	remaining := q.maxConsolidated
 	for _, r := range n.runs {
 		if r.spec.Class == q.spec.Class {
-			most--
+			remaining--
 		}
 	}
-	return most > 0
+	return remaining > 0
 }
 
-// gathered is how full a host to gather on would be of latency-critical work, so
-// that fuller ones fill up first; at most 1.
-func (q *request) gathered(n *node) float64 {
-	return ratio(n.critical+q.size.MilliCPU, n.host.Capacity.MilliCPU/gatherShare)
+// consolidation returns the latency-critical share of the host with the job,
+// relative to the largest allowed; fuller hosts are preferred.
+func (q *request) consolidation(n *node) float64 {
+	return ratio(n.criticalMilliCPU+q.size.MilliCPU, n.host.Capacity.MilliCPU/consolidateShare)
 }
 
-// gather moves one latency-critical run when batch waits because it would slow
-// such work: on fewer hosts it leaves others free for the batch.
-func (s *Scheduler) gather(p *plan) {
-	if len(p.refused) == 0 || p.room() == 0 || p.now.Before(s.nextGather) || s.budget.Available(p.now) == 0 {
+// consolidate moves one latency-critical run if batch jobs wait because they
+// would slow such runs. Fewer hosts with latency-critical runs leave more to
+// batch jobs.
+func (s *Scheduler) consolidate(p *plan) {
+	if len(p.refusals) == 0 || p.remaining() == 0 || p.now.Before(s.nextConsolidation) || s.budget.Available(p.now) == 0 {
 		return
 	}
-	s.nextGather = p.now.Add(gatherLags * s.options.Colocation.UsageLag.D())
-	for _, n := range s.gatherFrom() {
+	s.nextConsolidation = p.now.Add(consolidateLags * s.options.Colocation.UsageLag.D())
+	for _, n := range s.consolidationSources() {
 		for _, r := range n.runs {
-			if s.mayMove(p.now, r) && s.hasGatheringHost(r) {
+			if s.mayMove(p.now, r) && s.hasConsolidationHost(r) {
 				s.evict(p, r, "gathers latency-critical work")
 				return
 			}
@@ -77,8 +79,8 @@
 	}
 }
 
-// gatherFrom returns the hosts with the least latency-critical work.
-func (s *Scheduler) gatherFrom() []*node {
+// consolidationSources returns the hosts with the least latency-critical work.
+func (s *Scheduler) consolidationSources() []*node {
 	var serving []*node
 	for _, n := range s.order {
 		if n.hasCritical() {
@@ -86,19 +88,20 @@
 		}
 	}
 	slices.SortFunc(serving, func(a, b *node) int {
-		return cmp.Or(cmp.Compare(a.critical, b.critical), cmp.Compare(a.host.Name, b.host.Name))
+		return cmp.Or(cmp.Compare(a.criticalMilliCPU, b.criticalMilliCPU), cmp.Compare(a.host.Name, b.host.Name))
 	})
-	return serving[:min(len(serving), gatherSources)]
+	return serving[:min(len(serving), consolidateSources)]
 }
 
-// mayMove reports whether a run may be moved without harm to its class: many
-// others run, none of them is on its way, and no event needs the class now.
+// mayMove reports whether a run may be moved safely: its class has enough
+// other instances, none of them is starting or being evicted, and no event
+// needs the class now.
 func (s *Scheduler) mayMove(now time.Time, r *run) bool {
 	standing := r.spec.QoS == task.LatencyCritical && r.spec.RunMS == 0 && !r.spec.Urgent
 	if !standing || s.options.ObjectivesMS[r.spec.Class] <= 0 || s.isProtected(r) {
 		return false
 	}
-	if s.spread.runs[spreadKey{class: r.spec.Class}] < gatherInstances || s.isUnsettled(now, r.spec.Class) {
+	if s.spread.runs[spreadKey{class: r.spec.Class}] < consolidateInstances || s.isUnsettled(now, r.spec.Class) {
 		return false
 	}
 	for i, e := range s.calendar {
@@ -111,8 +114,8 @@
 	return true
 }
 
-// isUnsettled reports whether an instance of a class waits, is being evicted or
-// misses its objective.
+// isUnsettled reports whether an instance of a class is pending, being evicted
+// or missing its objective.
 func (s *Scheduler) isUnsettled(now time.Time, class string) bool {
 	for _, g := range s.queue.groups {
 		if g.key.class == class {
@@ -121,7 +124,7 @@
 	}
 	for _, n := range s.order {
 		for _, r := range n.runs {
-			if r.spec.Class == class && (r.isEvicting(now) || n.watch != nil && n.watch.Violated(now)) {
+			if r.spec.Class == class && (r.isEvicting(now) || n.monitor != nil && n.monitor.Violated(now)) {
 				return true
 			}
 		}
@@ -129,21 +132,21 @@
 	return false
 }
 
-// hasGatheringHost reports whether a host with no less latency-critical work
-// than the run's own can take it at once, with tolerated harm or no more than
-// where it is.
-func (s *Scheduler) hasGatheringHost(r *run) bool {
+// hasConsolidationHost reports whether the run fits on a host with at least as
+// much latency-critical work as its own, with a tolerated impact or one that
+// isn't larger than now.
+func (s *Scheduler) hasConsolidationHost(r *run) bool {
 	q := request{
-		spec: r.spec, size: s.sizes.Size(r.spec), avoid: s.past.avoid(r.spec.ID),
-		mostGathered: s.mostGathered(r.spec),
+		spec: r.spec, size: s.estimator.Size(r.spec), avoid: s.histories.avoid(r.spec.ID),
+		maxConsolidated: s.maxConsolidated(r.spec),
 	}
-	least := r.node.critical
-	tolerated := max(toleratedHarm, s.harm(&q, r.node))
+	least := r.node.criticalMilliCPU
+	tolerated := max(toleratedImpact, s.impact(&q, r.node))
 	for _, n := range s.order {
-		if n == r.node || n.critical < least || q.filter(n) != Feasible {
+		if n == r.node || n.criticalMilliCPU < least || q.filter(n) != Feasible {
 			continue
 		}
-		if q.gathers(n) && s.harm(&q, n) <= tolerated {
+		if q.consolidates(n) && s.impact(&q, n) <= tolerated {
 			return true
 		}
 	}
--- a/placement/consolidate_test.go
+++ b/placement/consolidate_test.go
@@ -8,31 +8,31 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// TestLatencyCriticalWorkIsGathered has services on every host, beside batch
-// that hurts them: they come together on fewer hosts, one at a time, and no
-// host holds more than a quarter of a service.
-func TestLatencyCriticalWorkIsGathered(t *testing.T) {
-	sc := scenario{table: 1, lag: 5, declared: 1, seconds: 1200, serving: fakeHosts}
-	f := newFake(sc, false)
+// TestLatencyCriticalWorkIsConsolidated checks that services on every host are
+// consolidated one instance at a time, and that no host gets more than a
+// quarter of a service.
+func TestLatencyCriticalWorkIsConsolidated(t *testing.T) {
+	sc := scenario{seed: 1, lag: 5, declaredFactor: 1, seconds: 1200, serving: simHosts}
+	sim := newSimulation(sc, false)
 	p := newSchedulerPolicy(t, sc)
-	got := f.run(p, func() { requireWithinCapacity(t, p.s) })
+	got := sim.run(p, func() { requireWithinCapacity(t, p.s) })
 	serving := 0
-	for i := range f.hosts {
-		h := &f.hosts[i]
+	for i := range sim.hosts {
+		h := &sim.hosts[i]
 		if h.total() > 0 {
 			serving++
 		}
-		if h.instances[0] > fakeHosts/gatherSpread || h.instances[1] > fakeHosts/gatherSpread {
-			t.Errorf("host %d holds %v of %d instances", i, h.instances, fakeHosts)
+		if h.instances[0] > simHosts/consolidateSpread || h.instances[1] > simHosts/consolidateSpread {
+			t.Errorf("host %d has %v instances of services with %d each", i, h.instances, simHosts)
 		}
 	}
-	if serving > 2*fakeHosts/3 || got.moved > 2*fakeHosts {
-		t.Errorf("after %d moves %d of %d hosts serve", got.moved, serving, fakeHosts)
+	if serving > 2*simHosts/3 || got.moved > 2*simHosts {
+		t.Errorf("%d moves, and %d of %d hosts have services", got.moved, serving, simHosts)
 	}
 }
 
-// TestMovesOnlyWhatIsSafe asks for each reason not to move an instance.
-func TestMovesOnlyWhatIsSafe(t *testing.T) {
+// TestMayMove checks each reason not to move an instance.
+func TestMayMove(t *testing.T) {
 	now := epoch
 	soon := now.Add(time.Minute).Format(time.RFC3339)
 	for _, tt := range []struct {
@@ -42,30 +42,30 @@
 		change    func(*Scheduler)
 		want      bool
 	}{
-		{name: "many at rest", instances: gatherInstances, want: true},
-		{name: "few", instances: gatherInstances - 1},
+		{name: "many stable instances", instances: consolidateInstances, want: true},
+		{name: "too few instances", instances: consolidateInstances - 1},
 		{
-			name: "event of the service near", instances: gatherInstances,
+			name: "event of the service is near", instances: consolidateInstances,
 			events: map[string]settings.Event{"opening": {Start: soon, Services: []string{"haggle"}}},
 		},
 		{
-			name: "event of another service near", instances: gatherInstances, want: true,
+			name: "event of another service is near", instances: consolidateInstances, want: true,
 			events: map[string]settings.Event{"opening": {Start: soon, Services: []string{"other"}}},
 		},
-		{name: "one waits", instances: gatherInstances, change: func(s *Scheduler) {
+		{name: "one is pending", instances: consolidateInstances, change: func(s *Scheduler) {
 			spec := s.runs["i-0"].spec
 			spec.ID = "waiting"
 			s.Enqueue(now, spec)
 		}},
-		{name: "one on the move", instances: gatherInstances, change: func(s *Scheduler) { s.runs["i-1"].evicting = now }},
-		{name: "one misses its objective", instances: gatherInstances, change: func(s *Scheduler) {
+		{name: "one is being evicted", instances: consolidateInstances, change: func(s *Scheduler) { s.runs["i-1"].evictionRequested = now }},
+		{name: "one misses its objective", instances: consolidateInstances, change: func(s *Scheduler) {
 			for second := range 20 {
 				s.Observe(Usage{Host: testHost(1).Name, At: now.Add(time.Duration(second-20) * time.Second), LatencyMS: map[string]float64{"haggle": 200}})
 			}
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			o := fakeOptions()
+			o := simOptions()
 			o.Events, o.ObjectivesMS = tt.events, map[string]float64{"haggle": 100}
 			s := New(o)
 			for i := range tt.instances {
@@ -79,7 +79,7 @@
 				tt.change(s)
 			}
 			if got := s.mayMove(now, s.runs["i-0"]); got != tt.want {
-				t.Errorf("may move: %t", got)
+				t.Errorf("mayMove = %t", got)
 			}
 		})
 	}
--- a/placement/cooldown.go
+++ b/placement/cooldown.go
@@ -3,34 +3,35 @@
 import "time"
 
 const (
-	// coolingHarm is added on hosts that the class was evicted from lately.
-	coolingHarm = 1.0
-	// coolingWaits is how long that is, in waits before an eviction.
-	coolingWaits = 20
+	// cooldownImpact is the additional impact of a class on hosts that it was
+	// evicted from recently.
+	cooldownImpact = 1.0
+	// cooldownWaits is the length of a cooldown, in multiples of EvictAfter.
+	cooldownWaits = 20
 )
 
-// cooldown keeps a class off a node after an eviction.
+// cooldown marks a class as recently evicted from a node.
 type cooldown struct {
 	class string
 	until time.Time
 }
 
-func (n *node) coolingHarm(now time.Time, class string) float64 {
-	for _, c := range n.cooling {
+func (n *node) cooldownImpact(now time.Time, class string) float64 {
+	for _, c := range n.cooldowns {
 		if c.class == class && now.Before(c.until) {
-			return coolingHarm
+			return cooldownImpact
 		}
 	}
 	return 0
 }
 
-// cool keeps a class off a node until a time, as far as there is a choice.
-func (n *node) cool(now time.Time, class string, until time.Time) {
-	kept := n.cooling[:0]
-	for _, c := range n.cooling {
+// startCooldown makes other nodes preferred for a class until the given time.
+func (n *node) startCooldown(now time.Time, class string, until time.Time) {
+	kept := n.cooldowns[:0]
+	for _, c := range n.cooldowns {
 		if c.class != class && now.Before(c.until) {
 			kept = append(kept, c)
 		}
 	}
-	n.cooling = append(kept, cooldown{class: class, until: until})
+	n.cooldowns = append(kept, cooldown{class: class, until: until})
 }
--- a/placement/departure.go
+++ b/placement/departure.go
@@ -6,11 +6,11 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// maxDepartures bounds the ended runs remembered for a node.
+// maxDepartures bounds the ended runs kept per node.
 const maxDepartures = 32
 
-// departure is a batch run that ended, kept while lagged reports still tell of
-// the time when it ran.
+// departure is an ended batch run, kept while delayed reports cover the time
+// when it ran.
 type departure struct {
 	class    string
 	milliCPU int64
@@ -18,22 +18,22 @@
 	until    time.Time
 }
 
-// depart remembers a run that ended and forgets those that ended before
-// memory ago.
-func (n *node) depart(r *run, now time.Time, memory time.Duration) {
-	if n.watch == nil || r.spec.QoS == task.LatencyCritical {
+// recordDeparture records an ended run and drops those that ended before the
+// retention.
+func (n *node) recordDeparture(r *run, now time.Time, retention time.Duration) {
+	if n.monitor == nil || r.spec.QoS == task.LatencyCritical {
 		return
 	}
-	kept := n.departed[:0]
-	for _, d := range n.departed {
-		if now.Sub(d.until) <= memory {
+	kept := n.departures[:0]
+	for _, d := range n.departures {
+		if now.Sub(d.until) <= retention {
 			kept = append(kept, d)
 		}
 	}
 	if len(kept) == maxDepartures {
 		kept = kept[:copy(kept, kept[1:])]
 	}
-	n.departed = append(kept, departure{
+	n.departures = append(kept, departure{
 		class:    r.spec.Class,
 		milliCPU: r.milliCPU(),
 		from:     r.started,
@@ -41,7 +41,7 @@
 	})
 }
 
-// memory is how long lagged reports may tell of an ended run.
-func (s *Scheduler) memory() time.Duration {
+// departureRetention is how long delayed reports may cover an ended run.
+func (s *Scheduler) departureRetention() time.Duration {
 	return 4 * s.options.Colocation.UsageLag.D()
 }
--- a/placement/drain.go
+++ b/placement/drain.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// drainLead is how long before an event's window noisy work begins to
-	// be drained, so that none of it is left to drain in the window.
+	// drainLead is the time before an event's window at which batch runs begin
+	// to be drained.
 	drainLead = 2 * time.Minute
-	// drainHosts is how many hosts one plan looks at.
+	// drainHosts bounds the hosts examined in one plan.
 	drainHosts = 64
-	// restartMS is what an eviction costs besides lost work, in
+	// restartMS is the cost of an eviction in addition to lost work, in
 	// milliseconds.
 	restartMS = 10_000
 )
 
-// drain evicts batch ahead of events where their headroom is not free. It
-// looks at a few hosts in each plan, in turn.
+// drain evicts batch runs ahead of events where the event's headroom isn't
+// free. Each plan examines a few hosts, in turn.
 func (s *Scheduler) drain(p *plan) {
 	for i, e := range s.calendar {
 		w := s.windows[i]
@@ -28,7 +28,7 @@
 			continue
 		}
 		for range min(drainHosts, len(s.order)) {
-			if p.room() == 0 || s.budget.Available(p.now) == 0 {
+			if p.remaining() == 0 || s.budget.Available(p.now) == 0 {
 				return
 			}
 			s.drainAt = (s.drainAt + 1) % len(s.order)
@@ -44,20 +44,20 @@
 	}
 	missing := int64(e.Headroom*float64(n.host.Capacity.MilliCPU)) - n.free().MilliCPU
 	for _, r := range n.runs {
-		if r.isEvicting(p.now) || s.ends(p.now, r, w.From) {
+		if r.isEvicting(p.now) || s.endsBy(p.now, r, w.From) {
 			missing -= r.size.MilliCPU
 		}
 	}
 	if missing <= 0 {
 		return
 	}
-	if r := s.noisiest(p.now, e, w, n); r != nil {
+	if r := s.drainVictim(p.now, e, w, n); r != nil {
 		s.evict(p, r, "drained ahead of "+e.Name)
 	}
 }
 
-// serves reports whether a latency-critical run of one of the classes is on
-// the node; no classes stand for any.
+// serves reports whether the node has a latency-critical run of one of the
+// classes; without classes, of any class.
 func (n *node) serves(classes []string) bool {
 	return slices.ContainsFunc(n.runs, func(r *run) bool {
 		return r.spec.QoS == task.LatencyCritical &&
@@ -65,39 +65,40 @@
 	})
 }
 
-// ends reports whether a run should have ended by a time.
-func (s *Scheduler) ends(now time.Time, r *run, by time.Time) bool {
+// endsBy reports whether a run is expected to end by the deadline.
+func (s *Scheduler) endsBy(now time.Time, r *run, deadline time.Time) bool {
 	if r.spec.QoS == task.LatencyCritical || r.spec.RunMS == 0 || r.started.IsZero() {
 		return false
 	}
-	return !now.Add(s.remaining(r.spec, now.Sub(r.started).Milliseconds())).After(by)
+	return !now.Add(s.remaining(r.spec, now.Sub(r.started).Milliseconds())).After(deadline)
 }
 
-// noisiest returns the run to evict first: the most harm to the event's
-// services for the least work lost; nil if none may be evicted.
-func (s *Scheduler) noisiest(now time.Time, e forecast.Event, w forecast.Window, n *node) *run {
+// drainVictim returns the run with the largest impact on the event's services
+// relative to the work lost; nil if none may be evicted.
+func (s *Scheduler) drainVictim(now time.Time, e forecast.Event, w forecast.Window, n *node) *run {
 	var chosen *run
 	var highest float64
 	for _, r := range s.evictable(now, n) {
-		if r.spec.Event == e.Name || s.ends(now, r, w.From) {
+		if r.spec.Event == e.Name || s.endsBy(now, r, w.From) {
 			continue
 		}
-		worth := s.noise(e, n, r) / float64(r.doneMS+restartMS)
-		if chosen == nil || worth > highest {
-			chosen, highest = r, worth
+		value := s.eventImpact(e, n, r) / float64(r.doneMS+restartMS)
+		if chosen == nil || value > highest {
+			chosen, highest = r, value
 		}
 	}
 	return chosen
 }
 
-// noise is what a run adds to the latency of the event's services, at least
-// a little by its part of the host, so that quiet work is told apart by size.
-func (s *Scheduler) noise(e forecast.Event, n *node, r *run) float64 {
-	part := n.part(r.fullMilliCPU())
-	noise := part / 100
+// eventImpact returns the estimated effect of a run on the latency of the
+// event's services. It is at least proportional to the run's size, so that
+// runs without an effect are ordered by size.
+func (s *Scheduler) eventImpact(e forecast.Event, n *node, r *run) float64 {
+	cpuShare := n.cpuShare(r.fullMilliCPU())
+	impact := cpuShare / 100
 	for _, class := range e.Services {
-		mean, _ := s.model.Effect(class, r.spec.Class, part)
-		noise = max(noise, mean)
+		mean, _ := s.model.Effect(class, r.spec.Class, cpuShare)
+		impact = max(impact, mean)
 	}
-	return noise
+	return impact
 }
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Why says why a job is pending or where it runs, for people. It looks at
-// each host, so it is for questions, not for decisions.
+// Explain implements Planner. It examines each host, so it is for queries, not
+// for planning.
 func (s *Scheduler) Explain(job string) string {
 	if r, running := s.runs[job]; running {
-		return s.whyRunning(r)
+		return s.explainRunning(r)
 	}
 	j, waiting := s.queue.jobs[job]
 	if !waiting {
@@ -18,21 +18,21 @@
 	if reason, never := s.NeverFits(j.spec); never {
 		return "pending: " + reason
 	}
-	return "pending: " + s.whyPending(j)
+	return "pending: " + s.explainPending(j)
 }
 
-func (s *Scheduler) whyRunning(r *run) string {
+func (s *Scheduler) explainRunning(r *run) string {
 	text := "runs on " + r.node.host.Name
 	switch {
-	case !r.evicting.IsZero():
+	case !r.evictionRequested.IsZero():
 		text += ", eviction asked for"
-	case r.percent < fullSpeed:
-		text += fmt.Sprintf(", throttled to %d%% of its processors", r.percent)
+	case r.cpuLimit < fullCPU:
+		text += fmt.Sprintf(", throttled to %d%% of its processors", r.cpuLimit)
 	}
 	return text
 }
 
-func (s *Scheduler) whyPending(j *pending) string {
+func (s *Scheduler) explainPending(j *pending) string {
 	q := s.request(s.now, j)
 	switch {
 	case j.nominated != nil:
@@ -41,20 +41,20 @@
 		return "quota of team " + j.spec.Team + " is used up"
 	}
 	counts := s.countRejections(&q)
-	if counts[Feasible] > 0 && j.group.verdict == wouldHarm {
+	if counts[Feasible] > 0 && j.group.verdict == wouldInterfere {
 		return fmt.Sprintf("%d of %d hosts fit, but it would slow latency-critical work there",
 			counts[Feasible], len(s.order))
 	}
 	if counts[Feasible] > 0 {
 		return fmt.Sprintf("waits for its turn; %d of %d hosts fit", counts[Feasible], len(s.order))
 	}
-	if q.reserve > s.options.Headroom {
+	if q.headroomShare > s.options.Headroom {
 		return "waits for the headroom of an event: " + describe(counts, len(s.order))
 	}
 	return "no host fits: " + describe(counts, len(s.order))
 }
 
-// countRejections counts how many hosts each filter turns down.
+// countRejections counts the hosts by filter result.
 func (s *Scheduler) countRejections(q *request) [statuses]int {
 	var counts [statuses]int
 	for _, n := range s.order {
@@ -63,7 +63,7 @@
 	return counts
 }
 
-// describe lists the filters that turned hosts down.
+// describe lists the filters that rejected hosts.
 func describe(counts [statuses]int, hosts int) string {
 	var parts []string
 	for status := RejectedUnschedulable; status < statuses; status++ {
--- a/placement/feasible.go
+++ b/placement/feasible.go
@@ -1,16 +1,16 @@
 package placement
 
 const (
-	// wantCandidates is how many feasible nodes are scored for one job.
-	wantCandidates = 16
-	// maxExamined bounds the nodes that one sampling pass looks at.
+	// targetCandidates is the number of feasible nodes to score per job.
+	targetCandidates = 16
+	// maxExamined bounds the nodes examined in one sampling pass.
 	maxExamined = 64
 )
 
 // feasible fills s.candidates with a bounded sample of the nodes that fit:
-// half from the cells that suit the job's kind best, half from anywhere. If
-// the sample finds none, an exact search follows, so that a job that fits
-// somewhere is never turned away.
+// half from the cells that suit the kind of job best, half from random cells.
+// If the sample contains none, all nodes are searched, so that a job that fits
+// somewhere is always placed.
 func (s *Scheduler) feasible(q *request) []*node {
 	s.candidates = s.candidates[:0]
 	if q.nominated != nil && q.filter(q.nominated) == Feasible {
@@ -25,7 +25,7 @@
 		if len(s.candidates) > 0 {
 			return s.candidates
 		}
-		s.exact(q, accelerated)
+		s.searchAll(q, accelerated)
 		if len(s.candidates) > 0 {
 			return s.candidates
 		}
@@ -38,8 +38,8 @@
 	plainFirst      = []bool{false, true}
 )
 
-// acceleratorOrder keeps hosts with accelerators for the jobs that need them
-// while any other fits.
+// acceleratorOrder reserves hosts with accelerators for jobs that need them
+// while another host fits.
 func acceleratorOrder(q *request) []bool {
 	if q.size.Accelerators > 0 {
 		return acceleratedOnly
@@ -47,26 +47,27 @@
 	return plainFirst
 }
 
-// sample looks at up to twice maxExamined nodes of a grid.
+// sample examines up to twice maxExamined nodes of a grid.
 func (s *Scheduler) sample(q *request, g *grid) {
 	w := newWalk(q, g)
 	if w.cpu >= levels {
 		return
 	}
-	want := len(s.candidates) + wantCandidates/2
-	s.take(q, w.ordered(q), want, maxExamined)
-	want += wantCandidates / 2
-	s.take(q, w.rotated(s.random.IntN(levels-w.cpu)), want, maxExamined)
+	target := len(s.candidates) + targetCandidates/2
+	s.collect(q, w.inPreferredOrder(q), target, maxExamined)
+	target += targetCandidates / 2
+	s.collect(q, w.rotated(s.random.IntN(levels-w.cpu)), target, maxExamined)
 }
 
-// take examines up to limit nodes of a walk until there are want candidates.
-func (s *Scheduler) take(q *request, w walk, want, limit int) {
+// collect examines up to limit nodes of a walk until there are target
+// candidates.
+func (s *Scheduler) collect(q *request, w walk, target, limit int) {
 	for row := w.first(); row >= 0; row = w.next() {
 		for cells := w.cellsOf(row); cells != 0; cells &= cells - 1 {
 			nodes := w.grid.nodesAt(row, cells)
 			start := s.random.IntN(len(nodes))
 			for i := range nodes {
-				if limit == 0 || len(s.candidates) >= want {
+				if limit == 0 || len(s.candidates) >= target {
 					return
 				}
 				limit--
@@ -88,14 +89,14 @@
 	return false
 }
 
-// exact looks at every node whose cell may fit, from the emptiest cells down
-// so that it ends early, until it has a few candidates.
-func (s *Scheduler) exact(q *request, accelerated bool) {
+// searchAll examines every node whose cell may fit, from the emptiest cells
+// down, until it has a few candidates.
+func (s *Scheduler) searchAll(q *request, accelerated bool) {
 	for _, g := range s.index.grids {
 		if g.accelerated != accelerated || !zoneFits(q.spec.Zones, g.zone) {
 			continue
 		}
 		w := newWalk(q, g)
-		s.take(q, w.descending(), wantCandidates, g.nodes)
+		s.collect(q, w.descending(), targetCandidates, g.nodes)
 	}
 }
--- a/placement/forecast.go
+++ b/placement/forecast.go
@@ -7,8 +7,8 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// Forecast foresees every event as far as this shard goes. It looks at each
-// job, so it is for reports, not for decisions.
+// Forecast returns a report on every event for this shard. It examines each
+// job, so it is for reports, not for planning.
 func (s *Scheduler) Forecast(now time.Time) []forecast.Report {
 	reports := make([]forecast.Report, 0, len(s.calendar))
 	for _, e := range s.calendar {
@@ -26,7 +26,8 @@
 	return reports
 }
 
-// freeMilliCPU is what schedulable hosts have free in all.
+// freeMilliCPU returns the free processors of all schedulable hosts, in
+// thousandths of a core.
 func (s *Scheduler) freeMilliCPU() int64 {
 	free := int64(0)
 	for _, n := range s.order {
@@ -37,7 +38,8 @@
 	return free
 }
 
-// eventJobs are the jobs due by a start of an event that are not done.
+// eventJobs returns the unfinished jobs that are due by an occurrence of an
+// event.
 func (s *Scheduler) eventJobs(now time.Time, event string, start time.Time) []forecast.Job {
 	var jobs []forecast.Job
 	for _, j := range s.queue.jobs {
@@ -53,13 +55,13 @@
 	return jobs
 }
 
-// isDueBy reports whether a job belongs to a start of an event, or to an
-// earlier one that it missed.
+// isDueBy reports whether a job belongs to the occurrence that begins at
+// start, or to an earlier one.
 func (s *Scheduler) isDueBy(spec task.Spec, event string, start time.Time) bool {
 	if spec.Event != event {
 		return false
 	}
-	own, ok := s.startOf(spec)
+	own, ok := s.occurrenceStart(spec)
 	return ok && !own.After(start)
 }
 
@@ -68,7 +70,7 @@
 		ID:        j.spec.ID,
 		Remaining: s.remaining(j.spec, 0),
 		Due:       time.UnixMilli(s.dueUnixMS(j.spec)),
-		MilliCPU:  s.sizes.Size(j.spec).MilliCPU,
+		MilliCPU:  s.estimator.Size(j.spec).MilliCPU,
 	}
 	if v := j.group.verdict; v != placed && v != notTried {
 		job.BlockedReason = v.String()
@@ -77,20 +79,20 @@
 }
 
 func (s *Scheduler) runningJob(now time.Time, r *run) forecast.Job {
-	gone := r.doneMS
+	elapsed := r.doneMS
 	if !r.started.IsZero() {
-		gone = max(gone, now.Sub(r.started).Milliseconds())
+		elapsed = max(elapsed, now.Sub(r.started).Milliseconds())
 	}
 	return forecast.Job{
 		ID:        r.spec.ID,
 		Running:   true,
-		Remaining: s.remaining(r.spec, gone),
+		Remaining: s.remaining(r.spec, elapsed),
 		Due:       time.UnixMilli(s.dueUnixMS(r.spec)),
 		MilliCPU:  r.size.MilliCPU,
 	}
 }
 
-// remaining is the learned run time less what is done of it.
+// remaining returns the expected run time less the work done.
 func (s *Scheduler) remaining(spec task.Spec, doneMS int64) time.Duration {
-	return time.Duration(max(s.sizes.RunMS(spec)-doneMS, 0)) * time.Millisecond
+	return time.Duration(max(s.estimator.RunMS(spec)-doneMS, 0)) * time.Millisecond
 }
--- a/placement/history.go
+++ b/placement/history.go
@@ -1,18 +1,17 @@
 package placement
 
-// maxHistories bounds the jobs whose past is remembered; the oldest goes
-// first.
+// maxHistories bounds the jobs with a history; beyond it the oldest is
+// dropped.
 const maxHistories = 8192
 
-// history is what is remembered of a job between its runs.
+// history is kept for a job between its runs.
 type history struct {
-	// avoid holds the hosts that it failed on.
-	avoid map[string]bool
-	// evictions counts how often it was evicted.
+	// avoid holds the hosts on which the job failed.
+	avoid     map[string]bool
 	evictions int
 }
 
-// histories keeps them by job.
+// histories holds the histories by job.
 type histories struct {
 	byJob map[string]*history
 	order []string
@@ -20,21 +19,21 @@
 
 func newHistories() histories { return histories{byJob: map[string]*history{}} }
 
-// of returns the job's history and begins one if need be.
+// of returns the job's history, creating it if needed.
 func (h *histories) of(job string) *history {
-	past, known := h.byJob[job]
+	entry, known := h.byJob[job]
 	if known {
-		return past
+		return entry
 	}
-	past = &history{}
-	h.byJob[job] = past
+	entry = &history{}
+	h.byJob[job] = entry
 	h.order = append(h.order, job)
 	h.trim()
-	return past
+	return entry
 }
 
-// trim drops the oldest histories beyond the bound and the names of those
-// that were forgotten.
+// trim drops the oldest histories beyond the bound and names in order that
+// have no history.
 func (h *histories) trim() {
 	for len(h.byJob) > maxHistories {
 		delete(h.byJob, h.order[0])
@@ -52,21 +51,21 @@
 	h.order = kept
 }
 
-// forget drops the history of a job that is over.
+// forget drops the history of a finished job.
 func (h *histories) forget(job string) { delete(h.byJob, job) }
 
-// avoid returns the hosts that the job failed on.
+// avoid returns the hosts on which the job failed.
 func (h *histories) avoid(job string) map[string]bool {
-	if past, known := h.byJob[job]; known {
-		return past.avoid
+	if entry, known := h.byJob[job]; known {
+		return entry.avoid
 	}
 	return nil
 }
 
 // evictions returns how often the job was evicted.
 func (h *histories) evictions(job string) int {
-	if past, known := h.byJob[job]; known {
-		return past.evictions
+	if entry, known := h.byJob[job]; known {
+		return entry.evictions
 	}
 	return 0
 }
--- a/placement/host.go
+++ b/placement/host.go
@@ -2,14 +2,14 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// Host is a worker host as the planner knows it.
+// Host describes a worker host.
 type Host struct {
 	Name string
 	Zone string
 	Rack string
-	// Capacity is what the host holds.
+	// Capacity is the total capacity.
 	Capacity infra.Resources
-	// Unschedulable is why no new task goes there, such as "leaving",
-	// "unreachable" or "quarantined"; empty if it may.
+	// Unschedulable is the reason why the host gets no new tasks, such as
+	// "leaving", "unreachable" or "quarantined"; empty if it gets them.
 	Unschedulable string
 }
--- a/placement/hosts.go
+++ b/placement/hosts.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// unknownHost is why a host that was never set, only adopted on, takes no
-// task.
+// unknownHost is the Unschedulable reason of hosts that have an adopted run
+// but were never set.
 const unknownHost = "unknown"
 
-// SetHost adds a host or updates it.
+// SetHost adds or updates a host.
 func (s *Scheduler) SetHost(h Host) {
 	n, known := s.nodes[h.Name]
 	if !known {
@@ -31,7 +31,7 @@
 	s.refresh(n)
 }
 
-// count adds a host to the totals or, with -1, takes it away.
+// count adds a host to the totals, or removes it if by is -1.
 func (s *Scheduler) count(n *node, by int) {
 	s.shapes.count(n.host, by)
 	for _, r := range n.runs {
@@ -44,14 +44,15 @@
 	s.capacity = s.capacity.Sub(n.host.Capacity)
 }
 
-// refresh brings the index up to date with what a node has free.
+// refresh updates the index and the cache after a change of a node's free
+// resources.
 func (s *Scheduler) refresh(n *node) {
 	s.index.update(n)
 	s.unfit.freed(n)
 }
 
-// RemoveHost forgets a host. Runs that were not released before are dropped
-// without learning from them.
+// RemoveHost removes a host. Its remaining runs are released without learning
+// from them.
 func (s *Scheduler) RemoveHost(name string) {
 	n, known := s.nodes[name]
 	if !known {
--- a/placement/index.go
+++ b/placement/index.go
@@ -6,40 +6,39 @@
 )
 
 const (
-	// levels is how many sizes of free processors and of free memory the
-	// index tells apart: four to a doubling.
+	// levels is the number of index levels for free processors and for free
+	// memory: four per doubling.
 	levels = 64
-	// levelUnit is the smallest amount told apart, in thousandths of a core
-	// or in megabytes.
+	// levelUnit is the width of the lowest level, in thousandths of a core or
+	// in megabytes.
 	levelUnit = 64
 )
 
-// cell holds the nodes whose free processors and memory are of one level.
+// cell holds the nodes with the same levels of free processors and memory.
 type cell struct {
 	nodes []*node
 }
 
-// grid indexes the schedulable nodes of one zone by what they have free.
+// grid indexes the schedulable nodes of one zone by free resources.
 type grid struct {
 	zone        string
 	accelerated bool
-	// rows are made when first used: most sizes are never seen.
+	// rows are allocated on first use, since most levels never occur.
 	rows [levels]*[levels]cell
-	// used marks in each processor level the memory levels with nodes.
+	// used has, per processor level, a bit for each memory level with nodes.
 	used [levels]uint64
-	// leastCPU is the smallest processor capacity that was ever indexed, so
-	// a lower bound of any node's.
-	leastCPU int64
-	nodes    int
+	// minMilliCPU is a lower bound of the nodes' processor capacity.
+	minMilliCPU int64
+	nodes       int
 }
 
-// index finds nodes with enough free without a look at each node.
+// index finds nodes with enough free resources without examining each node.
 type index struct {
-	// grids is in the order of zones, plain before accelerated.
+	// grids is sorted by zone, with grids without accelerators first.
 	grids []*grid
 }
 
-// level returns the index level of a free amount; it rises with the amount.
+// level returns the index level of a free amount. It is monotonic.
 func level(free int64) int {
 	if free < levelUnit {
 		return 0
@@ -53,7 +52,7 @@
 	return min(1+doubling*4+quarter, levels-1)
 }
 
-// grid returns the grid of a kind of host and makes it if need be.
+// grid returns the grid for a host, creating it if needed.
 func (x *index) grid(h Host) *grid {
 	accelerated := h.Capacity.Accelerators > 0
 	at, found := slices.BinarySearchFunc(x.grids, h, func(g *grid, h Host) int {
@@ -66,7 +65,7 @@
 		return compareBool(g.accelerated, accelerated)
 	})
 	if !found {
-		g := &grid{zone: h.Zone, accelerated: accelerated, leastCPU: h.Capacity.MilliCPU}
+		g := &grid{zone: h.Zone, accelerated: accelerated, minMilliCPU: h.Capacity.MilliCPU}
 		x.grids = slices.Insert(x.grids, at, g)
 	}
 	return x.grids[at]
@@ -83,7 +82,7 @@
 	}
 }
 
-// update puts a node where its free resources belong, or takes it out when it
+// update moves a node to the cell of its free resources, or removes it if it
 // is unschedulable.
 func (x *index) update(n *node) {
 	if n.host.Unschedulable != "" {
@@ -91,7 +90,7 @@
 		return
 	}
 	g := x.grid(n.host)
-	g.leastCPU = min(g.leastCPU, n.host.Capacity.MilliCPU)
+	g.minMilliCPU = min(g.minMilliCPU, n.host.Capacity.MilliCPU)
 	free := n.free()
 	c, m := level(free.MilliCPU), level(free.MemoryMB)
 	target := g.cell(c, m)
@@ -106,7 +105,7 @@
 	g.nodes++
 }
 
-// cell returns the cell of two levels and makes its row if need be.
+// cell returns the cell of two levels, allocating its row if needed.
 func (g *grid) cell(c, m int) *cell {
 	if g.rows[c] == nil {
 		g.rows[c] = new([levels]cell)
@@ -114,7 +113,7 @@
 	return &g.rows[c][m]
 }
 
-// remove takes a node out; nothing happens if it is not in.
+// remove removes a node, if it is indexed.
 func (x *index) remove(n *node) {
 	if n.cell == nil {
 		return
--- a/placement/jobs.go
+++ b/placement/jobs.go
@@ -7,82 +7,83 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// Enqueue adds a pending job; one that is already pending is replaced. A job
-// that still occupies a host is queued once it is released, so that it is
-// never placed twice.
+// Enqueue adds a pending job, replacing one with the same ID. A job that still
+// occupies a host is queued when it is released, so that it never runs twice.
 func (s *Scheduler) Enqueue(_ time.Time, spec task.Spec) {
 	if r, running := s.runs[spec.ID]; running {
 		r.requeue = true
-		r.spec = s.respecify(r, spec)
+		r.spec = s.mergeSpec(r, spec)
 		return
 	}
 	if p, waiting := s.queue.jobs[spec.ID]; waiting {
-		s.unqueue(p)
+		s.dequeue(p)
 	}
 	p := &pending{spec: spec, latestStart: s.latestStart(spec)}
-	p.avoid = s.past.avoid(spec.ID)
+	p.avoid = s.histories.avoid(spec.ID)
 	s.queue.add(p)
 }
 
-// respecify keeps what a running job is counted by.
-func (s *Scheduler) respecify(r *run, spec task.Spec) task.Spec {
+// mergeSpec returns spec with the fields that the totals of a running job
+// depend on left unchanged.
+func (s *Scheduler) mergeSpec(r *run, spec task.Spec) task.Spec {
 	spec.Team = r.spec.Team
 	spec.Class = r.spec.Class
 	spec.QoS = r.spec.QoS
 	return spec
 }
 
-// latestStart is when the job must start to be done when it is due, by the
-// learned run time; 0 if it is never due.
+// latestStart returns when the job must start to finish by its due time, in
+// Unix milliseconds; 0 if it is never due.
 func (s *Scheduler) latestStart(spec task.Spec) int64 {
 	due := s.dueUnixMS(spec)
 	if due == 0 {
 		return 0
 	}
-	return max(due-s.sizes.RunMS(spec), 1)
+	return max(due-s.estimator.RunMS(spec), 1)
 }
 
-// Withdraw drops a pending job. What was remembered of it is forgotten.
+// Withdraw removes a pending job and its history.
 func (s *Scheduler) Withdraw(job string) {
 	if r, running := s.runs[job]; running {
 		r.requeue = false
 		return
 	}
 	if p, waiting := s.queue.jobs[job]; waiting {
-		s.unqueue(p)
+		s.dequeue(p)
 	}
-	s.past.forget(job)
+	s.histories.forget(job)
 }
 
-// unqueue takes a job out of the queue with what is held for it.
-func (s *Scheduler) unqueue(p *pending) {
+// dequeue removes a job from the queue together with its nomination.
+func (s *Scheduler) dequeue(p *pending) {
 	s.dropNomination(p)
 	s.queue.remove(p)
 }
 
-// Adopt records that a job occupies host, as replay or reconciliation found
-// it. It is recorded even if it does not fit, and on a host not yet set.
+// Adopt records that a job occupies host, as found by replay or
+// reconciliation. It records the run even if it doesn't fit or the host was
+// never set.
 func (s *Scheduler) Adopt(spec task.Spec, host string) {
-	s.AdoptSized(spec, host, s.sizes.Size(spec))
+	s.AdoptSized(spec, host, s.estimator.Size(spec))
 }
 
-// AdoptSized is Adopt where it is known what the run reserves.
+// AdoptSized is Adopt with a known reservation.
 func (s *Scheduler) AdoptSized(spec task.Spec, host string, size infra.Resources) {
 	if r, running := s.runs[spec.ID]; running {
 		s.vacate(r)
 	}
 	if p, waiting := s.queue.jobs[spec.ID]; waiting {
-		s.unqueue(p)
+		s.dequeue(p)
 	}
 	n, known := s.nodes[host]
 	if !known {
 		n = &node{host: Host{Name: host, Unschedulable: unknownHost}}
 		s.insert(n)
 	}
-	s.occupy(&run{spec: spec, size: size, percent: 100}, n)
+	s.occupy(&run{spec: spec, size: size, cpuLimit: 100}, n)
 }
 
-// occupy records a run on a node everywhere that it is counted.
+// occupy adds a run to its node and to all totals.
 func (s *Scheduler) occupy(r *run, n *node) {
 	n.add(r)
 	s.runs[r.spec.ID] = r
@@ -92,7 +93,7 @@
 	s.index.update(n)
 }
 
-// vacate undoes occupy.
+// vacate reverts occupy.
 func (s *Scheduler) vacate(r *run) {
 	n := r.node
 	s.countSpread(r, -1)
@@ -110,56 +111,55 @@
 	}
 }
 
-// Release frees what a job occupies. With done, its run time and usage are
-// learned from.
+// Release frees what a job occupies. If done is set, its run time and usage
+// are learned.
 func (s *Scheduler) Release(now time.Time, job string, done bool) {
 	r, running := s.runs[job]
 	if !running {
 		return
 	}
 	s.vacate(r)
-	r.node.depart(r, now, s.memory())
+	r.node.recordDeparture(r, now, s.departureRetention())
 	if done {
 		s.learnRun(now, r)
 		s.countDone(now, r.spec)
-		s.past.forget(job)
+		s.histories.forget(job)
 	}
 	if r.requeue && !done {
 		s.Enqueue(now, r.spec)
 	}
 }
 
-// learnRun learns from a run that ended well.
+// learnRun updates the estimates with a successful run.
 func (s *Scheduler) learnRun(now time.Time, r *run) {
 	if r.reports > 0 {
-		s.sizes.LearnSize(r.spec, r.peak)
+		s.estimator.LearnSize(r.spec, r.peak)
 	}
 	took := r.doneMS
 	if !r.started.IsZero() && !r.resumed {
 		took = now.Sub(r.started).Milliseconds()
 	}
-	s.sizes.LearnRun(r.spec, took)
+	s.estimator.LearnRun(r.spec, took)
 }
 
-// Killed records that the worker's guard killed the run of a job for the
-// memory that it used. Call it before Release; later runs of the class get
-// more at once.
+// RecordOOMKill records that a job's run was killed for exceeding its memory.
+// It must be called before Release; later runs of the class get more memory.
 func (s *Scheduler) RecordOOMKill(job string) {
 	if r, running := s.runs[job]; running {
-		s.sizes.RecordOOMKill(r.spec, r.size)
+		s.estimator.RecordOOMKill(r.spec, r.size)
 	}
 }
 
-// Avoid keeps a job off a host that it failed on.
+// Avoid keeps a job off a host on which it failed.
 func (s *Scheduler) Avoid(job, host string) {
-	past := s.past.of(job)
-	if past.avoid == nil {
-		past.avoid = map[string]bool{}
+	entry := s.histories.of(job)
+	if entry.avoid == nil {
+		entry.avoid = map[string]bool{}
 	}
-	past.avoid[host] = true
+	entry.avoid[host] = true
 	if p, waiting := s.queue.jobs[job]; waiting {
 		s.queue.remove(p)
-		p.avoid = past.avoid
+		p.avoid = entry.avoid
 		s.queue.add(p)
 	}
 }
--- a/placement/load.go
+++ b/placement/load.go
@@ -7,8 +7,8 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// shares adds up parts of a host's processors by class. Hosts run few
-// classes, so a slice is searched faster than a map.
+// shares holds shares of a host's processors by class. Hosts run few classes,
+// so searching a slice is faster than a map.
 type shares []interference.Share
 
 func (l shares) add(class string, part float64) shares {
@@ -21,40 +21,40 @@
 	return append(l, interference.Share{Class: class, CPUShare: part})
 }
 
-// batchNow is the batch load of a node as it should be now.
-func (s *Scheduler) batchNow(n *node) shares {
-	load := shares(s.loads[:0])
+// currentBatch returns the current batch load of a node.
+func (s *Scheduler) currentBatch(n *node) shares {
+	load := shares(s.loadBuffer[:0])
 	for _, r := range n.runs {
 		if r.spec.QoS != task.LatencyCritical {
-			load = load.add(r.spec.Class, n.part(r.milliCPU()))
+			load = load.add(r.spec.Class, n.cpuShare(r.milliCPU()))
 		}
 	}
-	s.loads = load
+	s.loadBuffer = load
 	return load
 }
 
-// batchAt is the batch load of a node as it was at a time within the lag.
+// batchAt returns the batch load of a node at a time within the lag.
 func (s *Scheduler) batchAt(n *node, when time.Time) shares {
-	load := shares(s.loads[:0])
+	load := shares(s.loadBuffer[:0])
 	for _, r := range n.runs {
 		if r.spec.QoS == task.LatencyCritical || r.started.After(when) {
 			continue
 		}
-		milliCPU := r.fullMilliCPU() * int64(r.percentAt(when)) / fullSpeed
-		load = load.add(r.spec.Class, n.part(milliCPU))
+		milliCPU := r.fullMilliCPU() * int64(r.cpuLimitAt(when)) / fullCPU
+		load = load.add(r.spec.Class, n.cpuShare(milliCPU))
 	}
-	for _, d := range n.departed {
+	for _, d := range n.departures {
 		if !d.from.After(when) && when.Before(d.until) {
-			load = load.add(d.class, n.part(d.milliCPU))
+			load = load.add(d.class, n.cpuShare(d.milliCPU))
 		}
 	}
-	s.loads = load
+	s.loadBuffer = load
 	return load
 }
 
-// self is how busy a latency-critical class is on a node, as the share used
-// of what it reserves there.
-func (n *node) self(class string) float64 {
+// ownUtilization returns the usage of a latency-critical class on a node as a
+// share of its reservation.
+func (n *node) ownUtilization(class string) float64 {
 	var used, reserved int64
 	for _, r := range n.runs {
 		if r.spec.QoS == task.LatencyCritical && r.spec.Class == class {
@@ -65,7 +65,7 @@
 	return ratio(used, reserved)
 }
 
-// part is an amount of processors as a part of the host's.
-func (n *node) part(milliCPU int64) float64 {
+// cpuShare returns an amount of processors as a share of the host's.
+func (n *node) cpuShare(milliCPU int64) float64 {
 	return ratio(milliCPU, n.host.Capacity.MilliCPU)
 }
--- a/placement/never_fits.go
+++ b/placement/never_fits.go
@@ -10,67 +10,69 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// NeverFits reports whether no known host can ever hold the job, even empty,
-// with the nearest host and what lacks. Without any known host it reports
-// false, since nothing is known yet.
+// NeverFits reports whether the job doesn't fit on any known host, even an
+// empty one, and names the host that comes closest and what it lacks. It
+// returns false if no host is known.
 func (s *Scheduler) NeverFits(spec task.Spec) (reason string, never bool) {
 	if len(s.shapes.hosts) == 0 {
 		return "", false
 	}
-	q := request{spec: spec, size: s.sizes.Size(spec), reserve: s.options.Headroom}
+	q := request{spec: spec, size: s.estimator.Size(spec), headroomShare: s.options.Headroom}
 	var nearest shape
-	least := 0.0
+	smallest := 0.0
 	found := false
 	for _, kind := range s.shapes.sorted() {
 		if !zoneFits(spec.Zones, kind.zone) {
 			continue
 		}
-		lack := q.lack(kind.capacity)
-		if lack == (infra.Resources{}) {
+		missing := q.shortage(kind.capacity)
+		if missing == (infra.Resources{}) {
 			return "", false
 		}
-		distance := shortfall(lack, q.size)
-		if !found || distance < least {
-			nearest, least, found = kind, distance, true
+		distance := shortageRatio(missing, q.size)
+		if !found || distance < smallest {
+			nearest, smallest, found = kind, distance, true
 		}
 	}
 	if !found {
 		return "no host is in " + strings.Join(spec.Zones, ", "), true
 	}
 	return fmt.Sprintf("never fits: the nearest host, %s, lacks %s",
-		s.example(nearest), lackText(q.lack(nearest.capacity))), true
+		s.exampleHost(nearest), shortageText(q.shortage(nearest.capacity))), true
 }
 
-// lack is what an empty host of a capacity is short of, in each resource.
-func (q *request) lack(capacity infra.Resources) infra.Resources {
+// shortage returns what an empty host with the given capacity lacks for the
+// request.
+func (q *request) shortage(capacity infra.Resources) infra.Resources {
 	usable := capacity
 	usable.MilliCPU -= q.headroom(capacity.MilliCPU)
-	return larger(q.size.Sub(usable), infra.Resources{})
+	return maxResources(q.size.Sub(usable), infra.Resources{})
 }
 
-// shortfall sums what lacks as shares of what is asked for.
-func shortfall(lack, asked infra.Resources) float64 {
-	return ratio(lack.MilliCPU, asked.MilliCPU) +
-		ratio(lack.MemoryMB, asked.MemoryMB) +
-		ratio(lack.Accelerators, asked.Accelerators)
+// shortageRatio returns the sum of what is missing relative to what is
+// requested.
+func shortageRatio(missing, requested infra.Resources) float64 {
+	return ratio(missing.MilliCPU, requested.MilliCPU) +
+		ratio(missing.MemoryMB, requested.MemoryMB) +
+		ratio(missing.Accelerators, requested.Accelerators)
 }
 
-func lackText(lack infra.Resources) string {
+func shortageText(missing infra.Resources) string {
 	var parts []string
-	if lack.MilliCPU > 0 {
-		parts = append(parts, fmt.Sprintf("%d thousandths of a core", lack.MilliCPU))
+	if missing.MilliCPU > 0 {
+		parts = append(parts, fmt.Sprintf("%d thousandths of a core", missing.MilliCPU))
 	}
-	if lack.MemoryMB > 0 {
-		parts = append(parts, fmt.Sprintf("%d MB of memory", lack.MemoryMB))
+	if missing.MemoryMB > 0 {
+		parts = append(parts, fmt.Sprintf("%d MB of memory", missing.MemoryMB))
 	}
-	if lack.Accelerators > 0 {
-		parts = append(parts, fmt.Sprintf("%d accelerators", lack.Accelerators))
+	if missing.Accelerators > 0 {
+		parts = append(parts, fmt.Sprintf("%d accelerators", missing.Accelerators))
 	}
 	return strings.Join(parts, ", ")
 }
 
-// example names a host of a shape, the first by name.
-func (s *Scheduler) example(kind shape) string {
+// exampleHost returns the first host of a shape by name.
+func (s *Scheduler) exampleHost(kind shape) string {
 	name := ""
 	for _, n := range s.order {
 		same := n.host.Zone == kind.zone && n.host.Capacity == kind.capacity
@@ -81,7 +83,7 @@
 	return name
 }
 
-// sorted returns the shapes in a fixed order.
+// sorted returns the shapes in a deterministic order.
 func (k *shapes) sorted() []shape {
 	list := make([]shape, 0, len(k.hosts))
 	for kind := range k.hosts {
--- a/placement/node.go
+++ b/placement/node.go
@@ -7,50 +7,52 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// node is a host with what is reserved on it.
+// node is a host with its runs and reservations.
 type node struct {
 	host Host
-	// reserved is the sum over runs.
+	// reserved is the sum of the reservations of runs.
 	reserved infra.Resources
-	// criticals counts the latency-critical runs, which reserve critical of
-	// the processors.
-	criticals int
-	critical  int64
-	// held is kept for urgent jobs that wait for their victims' release.
+	// criticalRuns counts the latency-critical runs, which reserve
+	// criticalMilliCPU.
+	criticalRuns     int
+	criticalMilliCPU int64
+	// held is reserved for urgent jobs whose victims haven't been released
+	// yet.
 	held infra.Resources
 	runs []*run
-	// nominees are the urgent jobs that held is for.
+	// nominees are the urgent jobs that held is reserved for.
 	nominees []*pending
-	// departed are the batch runs that ended within the lag.
-	departed []departure
-	// watch follows its latency-critical classes; nil if none reported.
-	watch *eviction.HostMonitor
+	// departures are the batch runs that ended within the lag.
+	departures []departure
+	// monitor tracks the latency-critical classes; nil if none has reported.
+	monitor *eviction.HostMonitor
 	// watched is set while the node is in Scheduler.watched.
 	watched bool
-	// worst is the class with the latest worst latency over its objective.
-	worst string
-	// trial is when a little known pair was last tried out here.
+	// worstClass is the class with the largest ratio of latency to objective
+	// in the last report.
+	worstClass string
+	// trial is the last trial of a pair with an uncertain estimate.
 	trial interference.Trial
-	// cooling are the classes that were evicted from here lately.
-	cooling []cooldown
-	// position is its place in Scheduler.order.
+	// cooldowns are the classes that were recently evicted from the node.
+	cooldowns []cooldown
+	// position is the index in Scheduler.order.
 	position int
-	// cell and slot are where the index holds the node; cell is nil when it
-	// is not indexed.
+	// cell and slot locate the node in the index; cell is nil if it isn't
+	// indexed.
 	cell *cell
 	slot int
-	// grid and the levels name the cell within the index.
+	// grid, levelCPU and levelMemory identify the cell within the index.
 	grid        *grid
 	levelCPU    uint8
 	levelMemory uint8
 }
 
-// free is what is neither reserved nor held; it may be negative after Adopt.
+// free returns what is neither reserved nor held; it may be negative after
+// Adopt.
 func (n *node) free() infra.Resources {
 	return n.host.Capacity.Sub(n.reserved).Sub(n.held)
 }
 
-// add records a run.
 func (n *node) add(r *run) {
 	r.node = n
 	n.runs = append(n.runs, r)
@@ -58,15 +60,14 @@
 	n.countCritical(r, 1)
 }
 
-// countCritical counts a run if it is latency-critical.
+// countCritical updates the totals of latency-critical runs.
 func (n *node) countCritical(r *run, by int) {
 	if r.spec.QoS == task.LatencyCritical {
-		n.criticals += by
-		n.critical += int64(by) * r.size.MilliCPU
+		n.criticalRuns += by
+		n.criticalMilliCPU += int64(by) * r.size.MilliCPU
 	}
 }
 
-// remove forgets a run.
 func (n *node) remove(r *run) {
 	for i, other := range n.runs {
 		if other != r {
@@ -80,5 +81,5 @@
 		n.countCritical(r, -1)
 		return
 	}
-	panic("placement: run not on its host: " + r.spec.ID)
+	panic("placement: no such run on its host: " + r.spec.ID)
 }
--- a/placement/nominate.go
+++ b/placement/nominate.go
@@ -7,8 +7,8 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// nominationLimit is how long an urgent job waits for its victims before it
-// looks elsewhere.
+// nominationLimit is how long an urgent job waits for its victims to be
+// released.
 const nominationLimit = 30 * time.Second
 
 // nominate holds size on n for a job until its victims are released.
@@ -23,7 +23,7 @@
 	s.index.update(n)
 }
 
-// dropNomination gives up what is held for a job, if anything.
+// dropNomination releases what is held for a job, if anything.
 func (s *Scheduler) dropNomination(j *pending) {
 	n := j.nominated
 	if n == nil {
@@ -38,14 +38,15 @@
 	s.refresh(n)
 }
 
-// dropNominations gives up everything held on a node.
+// dropNominations releases everything that is held on a node.
 func (s *Scheduler) dropNominations(n *node) {
 	for len(n.nominees) > 0 {
 		s.dropNomination(n.nominees[0])
 	}
 }
 
-// expireNominations lets urgent jobs look elsewhere whose victims do not go.
+// expireNominations drops the nominations of jobs whose victims weren't
+// released within nominationLimit.
 func (s *Scheduler) expireNominations(now time.Time) {
 	oldest := now.Add(-nominationLimit).UnixMilli()
 	for len(s.nominees) > 0 && s.nominees[0].nominatedUnixMS < oldest {
@@ -53,7 +54,7 @@
 	}
 }
 
-// without returns jobs without one of them, in the same order.
+// without returns jobs without j, in the same order.
 func without(jobs []*pending, j *pending) []*pending {
 	at := slices.Index(jobs, j)
 	if at < 0 {
--- a/placement/observe.go
+++ b/placement/observe.go
@@ -2,11 +2,11 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// learnEvery is after how many reports a long run's peak is learned from and
-// begun anew.
-const learnEvery = 64
+// learnInterval is the number of reports after which the peak of a run is
+// learned and reset.
+const learnInterval = 64
 
-// Observe takes in a host's usage.
+// Observe records a host's usage.
 func (s *Scheduler) Observe(u Usage) {
 	n, known := s.nodes[u.Host]
 	if !known {
@@ -22,25 +22,25 @@
 	}
 }
 
-// observeRun keeps a run's progress and peak. A throttled run shows less than
-// it needs, so its processors are not learned from.
+// observeRun records a run's progress and peak. The usage of a throttled run
+// is less than it needs, so it isn't learned.
 func (s *Scheduler) observeRun(r *run, j JobUsage) {
 	r.doneMS = max(r.doneMS, j.DoneMS)
 	r.used = j.Used
-	if r.percent < fullSpeed {
+	if r.cpuLimit < fullCPU {
 		return
 	}
-	r.peak = larger(r.peak, j.Used)
+	r.peak = maxResources(r.peak, j.Used)
 	r.reports++
-	if r.reports < learnEvery {
+	if r.reports < learnInterval {
 		return
 	}
-	s.sizes.LearnSize(r.spec, r.peak)
+	s.estimator.LearnSize(r.spec, r.peak)
 	r.peak, r.reports = infra.Resources{}, 0
 }
 
-// larger is the larger of each resource.
-func larger(a, b infra.Resources) infra.Resources {
+// maxResources returns the maximum of each resource.
+func maxResources(a, b infra.Resources) infra.Resources {
 	return infra.Resources{
 		MilliCPU:     max(a.MilliCPU, b.MilliCPU),
 		MemoryMB:     max(a.MemoryMB, b.MemoryMB),
--- a/placement/occurrence.go
+++ b/placement/occurrence.go
@@ -6,25 +6,25 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// maxOccurrences bounds the occurrences whose progress is kept; the oldest
-// goes first.
+// maxOccurrences bounds the occurrences whose progress is kept; beyond it the
+// oldest is dropped.
 const maxOccurrences = 256
 
-// occurrence is one start of an event.
+// occurrence identifies one start of an event.
 type occurrence struct {
 	event string
 	unix  int64
 }
 
-// progress counts the jobs of an occurrence that are done.
+// progress counts the finished jobs of an occurrence.
 type progress struct {
 	done int
 	late int
 }
 
-// countDone counts a job of an event as done.
+// countDone records a finished job of an event.
 func (s *Scheduler) countDone(now time.Time, spec task.Spec) {
-	start, ok := s.startOf(spec)
+	start, ok := s.occurrenceStart(spec)
 	if !ok {
 		return
 	}
--- a/placement/options.go
+++ b/placement/options.go
@@ -10,28 +10,27 @@
 
 // Options configures a Scheduler. The zero value places by resources alone.
 type Options struct {
-	// Seed starts the random choice among candidates: the same seed and the
-	// same calls give the same plans.
+	// Seed seeds the random choice of candidates. The same seed and the same
+	// calls give the same plans.
 	Seed uint64
-	// Headroom is the share of each host's processors kept free of batch.
+	// Headroom is the share of each host's processors kept free of batch jobs.
 	Headroom float64
-	// Teams are the teams' weights and quotas by name.
+	// Teams holds the weights and quotas by team name.
 	Teams map[string]settings.Team
-	// Events are the named starts by name.
+	// Events holds the events by name.
 	Events map[string]settings.Event
-	// Colocation tunes throttling and eviction.
+	// Colocation configures throttling and eviction.
 	Colocation settings.Colocation
-	// ObjectivesMS is the tail latency that each latency-critical class
-	// must keep, in milliseconds.
+	// ObjectivesMS is the largest tail latency of each latency-critical class,
+	// in milliseconds.
 	ObjectivesMS map[string]float64
-	// TailMargin is by how much below their objectives latency-critical
-	// classes should stay, as a logarithm; 0 for
-	// interference.DefaultMargin. A larger one buys tail latency with batch
-	// throughput.
+	// TailMargin is how far the logarithms of latencies should stay below
+	// those of the objectives; 0 means interference.DefaultMargin. A larger
+	// margin improves tail latency at the cost of batch throughput.
 	TailMargin float64
 }
 
 func (o Options) tailMargin() float64 { return cmp.Or(o.TailMargin, interference.DefaultMargin) }
 
-// exploreInterval is how long a trial is given.
+// exploreInterval returns the length of a trial.
 func (o Options) exploreInterval() time.Duration { return exploreLags * o.Colocation.UsageLag.D() }
--- a/placement/pending.go
+++ b/placement/pending.go
@@ -12,28 +12,28 @@
 type pending struct {
 	spec  task.Spec
 	group *group
-	// slot is its place in the group's heap.
+	// slot is the index in the group's heap.
 	slot int
-	// latestStart is when it must start to be done when it is due, in Unix
-	// milliseconds; 0 if it is never due.
+	// latestStart is when the job must start to finish by its due time, in
+	// Unix milliseconds; 0 if it is never due.
 	latestStart int64
 	avoid       map[string]bool
-	// nominated is the node that victims are leaving for its sake.
+	// nominated is the node from which victims are being evicted for the job.
 	nominated *node
 	held      infra.Resources
-	// nominatedUnixMS is since when.
+	// nominatedUnixMS is when the nomination began, in Unix milliseconds.
 	nominatedUnixMS int64
 }
 
-// pressed reports whether there is so little slack until the job must start
-// that it goes before fair sharing.
-func (p *pending) pressed(now time.Time) bool {
+// isDueSoon reports whether the job's latest start is so close that it takes
+// precedence over fair sharing.
+func (p *pending) isDueSoon(now time.Time) bool {
 	slack := time.Duration(p.latestStart-now.UnixMilli()) * time.Millisecond
 	return p.latestStart != 0 && slack <= dueWindow
 }
 
-// groupKey is what alike pending jobs share: where one does not fit, none
-// does.
+// groupKey holds the properties that determine where a pending job fits. If
+// one job of a group doesn't fit, none does.
 type groupKey struct {
 	urgent    bool
 	due       bool
@@ -43,12 +43,12 @@
 	resources infra.Resources
 	floor     infra.Resources
 	zones     string
-	// alone is the job's id if it avoids hosts or has a node nominated, and
-	// so is like no other.
-	alone string
+	// uniqueID is the job's ID if it avoids hosts or has a nomination, so that
+	// it forms a group of its own.
+	uniqueID string
 }
 
-// verdict is why a group's head was not placed when last tried.
+// verdict is the result of the last attempt to place the first job of a group.
 type verdict uint8
 
 const (
@@ -57,15 +57,16 @@
 	overQuota
 	noHostFits
 	waitsForVictims
-	wouldHarm
-	// evicts is for the plan in which the victims are chosen.
+	wouldInterfere
+	// evicts is the verdict of the plan that chooses the victims.
 	evicts
 )
 
-// endsTurn reports whether the group's other jobs would fare the same.
-func (v verdict) endsTurn() bool { return v != placed && v != evicts }
+// endsGroup reports whether the verdict applies to the other jobs of the group
+// as well.
+func (v verdict) endsGroup() bool { return v != placed && v != evicts }
 
-// String returns the verdict for people.
+// String returns the verdict as shown to users.
 func (v verdict) String() string {
 	switch v {
 	case overQuota:
@@ -74,19 +75,19 @@
 		return "no host fits"
 	case waitsForVictims, evicts:
 		return "waits for victims to be released"
-	case wouldHarm:
+	case wouldInterfere:
 		return "would slow latency-critical work"
 	default:
 		return "waits for its turn"
 	}
 }
 
-// group is a heap of alike pending jobs.
+// group is a heap of pending jobs with the same key.
 type group struct {
 	key     groupKey
 	jobs    []*pending
 	verdict verdict
-	// rank orders groups within a plan.
+	// rank is the order of the group within a plan.
 	rank rank
 }
 
@@ -102,7 +103,7 @@
 		zones:     strings.Join(p.spec.Zones, "\x00"),
 	}
 	if len(p.avoid) > 0 || p.nominated != nil {
-		key.alone = p.spec.ID
+		key.uniqueID = p.spec.ID
 	}
 	return key
 }
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -6,9 +6,10 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// Plan returns at most limit actions for now: relief for latency-critical
-// work that misses its objective, hosts drained ahead of an event, then starts
-// in the order of rank with evictions for urgent work that fits nowhere.
+// Plan returns at most limit actions for now. It relieves latency-critical
+// classes that miss their objectives, then drains hosts ahead of events, then
+// starts pending jobs in order of rank, evicting batch runs for urgent jobs
+// that fit nowhere.
 func (s *Scheduler) Plan(now time.Time, limit int) []Action {
 	s.now = now
 	p := &plan{now: now, limit: limit}
@@ -17,62 +18,61 @@
 	s.relieve(p)
 	s.drain(p)
 	s.placePending(p)
-	s.gather(p)
+	s.consolidate(p)
 	return p.actions
 }
 
-// plan is one plan in the making.
+// plan is a plan under construction.
 type plan struct {
 	now     time.Time
 	limit   int
 	actions []Action
-	// refused counts by class the jobs refused for the harm they would do.
-	refused map[string]int
+	// refusals counts, by class, the jobs refused because of their impact.
+	refusals map[string]int
 }
 
-// maxRefused is how many jobs of a class are refused for harm before the rest
-// of the class waits for the next plan, so that a long queue of them costs
-// little.
+// maxRefused is the number of refused jobs of a class after which the rest of
+// the class isn't tried in the same plan.
 const maxRefused = 8
 
-// refuse counts a job refused for harm.
+// refuse records a job refused because of its impact.
 func (p *plan) refuse(class string) verdict {
-	if p.refused == nil {
-		p.refused = map[string]int{}
+	if p.refusals == nil {
+		p.refusals = map[string]int{}
 	}
-	p.refused[class]++
-	return wouldHarm
+	p.refusals[class]++
+	return wouldInterfere
 }
 
-// room is how many more actions the plan takes.
-func (p *plan) room() int { return p.limit - len(p.actions) }
+// remaining returns how many more actions the plan may contain.
+func (p *plan) remaining() int { return p.limit - len(p.actions) }
 
 func (p *plan) add(a Action) { p.actions = append(p.actions, a) }
 
-// placePending tries groups by rank. A group whose first job is not placed
-// has its turn over, since the others are like it.
+// placePending tries groups by rank. If the first job of a group can't be
+// placed, the rest of the group is skipped.
 func (s *Scheduler) placePending(p *plan) {
-	t := s.newTurns(p.now)
-	for p.room() > 0 {
-		g := s.next(p.now, t)
+	groups := s.rankGroups(p.now)
+	for p.remaining() > 0 {
+		g := s.next(p.now, groups)
 		if g == nil {
 			return
 		}
 		g.verdict = s.place(p, g.jobs[0])
-		if g.verdict.endsTurn() || len(g.jobs) == 0 {
-			t.drop()
+		if g.verdict.endsGroup() || len(g.jobs) == 0 {
+			groups.dropFirst()
 		}
 	}
 }
 
-// place starts the job if it may and fits.
+// place starts the job if it is allowed to start and fits.
 func (s *Scheduler) place(p *plan, j *pending) verdict {
 	q := s.request(p.now, j)
 	if !s.teams.allows(j.spec.Team, q.size) {
 		return overQuota
 	}
-	if p.refused[j.spec.Class] >= maxRefused && s.tolerance(p.now, &q) < maxTolerance {
-		return wouldHarm
+	if p.refusals[j.spec.Class] >= maxRefused && s.tolerance(p.now, &q) < maxTolerance {
+		return wouldInterfere
 	}
 	if s.unfit.knownUnfit(&q) {
 		return s.preempt(p, j, &q)
@@ -82,9 +82,9 @@
 		s.unfit.add(&q)
 		return s.preempt(p, j, &q)
 	}
-	n, harm := s.best(&q, candidates)
+	n, impact := s.best(&q, candidates)
 	reason := startReason(&q)
-	if harm > s.tolerance(p.now, &q) {
+	if impact > s.tolerance(p.now, &q) {
 		if n = s.explore(p.now, &q, candidates); n == nil {
 			return p.refuse(j.spec.Class)
 		}
@@ -94,26 +94,26 @@
 	return placed
 }
 
-// request sizes a pending job by what is known now.
+// request returns the request of a pending job with current estimates.
 func (s *Scheduler) request(now time.Time, j *pending) request {
 	return request{
-		spec:      j.spec,
-		size:      s.sizes.Size(j.spec),
-		reserve:   s.reserve(now, j.spec),
-		avoid:     j.avoid,
-		due:       j.pressed(now),
-		nominated: j.nominated,
-		own:       j.held,
+		spec:          j.spec,
+		size:          s.estimator.Size(j.spec),
+		headroomShare: s.headroomShare(now, j.spec),
+		avoid:         j.avoid,
+		dueSoon:       j.isDueSoon(now),
+		nominated:     j.nominated,
+		held:          j.held,
 
-		mostGathered: s.mostGathered(j.spec),
+		maxConsolidated: s.maxConsolidated(j.spec),
 	}
 }
 
-// start reserves and asks for the job's start.
+// start reserves the job's resources and adds its start to the plan.
 func (s *Scheduler) start(p *plan, j *pending, q *request, n *node, reason string) {
-	s.unqueue(j)
-	r := &run{spec: j.spec, size: q.size, percent: fullSpeed, started: p.now}
-	r.resumed = s.past.evictions(j.spec.ID) > 0
+	s.dequeue(j)
+	r := &run{spec: j.spec, size: q.size, cpuLimit: fullCPU, started: p.now}
+	r.resumed = s.histories.evictions(j.spec.ID) > 0
 	s.occupy(r, n)
 	p.add(Action{
 		Kind:      Start,
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -9,48 +9,47 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// Planner is the contract between the owner of a worker shard (package batch)
-// and placement decisions. Implementations are not safe for concurrent use.
+// Planner is the interface between the owner of a worker shard (package batch)
+// and placement. Implementations are not safe for concurrent use.
 type Planner interface {
-	// SetPolicy replaces the policy. What was learned stays, but for the seed
-	// of random choices, which is not taken in.
+	// SetPolicy replaces the policy. Estimates and the seed of random choices
+	// are kept.
 	SetPolicy(o Options)
-	// SetHost adds a host or updates it.
+	// SetHost adds or updates a host.
 	SetHost(h Host)
-	// RemoveHost forgets a host; its runs must have been released.
+	// RemoveHost removes a host; its runs must have been released.
 	RemoveHost(name string)
-	// Enqueue adds a pending job; one that is already pending is replaced.
+	// Enqueue adds a pending job, replacing one with the same ID.
 	Enqueue(now time.Time, s task.Spec)
-	// Withdraw drops a pending job.
+	// Withdraw removes a pending job.
 	Withdraw(job string)
-	// AdoptSized records that a job occupies host, where it reserves size, as
-	// replay found it. It is recorded even if it does not fit.
+	// AdoptSized records that a job occupies host and reserves size, as found
+	// by replay. It records the run even if it doesn't fit.
 	AdoptSized(s task.Spec, host string, size infra.Resources)
-	// Release frees what a job occupies. With done, its run time and usage
-	// are learned from.
+	// Release frees what a job occupies. If done is set, its run time and
+	// usage are learned.
 	Release(now time.Time, job string, done bool)
-	// Killed records that the worker's guard killed a job's run for the
-	// memory that it used. Call it before Release.
+	// RecordOOMKill records that a job's run was killed for exceeding its
+	// memory. It must be called before Release.
 	RecordOOMKill(job string)
-	// Avoid keeps a job off a host that it failed on.
+	// Avoid keeps a job off a host on which it failed.
 	Avoid(job, host string)
-	// Observe takes in a host's usage.
+	// Observe records a host's usage.
 	Observe(u Usage)
 	// Plan returns at most limit actions for now.
 	Plan(now time.Time, limit int) []Action
 	// SetAllotment bounds what team may reserve in this shard.
 	SetAllotment(team string, allotment quota.Amount)
-	// TeamUsage is what team reserves in this shard and what its pending jobs
-	// ask for besides.
+	// TeamUsage returns what team reserves in this shard and what its pending
+	// jobs request in addition.
 	TeamUsage(team string) (used, pending infra.Resources)
-	// Capacity is what all hosts hold together.
+	// Capacity returns the total capacity of all hosts.
 	Capacity() infra.Resources
-	// Forecast foresees every event as far as this shard goes, by learned run
-	// times.
+	// Forecast returns a report on every event for this shard.
 	Forecast(now time.Time) []forecast.Report
-	// Why says why a job is pending or where it runs, for people.
+	// Explain returns, for users, why a job is pending or where it runs.
 	Explain(job string) string
-	// NeverFits reports whether no known host can ever hold the job, with
-	// the nearest host and what lacks.
+	// NeverFits reports whether the job doesn't fit on any known host, even an
+	// empty one, and names the host that comes closest and what it lacks.
 	NeverFits(s task.Spec) (reason string, never bool)
 }
--- a/placement/policy.go
+++ b/placement/policy.go
@@ -11,18 +11,19 @@
 	s.model.SetObjectives(o.ObjectivesMS, o.tailMargin())
 	s.explorer.Interval = o.exploreInterval()
 	for _, n := range s.order {
-		if n.watch != nil {
-			n.watch.SetOptions(s.watchOptions())
+		if n.monitor != nil {
+			n.monitor.SetOptions(s.monitorOptions())
 		}
 	}
-	// Headroom may have shrunk, so what fitted nowhere may fit now.
-	s.unfit = newEquivalence()
+	// A smaller headroom may let sizes fit that didn't before.
+	s.unfit = newUnfitCache()
 	s.setEvents(o)
 }
 
-// setEvents replaces the calendar and ranks the pending jobs by it.
+// setEvents replaces the calendar and requeues the pending jobs, whose latest
+// starts depend on it.
 func (s *Scheduler) setEvents(o Options) {
-	// Events that can't be read are refused by package settings before.
+	// Package settings has already rejected invalid events.
 	s.calendar, _ = forecast.NewCalendar(o.Events)
 	s.windows = make([]forecast.Window, len(s.calendar))
 	s.updateWindows(s.now)
--- a/placement/policy_change_test.go
+++ b/placement/policy_change_test.go
@@ -11,7 +11,7 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// starts counts the starts of one plan.
+// starts returns the number of starts in a plan.
 func starts(s *Scheduler, now time.Time) int {
 	count := 0
 	for _, a := range s.Plan(now, 1000) {
@@ -22,7 +22,7 @@
 	return count
 }
 
-func TestPolicyChangeIsInForceAndKeepsWhatWasLearned(t *testing.T) {
+func TestPolicyChangeTakesEffectAndKeepsEstimates(t *testing.T) {
 	o := Options{
 		Teams:        map[string]settings.Team{"routes": {MilliCPU: 32_000, Weight: 1}},
 		Colocation:   settings.Default().Colocation,
@@ -38,14 +38,14 @@
 		s.Release(now, spec.ID, true)
 		s.model.Learn("haggle", interference.Load{Batch: []interference.Share{{Class: "plan", CPUShare: 0.5}}}, 10)
 	}
-	learned := s.sizes.Size(batchSpec("x", 4, 1))
-	loud := s.model.MaxEffect("plan")
+	learned := s.estimator.Size(batchSpec("x", 4, 1))
+	maxEffect := s.model.MaxEffect("plan")
 	for i := range 20 {
 		s.Enqueue(now, batchSpec(fmt.Sprint("j-", i), 4, 1))
 	}
 	before := starts(s, now)
 	if learned.MilliCPU >= 4000 || before != int(32_000/learned.MilliCPU) {
-		t.Fatalf("learned %+v, %d starts under the first quota", learned, before)
+		t.Fatalf("learned size %+v, %d starts with the first quota", learned, before)
 	}
 
 	o.Teams = map[string]settings.Team{"routes": {MilliCPU: 8000, Weight: 1}}
@@ -66,19 +66,19 @@
 	// The margin keeps both excesses above zero.
 	o.Events, o.ObjectivesMS, o.TailMargin = nil, map[string]float64{"haggle": 10}, 5
 	s.SetPolicy(o)
-	if got := s.sizes.Size(batchSpec("x", 4, 1)); got != learned {
+	if got := s.estimator.Size(batchSpec("x", 4, 1)); got != learned {
 		t.Errorf("learned size %+v became %+v", learned, got)
 	}
-	if got := s.model.MaxEffect("plan"); got != loud {
-		t.Errorf("learned harm %f became %f", loud, got)
+	if got := s.model.MaxEffect("plan"); got != maxEffect {
+		t.Errorf("learned effect %f became %f", maxEffect, got)
 	}
 	raised := s.model.MeanExcess("haggle", interference.Load{})
 	o.ObjectivesMS = map[string]float64{"haggle": 20}
 	s.SetPolicy(o)
 	if again := s.model.MeanExcess("haggle", interference.Load{}); math.Abs(raised-again-math.Log(2)) > 1e-9 {
-		t.Errorf("half the objective: excess %f after %f", raised, again)
+		t.Errorf("excess %f with half the objective, %f with the whole one", raised, again)
 	}
 	if n := starts(s, now); n == 0 {
-		t.Error("nothing starts once quota and event are gone")
+		t.Error("no starts without quota and event")
 	}
 }
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// maxPreemptionHosts bounds the hosts searched for victims for one job.
+	// maxPreemptionHosts bounds the hosts examined for victims per job.
 	maxPreemptionHosts = 64
-	// evictionLimit is after how long an eviction that was asked for and
-	// not carried out is asked for again.
+	// evictionLimit is how long to wait for a requested eviction before it is
+	// requested again.
 	evictionLimit = 30 * time.Second
 )
 
-// preempt makes room for an urgent job that fits nowhere: it evicts batch,
-// least work lost first, no more than needed, within the budget. The job
-// starts once its victims are released.
+// preempt frees capacity for an urgent job that fits nowhere. It evicts batch
+// runs within the budget, those with the least work lost first. The job starts
+// once its victims are released.
 func (s *Scheduler) preempt(p *plan, j *pending, q *request) verdict {
 	if !q.spec.Urgent {
 		return noHostFits
@@ -28,7 +28,7 @@
 	if j.nominated != nil {
 		return waitsForVictims
 	}
-	n, victims := s.leastLoss(p, q)
+	n, victims := s.cheapestVictims(p, q)
 	if n == nil {
 		return noHostFits
 	}
@@ -39,38 +39,38 @@
 	return evicts
 }
 
-// evict asks for a run's eviction; the caller has checked the budget.
+// evict requests a run's eviction; the caller has checked the budget.
 func (s *Scheduler) evict(p *plan, r *run, reason string) {
 	if !s.budget.Take(p.now) {
-		panic("placement: eviction beyond the budget")
+		panic("placement: eviction exceeds the budget")
 	}
-	r.evicting = p.now
-	s.past.of(r.spec.ID).evictions++
+	r.evictionRequested = p.now
+	s.histories.of(r.spec.ID).evictions++
 	p.add(Action{Kind: Evict, Job: r.spec.ID, Host: r.node.host.Name, Reason: reason})
 }
 
-// leastLoss returns the host among a bounded sample where the least work is
-// lost, with the victims; nil if there is none within the budget.
-func (s *Scheduler) leastLoss(p *plan, q *request) (*node, []*run) {
-	most := min(p.room(), s.budget.Available(p.now))
-	if most <= 0 || len(s.order) == 0 {
+// cheapestVictims returns the host among a bounded sample where the least work
+// is lost, with the victims; nil if there is none within the budget.
+func (s *Scheduler) cheapestVictims(p *plan, q *request) (*node, []*run) {
+	maxVictims := min(p.remaining(), s.budget.Available(p.now))
+	if maxVictims <= 0 || len(s.order) == 0 {
 		return nil, nil
 	}
 	var chosen *node
 	var victims []*run
 	var least int64
 	start := s.random.IntN(len(s.order))
-	looked := 0
+	examined := 0
 	for i := range s.order {
 		n := s.order[(start+i)%len(s.order)]
-		if looked >= maxPreemptionHosts && chosen != nil {
+		if examined >= maxPreemptionHosts && chosen != nil {
 			break
 		}
 		if !q.mayRunOn(n) {
 			continue
 		}
-		looked++
-		found, loss := s.victims(p.now, q, n, most)
+		examined++
+		found, loss := s.victims(p.now, q, n, maxVictims)
 		if found != nil && (chosen == nil || loss < least) {
 			chosen, victims, least = n, found, loss
 		}
@@ -78,7 +78,7 @@
 	return chosen, victims
 }
 
-// mayRunOn asks the filters that no eviction can change.
+// mayRunOn applies the filters whose results evictions can't change.
 func (q *request) mayRunOn(n *node) bool {
 	return n.host.Unschedulable == "" &&
 		zoneFits(q.spec.Zones, n.host.Zone) &&
@@ -86,9 +86,9 @@
 		q.size.Fits(n.host.Capacity)
 }
 
-// victims returns up to most runs whose release makes the job fit on n, and
-// the work lost with them; nil if that is not enough.
-func (s *Scheduler) victims(now time.Time, q *request, n *node, most int) ([]*run, int64) {
+// victims returns up to maxVictims runs whose release makes the job fit on n,
+// and the work lost with them; nil if that isn't enough.
+func (s *Scheduler) victims(now time.Time, q *request, n *node, maxVictims int) ([]*run, int64) {
 	missing := q.size.Sub(n.free())
 	missing.MilliCPU += q.headroom(n.host.Capacity.MilliCPU)
 	candidates := s.evictable(now, n)
@@ -105,8 +105,8 @@
 	if !missing.Fits(infra.Resources{}) {
 		return nil, 0
 	}
-	chosen = spare(chosen, missing)
-	if len(chosen) == 0 || len(chosen) > most {
+	chosen = spareUnneeded(chosen, missing)
+	if len(chosen) == 0 || len(chosen) > maxVictims {
 		return nil, 0
 	}
 	var loss int64
@@ -116,16 +116,16 @@
 	return chosen, loss
 }
 
-// helps reports whether size frees something that is missing.
+// helps reports whether size frees some of what is missing.
 func helps(size, missing infra.Resources) bool {
 	return missing.MilliCPU > 0 && size.MilliCPU > 0 ||
 		missing.MemoryMB > 0 && size.MemoryMB > 0 ||
 		missing.Accelerators > 0 && size.Accelerators > 0
 }
 
-// spare drops victims that turned out not to be needed, the greatest loss
-// first. What is missing is negative where more is freed than needed.
-func spare(chosen []*run, missing infra.Resources) []*run {
+// spareUnneeded drops victims that aren't needed, the largest loss first.
+// Resources of which more than needed is freed are negative in missing.
+func spareUnneeded(chosen []*run, missing infra.Resources) []*run {
 	for i := len(chosen) - 1; i >= 0; i-- {
 		without := missing.Add(chosen[i].size)
 		if without.Fits(infra.Resources{}) {
@@ -137,33 +137,34 @@
 }
 
 // evictable returns the batch runs of n that may be evicted, those with the
-// least work to lose first. Runs that were evicted often come last.
+// least work to lose first.
 func (s *Scheduler) evictable(now time.Time, n *node) []*run {
-	s.victimsOf = s.victimsOf[:0]
+	s.victimBuffer = s.victimBuffer[:0]
 	for _, r := range n.runs {
 		if r.spec.QoS == task.LatencyCritical || r.spec.Urgent || r.isEvicting(now) || s.isProtected(r) {
 			continue
 		}
-		s.victimsOf = append(s.victimsOf, r)
+		s.victimBuffer = append(s.victimBuffer, r)
 	}
-	slices.SortFunc(s.victimsOf, func(a, b *run) int {
+	slices.SortFunc(s.victimBuffer, func(a, b *run) int {
 		if a.doneMS != b.doneMS {
 			return cmp.Compare(a.doneMS, b.doneMS)
 		}
 		return strings.Compare(a.spec.ID, b.spec.ID)
 	})
-	return s.victimsOf
+	return s.victimBuffer
 }
 
-// maxEvictions is after how many evictions a job is protected.
+// maxEvictions is the number of evictions after which a job is protected.
 const maxEvictions = 2
 
-// isProtected keeps a job that was evicted often from starving.
+// isProtected reports whether a run has been evicted so often that it must not
+// be evicted again.
 func (s *Scheduler) isProtected(r *run) bool {
-	return s.past.evictions(r.spec.ID) >= maxEvictions
+	return s.histories.evictions(r.spec.ID) >= maxEvictions
 }
 
-// isEvicting reports whether the run's eviction is under way.
+// isEvicting reports whether the run's eviction is in flight.
 func (r *run) isEvicting(now time.Time) bool {
-	return !r.evicting.IsZero() && now.Sub(r.evicting) < evictionLimit
+	return !r.evictionRequested.IsZero() && now.Sub(r.evictionRequested) < evictionLimit
 }
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// queue holds the pending jobs in groups of alike ones.
+// queue holds the pending jobs in groups of jobs with the same key.
 type queue struct {
 	jobs   map[string]*pending
 	groups map[groupKey]*group
@@ -12,7 +12,7 @@
 	return queue{jobs: map[string]*pending{}, groups: map[groupKey]*group{}}
 }
 
-// add puts in a job that is not in.
+// add adds a job that isn't in the queue.
 func (q *queue) add(p *pending) {
 	key := keyOf(p)
 	g, known := q.groups[key]
@@ -24,7 +24,7 @@
 	q.jobs[p.spec.ID] = p
 }
 
-// remove takes out a job that is in.
+// remove removes a job that is in the queue.
 func (q *queue) remove(p *pending) {
 	g := p.group
 	heap.Remove(g, p.slot)
--- a/placement/rank.go
+++ b/placement/rank.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// dueWindow is how little slack a job with a due time must have to go before
-// fair sharing; with more it waits its turn.
+// dueWindow is the time before its latest start from which a job takes
+// precedence over fair sharing.
 const dueWindow = time.Hour
 
-// tier is the first thing that pending groups are ordered by.
+// tier is the first criterion in the order of groups.
 type tier uint8
 
 const (
@@ -18,8 +18,8 @@
 	tierFair
 )
 
-// rank orders groups: by tier, then urgent by submission, due by latest
-// start, and the rest by their team's share, then submission.
+// rank orders groups: by tier; then urgent ones by submission, due ones by
+// latest start, and the rest by their team's share and submission.
 type rank struct {
 	tier      tier
 	key       float64
@@ -47,7 +47,7 @@
 	switch {
 	case g.key.urgent:
 		r.tier = tierUrgent
-	case head.pressed(now):
+	case head.isDueSoon(now):
 		r.tier = tierDue
 		r.key = float64(head.latestStart)
 	default:
@@ -56,23 +56,23 @@
 	return r
 }
 
-// turns is a heap of the groups that are still to be tried in one plan.
-type turns []*group
+// groupHeap holds the groups that remain to be tried in a plan.
+type groupHeap []*group
 
 // Len implements heap.Interface.
-func (t turns) Len() int { return len(t) }
+func (t groupHeap) Len() int { return len(t) }
 
 // Less implements heap.Interface.
-func (t turns) Less(i, j int) bool { return t[i].rank.before(t[j].rank) }
+func (t groupHeap) Less(i, j int) bool { return t[i].rank.before(t[j].rank) }
 
 // Swap implements heap.Interface.
-func (t turns) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t groupHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
 // Push implements heap.Interface.
-func (t *turns) Push(x any) { *t = append(*t, x.(*group)) }
+func (t *groupHeap) Push(x any) { *t = append(*t, x.(*group)) }
 
 // Pop implements heap.Interface.
-func (t *turns) Pop() any {
+func (t *groupHeap) Pop() any {
 	last := len(*t) - 1
 	g := (*t)[last]
 	(*t)[last] = nil
@@ -80,31 +80,32 @@
 	return g
 }
 
-// drop takes out the first group, whose turn is over.
-func (t *turns) drop() { heap.Pop(t) }
+// dropFirst removes the first group.
+func (t *groupHeap) dropFirst() { heap.Pop(t) }
 
-// newTurns ranks every group. It reuses the last plan's memory.
-func (s *Scheduler) newTurns(now time.Time) *turns {
-	s.turns = s.turns[:0]
+// rankGroups returns all groups in order of rank. It reuses the memory of the
+// last plan.
+func (s *Scheduler) rankGroups(now time.Time) *groupHeap {
+	s.groupHeap = s.groupHeap[:0]
 	for _, g := range s.queue.groups {
 		g.rank = s.rankOf(now, g)
-		s.turns = append(s.turns, g)
+		s.groupHeap = append(s.groupHeap, g)
 	}
-	heap.Init(&s.turns)
-	return &s.turns
+	heap.Init(&s.groupHeap)
+	return &s.groupHeap
 }
 
-// next returns the first group by rank, ranked anew since ranks only fall
-// back while a plan is made; nil when none is left.
-func (s *Scheduler) next(now time.Time, t *turns) *group {
-	for len(*t) > 0 {
-		g := (*t)[0]
+// next returns the first group by rank; nil if none is left. Ranks are updated
+// lazily, since a group's rank can only fall while a plan is made.
+func (s *Scheduler) next(now time.Time, groups *groupHeap) *group {
+	for len(*groups) > 0 {
+		g := (*groups)[0]
 		fresh := s.rankOf(now, g)
 		if fresh == g.rank {
 			return g
 		}
 		g.rank = fresh
-		heap.Fix(t, 0)
+		heap.Fix(groups, 0)
 	}
 	return nil
 }
--- a/placement/request.go
+++ b/placement/request.go
@@ -7,23 +7,25 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// request is what a pending job asks of a host, with sizes as estimated now.
+// request holds the requirements of a pending job with current estimates.
 type request struct {
 	spec task.Spec
 	size infra.Resources
-	// reserve is the share of processors that batch must leave free.
-	reserve float64
-	avoid   map[string]bool
-	// due is set when there is little slack until the job must start.
-	due bool
-	// own is what the node nominated holds for this job.
+	// headroomShare is the share of a host's processors that a batch job must
+	// leave free.
+	headroomShare float64
+	avoid         map[string]bool
+	// dueSoon is set if the job's latest start is near.
+	dueSoon bool
+	// held is what is reserved for this job on the node nominated.
 	nominated *node
-	own       infra.Resources
-	// mostGathered is how many of its class may be gathered on one host.
-	mostGathered int
+	held      infra.Resources
+	// maxConsolidated is how many instances of the job's class may be
+	// consolidated on one host.
+	maxConsolidated int
 }
 
-// filter asks the filters in their order.
+// filter applies the filters in the order of Status.
 func (q *request) filter(n *node) Status {
 	switch {
 	case n.host.Unschedulable != "":
@@ -36,11 +38,11 @@
 	return q.filterResources(n)
 }
 
-// filterResources is the hard limit: reservations never exceed capacity.
+// filterResources enforces that reservations never exceed capacity.
 func (q *request) filterResources(n *node) Status {
 	free := n.free()
 	if n == q.nominated {
-		free = free.Add(q.own)
+		free = free.Add(q.held)
 	}
 	switch {
 	case q.size.Accelerators > free.Accelerators:
@@ -54,15 +56,16 @@
 	}
 }
 
-// headroom is what the job must leave free on a host with capacity.
+// headroom returns the processors that the job must leave free on a host with
+// the given capacity, in thousandths of a core.
 func (q *request) headroom(capacity int64) int64 {
 	if q.spec.QoS == task.LatencyCritical {
 		return 0
 	}
-	return int64(float64(capacity) * q.reserve)
+	return int64(float64(capacity) * q.headroomShare)
 }
 
-// zoneFits reports whether zones, empty for any, allows zone.
+// zoneFits reports whether zones allows zone; no zones allow any.
 func zoneFits(zones []string, zone string) bool {
 	return len(zones) == 0 || slices.Contains(zones, zone)
 }
--- a/placement/run.go
+++ b/placement/run.go
@@ -7,66 +7,66 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// fullSpeed is the percentage of a run that is not throttled.
-const fullSpeed = 100
+// fullCPU is the CPU limit, in percent, of a run that isn't throttled.
+const fullCPU = 100
 
 // run is a job that occupies a host.
 type run struct {
 	spec task.Spec
 	node *node
-	// size is what was reserved; it does not change during the run.
+	// size is the reservation; it doesn't change during the run.
 	size infra.Resources
-	// peak is the most that it was seen to use since it was last learned.
+	// peak is the largest reported usage since it was last learned.
 	peak infra.Resources
-	// used is what it was last seen to use; it lags.
+	// used is the last reported usage, which is a lag old.
 	used infra.Resources
-	// reports counts reports since peak was last learned.
+	// reports counts the reports since peak was last learned.
 	reports int32
-	// percent is the share of its processors that it has; 100 in full.
-	percent int32
-	// before is the percentage that it had until changed.
-	before  int32
-	changed time.Time
-	// doneMS is the work that it has done.
+	// cpuLimit is the share of its processors that the run may use, in
+	// percent.
+	cpuLimit int32
+	// previousLimit was the limit until limitChanged.
+	previousLimit int32
+	limitChanged  time.Time
+	// doneMS is the work done, in milliseconds.
 	doneMS int64
-	// started is zero when the run was adopted.
+	// started is zero if the run was adopted.
 	started time.Time
-	// resumed is set when it went on from an earlier run, so that its own
-	// time is not the job's.
+	// resumed is set if the run continues an earlier one, so that its own run
+	// time isn't the job's.
 	resumed bool
-	// requeue is set when the job is to be queued again on release.
+	// requeue is set if the job is to be queued again on release.
 	requeue bool
-	// evicting is when its eviction was asked for; zero if it was not.
-	evicting time.Time
+	// evictionRequested is when the eviction was requested; zero if it wasn't.
+	evictionRequested time.Time
 }
 
-// milliCPU is what it was last seen to use, or reserves if it was not seen
-// yet.
+// milliCPU returns the last reported usage, or the reservation at the CPU
+// limit if there is none.
 func (r *run) milliCPU() int64 {
 	if r.used.MilliCPU > 0 {
 		return r.used.MilliCPU
 	}
-	return r.size.MilliCPU * int64(r.percent) / fullSpeed
+	return r.size.MilliCPU * int64(r.cpuLimit) / fullCPU
 }
 
-// fullMilliCPU is what it would use if it were not throttled.
+// fullMilliCPU returns the expected usage without a throttle.
 func (r *run) fullMilliCPU() int64 {
 	if r.used.MilliCPU > 0 {
-		return r.used.MilliCPU * fullSpeed / int64(max(r.percent, 1))
+		return r.used.MilliCPU * fullCPU / int64(max(r.cpuLimit, 1))
 	}
 	return r.size.MilliCPU
 }
 
-// percentAt is the percentage that it had at a time.
-func (r *run) percentAt(when time.Time) int32 {
-	if when.Before(r.changed) {
-		return r.before
+// cpuLimitAt returns the CPU limit at the given time.
+func (r *run) cpuLimitAt(when time.Time) int32 {
+	if when.Before(r.limitChanged) {
+		return r.previousLimit
 	}
-	return r.percent
+	return r.cpuLimit
 }
 
-// throttle changes its percentage.
-func (r *run) throttle(now time.Time, percent int32) {
-	r.before, r.changed = r.percent, now
-	r.percent = percent
+func (r *run) setCPULimit(now time.Time, percent int32) {
+	r.previousLimit, r.limitChanged = r.cpuLimit, now
+	r.cpuLimit = percent
 }
--- a/placement/scheduler_test.go
+++ b/placement/scheduler_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// requireWithinCapacity is the promise that no host is given more than it
-// holds, checked from the runs themselves.
+// requireWithinCapacity checks that the runs of each host fit its capacity and
+// add up to its reservation.
 func requireWithinCapacity(t testing.TB, s *Scheduler) {
 	t.Helper()
 	for _, n := range s.order {
@@ -41,7 +41,7 @@
 			sum = sum.Add(r.size)
 		}
 		if sum != n.reserved {
-			t.Fatalf("%s: reserved %+v, runs sum up to %+v", n.host.Name, n.reserved, sum)
+			t.Fatalf("%s: reserved %+v, sum of runs %+v", n.host.Name, n.reserved, sum)
 		}
 		if !sum.Fits(n.host.Capacity) {
 			t.Fatalf("%s: %+v reserved of %+v", n.host.Name, sum, n.host.Capacity)
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestRandomCallsKeepCapacity makes long random sequences of calls and checks
-// after each plan that no host holds more than it can, that no job is in two
-// places, and that whatever fits somewhere is placed.
+// TestRandomCallsKeepCapacity makes random sequences of calls and checks after
+// each plan that no host exceeds its capacity and no job occupies two hosts,
+// and at the end that all jobs that fit are placed.
 func TestRandomCallsKeepCapacity(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { randomCalls(t, seed) })
@@ -117,23 +117,23 @@
 		for _, r := range n.runs {
 			_, waiting := s.queue.jobs[r.spec.ID]
 			if seen[r.spec.ID] || waiting || s.runs[r.spec.ID] != r {
-				t.Fatalf("%s is in two places", r.spec.ID)
+				t.Fatalf("%s occupies two hosts or is pending as well", r.spec.ID)
 			}
 			seen[r.spec.ID] = true
 		}
 	}
 	if len(seen) != len(s.runs) {
-		t.Fatalf("%d runs on hosts, %d known", len(seen), len(s.runs))
+		t.Fatalf("%d runs on hosts, %d in Scheduler.runs", len(seen), len(s.runs))
 	}
 }
 
-// requireNothingFits is the exactness of the sampled search.
+// requireNothingFits checks that no pending job fits on any host.
 func requireNothingFits(t *testing.T, s *Scheduler) {
 	t.Helper()
 	for id, j := range s.queue.jobs {
 		q := s.request(s.now, j)
 		if counts := s.countRejections(&q); counts[Feasible] > 0 {
-			t.Fatalf("%s fits on %d hosts and was left pending", id, counts[Feasible])
+			t.Fatalf("%s is pending but fits on %d hosts", id, counts[Feasible])
 		}
 	}
 }
@@ -155,13 +155,13 @@
 	}
 	for range 3 {
 		if !slices.Equal(first, plan()) {
-			t.Fatal("the same calls gave another plan")
+			t.Fatal("plans of the same calls differ")
 		}
 	}
 }
 
-// TestExactSearchFindsTheOnlyHost hides the one host that fits among many of
-// the same index cell that do not, beyond the reach of the sample.
+// TestExactSearchFindsTheOnlyHost checks that the only host that fits is found
+// among many in the same index cell, beyond the sample.
 func TestExactSearchFindsTheOnlyHost(t *testing.T) {
 	for seed := range uint64(10) {
 		s := New(Options{Seed: seed})
--- a/placement/score_low_impact.go
+++ b/placement/score_low_impact.go
@@ -1,16 +1,17 @@
 package placement
 
-// quietBelow is the slowdown, for a class that fills a host, below which it is
-// counted as a quiet neighbour.
-const quietBelow = 0.5
+// lowImpactBelow is the effect of a class that uses a whole host below which
+// it counts as a low-impact class.
+const lowImpactBelow = 0.5
 
-// quiet is 1 for a quiet class on a host without latency-critical work, else
-// 0: such hosts are kept for the classes that no service should be beside.
-func (s *Scheduler) quiet(q *request, n *node) float64 {
+// lowImpactPenalty returns 1 for a low-impact class on a host without
+// latency-critical runs, else 0. Such hosts are left to the classes that no
+// service should share a host with.
+func (s *Scheduler) lowImpactPenalty(q *request, n *node) float64 {
 	if len(s.options.ObjectivesMS) == 0 || n.hasCritical() {
 		return 0
 	}
-	if s.model.MaxEffect(q.spec.Class) >= quietBelow {
+	if s.model.MaxEffect(q.spec.Class) >= lowImpactBelow {
 		return 0
 	}
 	return 1
--- a/placement/score_packing.go
+++ b/placement/score_packing.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// packing prefers hosts that the job fills up, and those on which processors
-// and memory run out together.
+// packing prefers hosts that the job fills up, and those on which free
+// processors and memory stay balanced.
 func packing(q *request, n *node) float64 {
 	left := n.free().Sub(q.size)
 	cpu := ratio(left.MilliCPU, n.host.Capacity.MilliCPU)
--- a/placement/score_spread.go
+++ b/placement/score_spread.go
@@ -1,7 +1,6 @@
 package placement
 
-// spreadKey counts a class's runs in a rack; with no rack, in a zone; with no
-// zone, in all.
+// spreadKey identifies a rack; without rack a zone; without zone all hosts.
 type spreadKey struct {
 	class string
 	zone  string
@@ -32,15 +31,16 @@
 	return 1 - crowding + 0.1*empty
 }
 
-// rackHalf is the number of runs in a rack at which its score is halved.
+// rackHalf is the number of runs in a rack at which the rack's term is one
+// half.
 const rackHalf = 8
 
-// saturate rises from 0 to 1; it is a half at half.
+// saturate rises from 0 to 1 with count; it is one half at half.
 func saturate(count, half int) float64 {
 	return float64(count) / float64(count+half)
 }
 
-// count adds by to the counts of a run's domains.
+// count adds by to the counts of a run's failure domains.
 func (d *spread) count(class string, h Host, by int) {
 	d.add(spreadKey{class: class}, by)
 	d.add(spreadKey{class: class, zone: h.Zone}, by)
--- a/placement/script_test.go
+++ b/placement/script_test.go
@@ -13,14 +13,13 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// script drives a Scheduler by the commands of a file in testdata.
+// script runs the commands of a file in testdata on a Scheduler.
 type script struct {
 	s   *Scheduler
 	now time.Time
 	t   *testing.T
 }
 
-// scriptStart is when each script begins.
 var scriptStart = time.Date(2026, 6, 1, 5, 0, 0, 0, time.UTC)
 
 func TestScripts(t *testing.T) {
--- a/placement/shapes.go
+++ b/placement/shapes.go
@@ -2,21 +2,22 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// shape is a kind of host: those of one shape hold the same when empty.
+// shape is the zone and capacity of a host.
 type shape struct {
 	zone     string
 	capacity infra.Resources
 }
 
-// shapes counts the known hosts by shape, so that a job that can never run is
-// told so without a look at each host.
+// shapes counts the known hosts by shape, so that NeverFits doesn't examine
+// each host.
 type shapes struct {
 	hosts map[shape]int
 }
 
 func newShapes() shapes { return shapes{hosts: map[shape]int{}} }
 
-// count adds by hosts like h. Of a host that was never set nothing is known.
+// count adds by to the number of hosts like h. Hosts that were never set are
+// not counted.
 func (k *shapes) count(h Host, by int) {
 	if h.Unschedulable == unknownHost {
 		return
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -14,35 +14,37 @@
 )
 
 const (
-	fakeHosts   = 12
-	fakeCores   = 64
-	fakeClasses = 5
-	fakeServing = 8
-	fakeSave    = 60
+	simHosts          = 12
+	simCores          = 64
+	simClasses        = 5
+	simServing        = 8
+	checkpointSeconds = 60
 )
 
-// scenario is what a trial of colocation is made under.
+// scenario holds the parameters of a colocation simulation.
 type scenario struct {
 	name string
-	// table seeds the hidden slowdowns, arrivals and noise.
-	table uint64
-	// lag is the true lag of reports; 5 s is what the Scheduler is told.
+	// seed determines the true slowdowns, arrivals and noise.
+	seed uint64
+	// lag is the actual delay of reports, in seconds; the Scheduler is
+	// configured with 5 s.
 	lag int
-	// seconds is how long it takes.
+	// seconds is the simulated time.
 	seconds int
-	// serving is on how many hosts the services run; 0 for fakeServing.
+	// serving is the number of hosts with services; 0 means simServing.
 	serving int
-	// declared is what is declared of the true sizes, as a factor.
-	declared float64
+	// declaredFactor is the ratio of declared to true sizes.
+	declaredFactor float64
 }
 
-func (sc scenario) hostsServing() int { return cmp.Or(sc.serving, fakeServing) }
+func (sc scenario) hostsServing() int { return cmp.Or(sc.serving, simServing) }
 
-// separated is on how many hosts separation has the services.
-func (sc scenario) separated() int { return sc.hostsServing() / 2 }
+// hostsSeparated returns the number of hosts reserved for services under
+// separation.
+func (sc scenario) hostsSeparated() int { return sc.hostsServing() / 2 }
 
-// fakeTask is a batch job in the fake, with its true size.
-type fakeTask struct {
+// simTask is a simulated batch job with its true size.
+type simTask struct {
 	spec    task.Spec
 	class   int
 	cores   float64
@@ -52,30 +54,31 @@
 	saved   float64
 	percent float64
 	host    int
-	// after is the second from which it may run again after a kill.
-	after int
+	// notBefore is the second from which it may run again after an
+	// out-of-memory kill.
+	notBefore int
 }
 
-// fakeHost holds the tasks of a host and how its services fared.
-type fakeHost struct {
-	tasks []*fakeTask
+// simHost is a simulated host.
+type simHost struct {
+	tasks []*simTask
 	// instances counts the instances of each service.
 	instances [2]int
-	// past holds the reports that are still under way.
-	past []Usage
+	// reports holds reports that haven't been delivered yet.
+	reports []Usage
 }
 
-// total counts the instances on a host.
-func (h *fakeHost) total() int64 { return int64(h.instances[0] + h.instances[1]) }
+// total returns the number of service instances on the host.
+func (h *simHost) total() int64 { return int64(h.instances[0] + h.instances[1]) }
 
-// fakeMove is an instance of a service that moves.
-type fakeMove struct {
+// simMove is a service instance that is being moved.
+type simMove struct {
 	service int
 	host    int
 	until   int
 }
 
-// score is what came out of a trial.
+// score holds the results of a simulation.
 type score struct {
 	tails     []float64
 	work      float64
@@ -85,121 +88,123 @@
 	moved     int
 }
 
-// fake is a handful of hosts with a hidden table of slowdowns.
-type fake struct {
+// simulation simulates a few hosts with true slowdowns that the policies don't
+// know.
+type simulation struct {
 	scenario
-	rng     *rand.Rand
-	hurts   [2][fakeClasses]float64
-	hosts   [fakeHosts]fakeHost
-	waiting []*fakeTask
-	tasks   map[string]*fakeTask
-	score   score
-	next    int
-	// moves are under way; away counts them by service.
-	moves []fakeMove
-	away  [2]int
-	moved int
+	rng       *rand.Rand
+	slowdowns [2][simClasses]float64
+	hosts     [simHosts]simHost
+	waiting   []*simTask
+	tasks     map[string]*simTask
+	score     score
+	next      int
+	// moves are in flight; moving counts them by service.
+	moves  []simMove
+	moving [2]int
+	moved  int
 }
 
-func newFake(sc scenario, separate bool) *fake {
-	f := &fake{scenario: sc, rng: rand.New(rand.NewPCG(sc.table, 1)), tasks: map[string]*fakeTask{}}
-	for service := range f.hurts {
-		for class := range f.hurts[service] {
-			// Few classes hurt much, as the cube of a uniform.
-			f.hurts[service][class] = 3 * math.Pow(f.rng.Float64(), 3)
+func newSimulation(sc scenario, separate bool) *simulation {
+	sim := &simulation{scenario: sc, rng: rand.New(rand.NewPCG(sc.seed, 1)), tasks: map[string]*simTask{}}
+	for service := range sim.slowdowns {
+		for class := range sim.slowdowns[service] {
+			// The cube of a uniform value makes few classes have a large
+			// effect.
+			sim.slowdowns[service][class] = 3 * math.Pow(sim.rng.Float64(), 3)
 		}
 	}
-	for i := range f.hosts {
+	for i := range sim.hosts {
 		switch {
-		case separate && i < sc.separated():
-			f.hosts[i].instances = [2]int{2, 2}
+		case separate && i < sc.hostsSeparated():
+			sim.hosts[i].instances = [2]int{2, 2}
 		case !separate && i < sc.hostsServing():
-			f.hosts[i].instances = [2]int{1, 1}
+			sim.hosts[i].instances = [2]int{1, 1}
 		}
 	}
-	return f
+	return sim
 }
 
-// free is what is left of a host by declared sizes.
-func (f *fake) free(host int) infra.Resources {
-	left := infra.Resources{MilliCPU: fakeCores * 1000, MemoryMB: 250_000}
-	left.MilliCPU -= f.hosts[host].total() * 8000
-	left.MemoryMB -= f.hosts[host].total() * 16_000
-	for _, t := range f.hosts[host].tasks {
+// free returns what is left of a host by declared sizes.
+func (sim *simulation) free(host int) infra.Resources {
+	left := infra.Resources{MilliCPU: simCores * 1000, MemoryMB: 250_000}
+	left.MilliCPU -= sim.hosts[host].total() * 8000
+	left.MemoryMB -= sim.hosts[host].total() * 16_000
+	for _, t := range sim.hosts[host].tasks {
 		left = left.Sub(t.spec.Resources)
 	}
 	return left
 }
 
-// arrive adds the jobs of one second: a wave of ten minutes, and each class
-// in its own time.
-func (f *fake) arrive(second int) []*fakeTask {
+// arrive returns the jobs of one second. The arrival rate varies over ten
+// minutes, and each class has periods in which it dominates.
+func (sim *simulation) arrive(second int) []*simTask {
 	wave := 1 + 0.7*math.Sin(float64(second)/600*2*math.Pi)
-	var arrived []*fakeTask
-	for expected := 0.45 * wave; expected > f.rng.Float64(); expected-- {
-		class := f.rng.IntN(fakeClasses)
-		if f.rng.IntN(2) == 0 {
-			class = second / 400 % fakeClasses
+	var arrived []*simTask
+	for expected := 0.45 * wave; expected > sim.rng.Float64(); expected-- {
+		class := sim.rng.IntN(simClasses)
+		if sim.rng.IntN(2) == 0 {
+			class = second / 400 % simClasses
 		}
-		t := &fakeTask{
-			class: class, cores: 2 + float64(class) + 4*f.rng.Float64(), host: -1, percent: 1,
-			memory: 4000 + 12_000*f.rng.Float64(), work: 60 + 240*f.rng.Float64(),
+		t := &simTask{
+			class: class, cores: 2 + float64(class) + 4*sim.rng.Float64(), host: -1, percent: 1,
+			memory: 4000 + 12_000*sim.rng.Float64(), work: 60 + 240*sim.rng.Float64(),
 		}
-		f.next++
+		sim.next++
 		t.spec = task.Spec{
-			ID: fmt.Sprint("job-", f.next), Team: "routes", Class: fmt.Sprint("class-", class), QoS: task.Batch,
+			ID: fmt.Sprint("job-", sim.next), Team: "routes", Class: fmt.Sprint("class-", class), QoS: task.Batch,
 			RunMS: int64(1000 * t.work),
 			Resources: infra.Resources{
-				MilliCPU: int64(1000 * t.cores * f.declared), MemoryMB: int64(t.memory * f.declared),
+				MilliCPU: int64(1000 * t.cores * sim.declaredFactor), MemoryMB: int64(t.memory * sim.declaredFactor),
 			},
 			SubmittedUnixMS: epoch.Add(time.Duration(second) * time.Second).UnixMilli(),
 		}
-		// Nobody declares more than a host holds for batch.
+		// Declared sizes never exceed what a host holds for batch jobs.
 		t.spec.Resources.MilliCPU = min(t.spec.Resources.MilliCPU, 40_000)
 		t.spec.Resources.MemoryMB = min(t.spec.Resources.MemoryMB, 100_000)
-		f.tasks[t.spec.ID] = t
+		sim.tasks[t.spec.ID] = t
 		arrived = append(arrived, t)
 	}
 	return arrived
 }
 
-func (f *fake) put(t *fakeTask, host int) {
+func (sim *simulation) place(t *simTask, host int) {
 	t.host = host
-	f.hosts[host].tasks = append(f.hosts[host].tasks, t)
+	sim.hosts[host].tasks = append(sim.hosts[host].tasks, t)
 }
 
-func (f *fake) take(t *fakeTask) {
-	h := &f.hosts[t.host]
-	h.tasks = slices.DeleteFunc(h.tasks, func(o *fakeTask) bool { return o == t })
+func (sim *simulation) remove(t *simTask) {
+	h := &sim.hosts[t.host]
+	h.tasks = slices.DeleteFunc(h.tasks, func(o *simTask) bool { return o == t })
 	t.host = -1
 }
 
-// stop ends a run before it is done; what was done since it was saved is lost.
-func (f *fake) stop(t *fakeTask) {
-	f.score.lost += (t.done - t.saved) * t.cores
+// stop ends a run early; its work since the last checkpoint is lost.
+func (sim *simulation) stop(t *simTask) {
+	sim.score.lost += (t.done - t.saved) * t.cores
 	t.done, t.percent = t.saved, 1
-	f.take(t)
+	sim.remove(t)
 }
 
-// second lets a second pass on a host and returns the tasks that ended and
-// those that the guard killed for memory.
-func (f *fake) second(host, second int) (ended, killed []*fakeTask) {
-	h := &f.hosts[host]
+// advance simulates one second on a host and returns the tasks that ended and
+// those killed for exceeding the memory.
+func (sim *simulation) advance(host, second int) (ended, killed []*simTask) {
+	h := &sim.hosts[host]
 	used := 8 * float64(h.total()) * 0.7
 	memory := 16_000 * float64(h.total())
 	for _, t := range h.tasks {
 		used += t.cores * t.percent
 		memory += t.memory
 	}
-	speed := min(1, fakeCores/max(used, 1))
-	usage := Usage{Host: testHost(host).Name, LatencyMS: f.latencies(h, second, max(used/fakeCores-1, 0))}
+	speed := min(1, simCores/max(used, 1))
+	usage := Usage{Host: testHost(host).Name, LatencyMS: sim.latencies(h, second, max(used/simCores-1, 0))}
 	for _, t := range h.tasks {
 		usage.Jobs = append(usage.Jobs, JobUsage{
 			Job: t.spec.ID, DoneMS: int64(1000 * t.done),
 			Used: infra.Resources{MilliCPU: int64(1000 * t.cores * t.percent * speed), MemoryMB: int64(t.memory)},
 		})
 		t.done += t.percent * speed
-		if t.done-t.saved >= fakeSave {
+		if t.done-t.saved >= checkpointSeconds {
 			t.saved = t.done
 		}
 		if memory > 250_000 {
@@ -209,37 +214,37 @@
 			ended = append(ended, t)
 		}
 	}
-	h.past = append(h.past, usage)
+	h.reports = append(h.reports, usage)
 	return ended, killed
 }
 
-// latencies draws the latencies of a host's services.
-func (f *fake) latencies(h *fakeHost, second int, overload float64) map[string]float64 {
+// latencies returns random latencies of the host's services.
+func (sim *simulation) latencies(h *simHost, second int, overload float64) map[string]float64 {
 	latency := map[string]float64{}
-	for service, hurts := range f.hurts {
+	for service, slowdowns := range sim.slowdowns {
 		if h.instances[service] == 0 {
 			continue
 		}
 		load := 0.7 + 0.3*math.Sin(float64(second)/900+float64(service))
-		// While an instance moves the others carry its load.
-		load *= float64(f.hostsServing()) / float64(f.hostsServing()-f.away[service])
-		log := -0.8 + 0.3*load + 2*overload + 0.08*f.rng.NormFloat64()
+		// While an instance is moved the others carry its load.
+		load *= float64(sim.hostsServing()) / float64(sim.hostsServing()-sim.moving[service])
+		log := -0.8 + 0.3*load + 2*overload + 0.08*sim.rng.NormFloat64()
 		for _, t := range h.tasks {
-			log += hurts[t.class] * t.cores * t.percent / fakeCores
+			log += slowdowns[t.class] * t.cores * t.percent / simCores
 		}
-		latency[fakeService(service)] = 100 * math.Exp(log)
-		f.score.tails = append(f.score.tails, math.Exp(log))
+		latency[simService(service)] = 100 * math.Exp(log)
+		sim.score.tails = append(sim.score.tails, math.Exp(log))
 	}
 	return latency
 }
 
-func fakeService(i int) string { return fmt.Sprint("service-", i) }
+func simService(i int) string { return fmt.Sprint("service-", i) }
 
-// fakeOptions is what the Scheduler is told of the fake.
-func fakeOptions() Options {
+// simOptions returns the options of the simulated Scheduler.
+func simOptions() Options {
 	return Options{
 		Seed:         1,
 		Colocation:   settings.Default().Colocation,
-		ObjectivesMS: map[string]float64{fakeService(0): 100, fakeService(1): 100},
+		ObjectivesMS: map[string]float64{simService(0): 100, simService(1): 100},
 	}
 }
--- a/placement/status.go
+++ b/placement/status.go
@@ -1,10 +1,9 @@
 package placement
 
-// Status says whether a filter lets a host through, and if not which filter
-// turned it down. It is a value: a host that does not fit is no error.
+// Status is the result of filtering a host.
 type Status uint8
 
-// The results of the filters, in the order in which they are asked.
+// The results of the filters, in the order in which they are applied.
 const (
 	Feasible Status = iota
 	RejectedUnschedulable
@@ -16,7 +15,7 @@
 	statuses
 )
 
-// String returns the status for people.
+// String returns the status as shown to users.
 func (s Status) String() string {
 	switch s {
 	case Feasible:
--- a/placement/teams.go
+++ b/placement/teams.go
@@ -6,7 +6,7 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// team is what one team uses of the shard and may use.
+// team holds a team's usage and limits in the shard.
 type team struct {
 	weight float64
 	used   infra.Resources
@@ -26,7 +26,7 @@
 	return t
 }
 
-// configure replaces weights and quotas; what is used and allotted stays.
+// configure replaces weights and quotas; usage and allotments are kept.
 func (t *teams) configure(configured map[string]settings.Team) {
 	for _, entry := range t.byName {
 		entry.weight, entry.quota = 1, quota.NewAmount(0, 0)
@@ -49,7 +49,7 @@
 	return entry
 }
 
-// share is the team's dominant share of capacity over its weight.
+// share returns the team's dominant share of capacity divided by its weight.
 func (t *teams) share(name string, capacity infra.Resources) float64 {
 	entry := t.get(name)
 	dominant := max(
@@ -60,14 +60,14 @@
 	return dominant / entry.weight
 }
 
-// allows reports whether the team's quota and its part of it here leave room
-// for more.
+// allows reports whether the team's quota and allotment allow it to reserve
+// more.
 func (t *teams) allows(name string, more infra.Resources) bool {
 	entry := t.get(name)
 	return entry.quota.Allows(entry.used, more) && entry.allotment.Allows(entry.used, more)
 }
 
-// ratio is part of whole; 0 if there is no whole.
+// ratio returns part divided by whole; 0 if whole isn't positive.
 func ratio(part, whole int64) float64 {
 	if whole <= 0 {
 		return 0
--- a/placement/unfit_cache.go
+++ b/placement/unfit_cache.go
@@ -7,30 +7,29 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// maxFront bounds the smallest sizes kept for one kind of request; the oldest
-// gives way.
-const maxFront = 64
+// maxSizes bounds the sizes kept per kind of request; beyond it the oldest is
+// dropped.
+const maxSizes = 64
 
-// requestKind is what requests share that the filters treat alike but for
-// their size.
+// requestKind holds the properties of requests that the filters depend on,
+// other than the size.
 type requestKind struct {
-	qos     task.QoS
-	zones   string
-	reserve float64
+	qos           task.QoS
+	zones         string
+	headroomShare float64
 }
 
-// maxKinds bounds the kinds of requests remembered.
+// maxKinds bounds the kinds of requests in the cache.
 const maxKinds = 256
 
-// equivalence remembers sizes that fit on no host, until a host frees enough
-// for them. What is no smaller than such a size does not fit either, so only
-// the smallest are kept.
-type equivalence struct {
-	unfit map[requestKind][]request
+// unfitCache holds sizes that fit on no host, until a host frees enough for
+// them. Larger sizes don't fit either, so only minimal ones are kept.
+type unfitCache struct {
+	sizes map[requestKind][]request
 }
 
-func newEquivalence() equivalence {
-	return equivalence{unfit: map[requestKind][]request{}}
+func newUnfitCache() unfitCache {
+	return unfitCache{sizes: map[requestKind][]request{}}
 }
 
 func (q *request) kind() requestKind {
@@ -38,41 +37,41 @@
 	if len(q.spec.Zones) > 0 {
 		zones = strings.Join(q.spec.Zones, "\x00")
 	}
-	return requestKind{qos: q.spec.QoS, zones: zones, reserve: q.reserve}
+	return requestKind{qos: q.spec.QoS, zones: zones, headroomShare: q.headroomShare}
 }
 
-// knownUnfit reports whether the request is known to fit nowhere.
-func (e *equivalence) knownUnfit(q *request) bool {
+// knownUnfit reports whether the request is known to fit on no host.
+func (c *unfitCache) knownUnfit(q *request) bool {
 	if q.nominated != nil {
 		return false
 	}
-	return slices.ContainsFunc(e.unfit[q.kind()], func(o request) bool { return o.size.Fits(q.size) })
+	return slices.ContainsFunc(c.sizes[q.kind()], func(o request) bool { return o.size.Fits(q.size) })
 }
 
-// add remembers a request that fits nowhere. What a job avoids is its own, so
-// such requests are not remembered.
-func (e *equivalence) add(q *request) {
+// add adds a request that fits on no host. Requests with avoided hosts are not
+// cached, since the result doesn't apply to other jobs.
+func (c *unfitCache) add(q *request) {
 	if len(q.avoid) > 0 || q.nominated != nil {
 		return
 	}
-	if len(e.unfit) >= maxKinds {
-		clear(e.unfit)
+	if len(c.sizes) >= maxKinds {
+		clear(c.sizes)
 	}
-	front := slices.DeleteFunc(e.unfit[q.kind()], func(o request) bool { return q.size.Fits(o.size) })
-	if len(front) >= maxFront {
-		front = slices.Delete(front, 0, 1)
+	sizes := slices.DeleteFunc(c.sizes[q.kind()], func(o request) bool { return q.size.Fits(o.size) })
+	if len(sizes) >= maxSizes {
+		sizes = slices.Delete(sizes, 0, 1)
 	}
-	e.unfit[q.kind()] = append(front, *q)
+	c.sizes[q.kind()] = append(sizes, *q)
 }
 
-// freed forgets what fits on a node that has more free than before.
-func (e *equivalence) freed(n *node) {
-	for kind, front := range e.unfit {
-		front = slices.DeleteFunc(front, func(q request) bool { return q.filter(n) == Feasible })
-		if len(front) == 0 {
-			delete(e.unfit, kind)
+// freed drops the sizes that fit on a node that has freed resources.
+func (c *unfitCache) freed(n *node) {
+	for kind, sizes := range c.sizes {
+		sizes = slices.DeleteFunc(sizes, func(q request) bool { return q.filter(n) == Feasible })
+		if len(sizes) == 0 {
+			delete(c.sizes, kind)
 			continue
 		}
-		e.unfit[kind] = front
+		c.sizes[kind] = sizes
 	}
 }
--- a/placement/walk.go
+++ b/placement/walk.go
@@ -6,30 +6,30 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// walk visits the rows of a grid whose nodes may have enough free.
+// walk iterates over the rows of a grid whose nodes may have enough free.
 type walk struct {
 	grid *grid
 	// cpu and memory are the lowest levels that may fit.
 	cpu    int
 	memory int
-	// at is the row to begin with, step is 1 or -1, left counts rows.
-	at   int
-	step int
-	left int
-	row  int
+	// start is the first row, step is 1 or -1, left counts the remaining rows.
+	start int
+	step  int
+	left  int
+	row   int
 }
 
-// newWalk returns a walk over what may fit, from the tightest row up.
+// newWalk returns a walk over the rows that may fit, from the tightest up.
 func newWalk(q *request, g *grid) walk {
-	need := q.size.MilliCPU + q.headroom(g.leastCPU)
+	need := q.size.MilliCPU + q.headroom(g.minMilliCPU)
 	w := walk{grid: g, cpu: level(need), memory: level(q.size.MemoryMB)}
-	w.at, w.step, w.left = w.cpu, 1, levels-w.cpu
+	w.start, w.step, w.left = w.cpu, 1, levels-w.cpu
 	return w
 }
 
-// ordered begins with the tightest row for batch and with the emptiest for
-// latency-critical work.
-func (w walk) ordered(q *request) walk {
+// inPreferredOrder begins with the tightest row for batch jobs and with the
+// emptiest for latency-critical ones.
+func (w walk) inPreferredOrder(q *request) walk {
 	if q.spec.QoS == task.LatencyCritical {
 		return w.descending()
 	}
@@ -38,23 +38,23 @@
 
 // descending begins with the emptiest row.
 func (w walk) descending() walk {
-	w.at, w.step = levels-1, -1
+	w.start, w.step = levels-1, -1
 	return w
 }
 
 // rotated begins offset rows above the tightest and wraps around.
 func (w walk) rotated(offset int) walk {
-	w.at = w.cpu + offset
+	w.start = w.cpu + offset
 	return w
 }
 
 // first returns the first row with nodes, or -1.
 func (w *walk) first() int {
-	w.row = w.at
+	w.row = w.start
 	return w.seek()
 }
 
-// next returns the following row with nodes, or -1.
+// next returns the next row with nodes, or -1.
 func (w *walk) next() int {
 	w.advance()
 	return w.seek()
