--- a/batch/bench_test.go
+++ b/batch/bench_test.go
@@ -26,38 +26,38 @@
 
 const (
 	benchHosts         = 9
-	benchWorkers       = 30 // of each host
+	benchWorkers       = 30 // per host
 	benchRate          = 320
 	benchSeconds       = 10
 	benchUrgentEvery   = 10
 	benchReplayRecords = 40000
 )
 
-// BenchmarkStarts submits 320 jobs a second to nine hosts, a tenth of them
-// urgent, and reports commits a start and the latency of starts.
+// BenchmarkStarts submits benchRate jobs per second to benchHosts hosts, a tenth
+// of them urgent, and reports commits per start and start latency.
 func BenchmarkStarts(b *testing.B) {
 	for _, delay := range []time.Duration{5 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond} {
 		b.Run(delay.String(), func(b *testing.B) {
 			for range b.N {
-				starts(b, delay, benchHosts, benchRate)
+				benchStarts(b, delay, benchHosts, benchRate)
 			}
 		})
 	}
 }
 
-// BenchmarkStartsBySize measures commits and rows a start by the rate and by
-// the number of hosts, with a table that takes 50 ms.
+// BenchmarkStartsBySize reports commits and rows per start for several rates and
+// numbers of hosts, with a table latency of 50 ms.
 func BenchmarkStartsBySize(b *testing.B) {
 	for _, size := range []struct{ hosts, rate int }{{9, 80}, {9, 160}, {9, 320}, {18, 320}, {40, 320}} {
 		b.Run(fmt.Sprintf("%dhosts-%dstarts", size.hosts, size.rate), func(b *testing.B) {
 			for range b.N {
-				starts(b, 50*time.Millisecond, size.hosts, size.rate)
+				benchStarts(b, 50*time.Millisecond, size.hosts, size.rate)
 			}
 		})
 	}
 }
 
-// bench is nine hosts, each the owner of one shard.
+// bench is a set of hosts, each of which owns one shard.
 type bench struct {
 	table   *memtable.Table
 	workers *fakeWorkers
@@ -115,7 +115,8 @@
 	x.done.Wait()
 }
 
-// submitAll submits at the rate and returns when each job was submitted.
+// submitAll submits rate jobs per second for benchSeconds and returns the
+// submission time of each job.
 func (x *bench) submitAll(b *testing.B, rate int) map[string]time.Time {
 	at := map[string]time.Time{}
 	var calls sync.WaitGroup
@@ -138,10 +139,10 @@
 	return at
 }
 
-func starts(b *testing.B, delay time.Duration, hosts, rate int) {
+func benchStarts(b *testing.B, delay time.Duration, hosts, rate int) {
 	x := newBench(hosts, benchHosts*benchWorkers/hosts, 0)
 	defer x.close()
-	<-time.After(3 * time.Second) // every worker reconciled
+	<-time.After(3 * time.Second) // until all workers are reconciled
 	x.table.Set(func(f *memtable.Faults) { f.Delay = delay })
 	before, cpu := x.table.Stats(), processorTime(b)
 	at := x.submitAll(b, rate)
@@ -169,20 +170,20 @@
 	b.ReportMetric(percentile(normal, 0.99), "normal-p99-ms")
 }
 
-// percentile returns a quantile of the values.
+// percentile sorts v and returns its quantile q.
 func percentile(v []float64, q float64) float64 {
 	slices.Sort(v)
 	return v[int(float64(len(v)-1)*q)]
 }
 
-// BenchmarkReplay measures the takeover of a shard of 40,000 records.
+// BenchmarkReplay measures the replay of a shard with benchReplayRecords records.
 func BenchmarkReplay(b *testing.B) {
 	x := newBench(0, 0, benchReplayRecords)
 	defer x.close()
 	before := x.table.Stats()
 	for range b.N {
 		m := &Manager{config: withDefaults(Config{Table: x.table})}
-		records, err := m.read(context.Background(), "wk/z/0")
+		records, err := m.readRecords(context.Background(), "wk/z/0")
 		if err != nil || len(records) != benchReplayRecords {
 			b.Fatal(len(records), err)
 		}
@@ -192,13 +193,13 @@
 	b.ReportMetric(float64(x.table.Stats().Reads-before.Reads)/float64(b.N), "reads/op")
 }
 
-// discard is a planner whose queue costs nothing.
+// discard is a planner that drops enqueued jobs.
 type discard struct{ *firstFit }
 
 func (*discard) Enqueue(time.Time, task.Spec) {}
 
-// BenchmarkSteady measures the processor time that the owner of a ninth of
-// 4,300 workers spends on exchanges, with the fake workers' own part.
+// BenchmarkSteady measures the CPU time that one owner spends on exchanges in
+// steady state, including the time of the fake workers.
 func BenchmarkSteady(b *testing.B) {
 	const workers, jobs, seconds = 478, 2400, 10
 	x := newBench(1, workers, 0)
@@ -218,7 +219,7 @@
 	}
 }
 
-// processorTime returns what the process has used.
+// processorTime returns the CPU time that the process has used.
 func processorTime(b *testing.B) time.Duration {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
--- a/batch/calls.go
+++ b/batch/calls.go
@@ -11,7 +11,7 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// Methods between entry hosts.
+// Peer methods between entry hosts.
 const (
 	methodSubmit peer.Method = "batch.submit"
 	methodCancel peer.Method = "batch.cancel"
@@ -20,31 +20,32 @@
 	methodMoved  peer.Method = "batch.moved"
 )
 
-// submitRequest asks a shard's owner to hold a job.
+// submitRequest submits a job to a shard's owner.
 type submitRequest struct {
 	Shard string    `msgpack:"h"`
 	Spec  task.Spec `msgpack:"s"`
 }
 
-// jobRequest names a job to its shard's owner.
+// jobRequest identifies a job in a shard.
 type jobRequest struct {
 	Shard string `msgpack:"h"`
 	ID    string `msgpack:"i"`
 }
 
-// errEnded is returned to a peer whose request ended before its answer.
-var errEnded = errors.New("batch: request ended before its answer")
+// errRequestEnded is returned to a peer if the request's context or the
+// manager ended before the reply.
+var errRequestEnded = errors.New("batch: request ended before its answer")
 
-// handle registers the peer methods.
-func (m *Manager) handle(mux peer.Mux) {
-	mux.Handle(methodSubmit, handler(m.submitHere))
-	mux.Handle(methodCancel, handler(m.cancelHere))
-	mux.Handle(methodShow, handler(m.showHere))
-	mux.Handle(methodOffer, handler(m.offerHere))
-	mux.Handle(methodMoved, handler(m.movedHere))
-	mux.Handle(methodQuotaWant, handler(m.wantHere))
-	mux.Handle(methodQuota, handler(m.quotaHere))
-	mux.Handle(methodEventWork, handler(m.eventWorkHere))
+// registerHandlers registers the peer methods.
+func (m *Manager) registerHandlers(mux peer.Mux) {
+	mux.Handle(methodSubmit, handler(m.submitLocal))
+	mux.Handle(methodCancel, handler(m.cancelLocal))
+	mux.Handle(methodShow, handler(m.showLocal))
+	mux.Handle(methodOffer, handler(m.offerLocal))
+	mux.Handle(methodMoved, handler(m.movedLocal))
+	mux.Handle(methodQuotaWant, handler(m.quotaWantLocal))
+	mux.Handle(methodQuota, handler(m.quotaLocal))
+	mux.Handle(methodEventWork, handler(m.eventWorkLocal))
 }
 
 // handler adapts a local operation to a peer method.
@@ -52,17 +53,18 @@
 	return func(ctx context.Context, _ string, decode func(any) error) (any, error) {
 		var request Q
 		if err := decode(&request); err != nil {
-			return nil, errors.Wrap(err, "batch: request")
+			return nil, errors.Wrap(err, "batch: decode request")
 		}
 		reply, ok := local(ctx, request)
 		if !ok {
-			return nil, errEnded
+			return nil, errRequestEnded
 		}
 		return reply, nil
 	}
 }
 
-// call carries out an operation at the owner of the shard, here or on a peer.
+// call runs an operation at the owner of the shard, locally or on a peer. The
+// kind is NotRun if the shard has no known owner.
 func call[R any](ctx context.Context, m *Manager, shard string, method peer.Method, request any, local func(context.Context) (R, bool)) (R, outcome.Kind) {
 	var reply R
 	owner := m.owner(shard)
@@ -80,8 +82,8 @@
 	return reply, outcome.Answered
 }
 
-// await has f run on the control goroutine and waits for its reply; false when
-// ctx or the manager ended first.
+// await runs f on the control goroutine and waits for its reply; false if ctx
+// or the manager ended first.
 func await[R any](ctx context.Context, m *Manager, f func(now time.Time, reply func(R))) (R, bool) {
 	result := make(chan R, 1)
 	m.post(func(now time.Time) { f(now, func(r R) { result <- r }) })
@@ -96,9 +98,9 @@
 	}
 }
 
-// owner returns the host that owns a shard, as last known; empty for none.
+// owner returns the last known owner of a shard; empty for none.
 func (m *Manager) owner(shard string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Owners[shard]
+	return m.snapshot.Owners[shard]
 }
--- a/batch/capacity_bench_test.go
+++ b/batch/capacity_bench_test.go
@@ -26,23 +26,23 @@
 )
 
 const (
-	// fleetTasks run on 4,300 workers at the size to come.
+	// fleetTasks is the number of tasks on fleetWorkers workers.
 	fleetTasks   = 40000
 	fleetWorkers = 4300
-	// fleetSample is how many exchanges pass between two samples of usage:
-	// the default lag over the default interval.
+	// fleetSample is the number of exchanges per usage sample: the default lag
+	// divided by the default exchange interval.
 	fleetSample = 5
 	fleetWindow = 10 * time.Second
 )
 
-// fleetWorker is a worker whose runs go on for ever and use a little more with
-// each sample.
+// fleetWorker is a worker whose runs never end and change their usage with each
+// sample.
 type fleetWorker struct {
 	mu        sync.Mutex
 	seq       uint64
 	exchanges int
 	runs      []infra.RunReport
-	// started takes a token for an order to start a run.
+	// started receives a value for each start order, if it has space.
 	started chan struct{}
 }
 
@@ -50,7 +50,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.exchanges++
-	w.take(x.Orders)
+	w.startOrdered(x.Orders)
 	reply := infra.ExchangeReply{FullList: x.Since == 0}
 	sample := w.exchanges%fleetSample == 0
 	if sample && len(w.runs) > 0 {
@@ -73,8 +73,8 @@
 	return reply
 }
 
-// take starts the runs that are ordered.
-func (w *fleetWorker) take(orders []infra.Order) {
+// startOrdered starts the ordered runs.
+func (w *fleetWorker) startOrdered(orders []infra.Order) {
 	for _, o := range orders {
 		if o.Kind != infra.OrderStart {
 			continue
@@ -87,7 +87,7 @@
 	}
 }
 
-// fleet is all workers and the table of one owner.
+// fleet is the workers and the table of one owner.
 type fleet struct {
 	workers map[string]*fleetWorker
 	members []infra.Member
@@ -96,7 +96,8 @@
 	started chan struct{}
 }
 
-// newFleet has workers share the tasks evenly; the records are in the table.
+// newFleet distributes running tasks evenly over workers and stores their
+// records.
 func newFleet(workers, tasks int) *fleet {
 	f := &fleet{workers: map[string]*fleetWorker{}, table: memtable.New()}
 	f.started = make(chan struct{}, 1)
@@ -127,7 +128,8 @@
 	return f.workers[address].exchange(x), nil
 }
 
-// owner starts the manager that owns the fleet, and returns how to stop it.
+// owner starts the manager that owns the fleet, and returns a function that
+// stops it.
 func (f *fleet) owner(w infra.Workers) (*Manager, func()) {
 	ctx, stop := context.WithCancel(context.Background())
 	n := peernet.New()
@@ -159,8 +161,8 @@
 	return float64(s.HeapAlloc + s.StackInuse)
 }
 
-// BenchmarkFleet measures what one owner of a shard of that many workers
-// spends, idle and with the tasks of the size to come, without a network.
+// BenchmarkFleet measures the memory and CPU usage of one owner by number of
+// workers, idle and with running tasks, without a network.
 func BenchmarkFleet(b *testing.B) {
 	for _, workers := range []int{65, 650, fleetWorkers} {
 		for _, tasks := range []int{0, fleetTasks * workers / fleetWorkers} {
@@ -194,9 +196,9 @@
 	b.ReportMetric(spent/n*1e6, "µs/exchange")
 }
 
-// BenchmarkTakeover measures the time from a new owner's grant, over a shard
-// whose tasks all run, until an urgent job that waits for it starts on a
-// worker. A read of the table takes 50 ms.
+// BenchmarkTakeover measures the time from a new owner's grant for a shard of
+// running tasks until an urgent job starts on a worker, with a table latency of
+// 50 ms.
 func BenchmarkTakeover(b *testing.B) {
 	for _, workers := range []int{108, 1075, fleetWorkers} {
 		tasks := fleetTasks * workers / fleetWorkers
@@ -228,7 +230,8 @@
 	}
 }
 
-// BenchmarkRecord reports the sizes of the rows of one job.
+// BenchmarkRecord measures the encoding of a record and reports the sizes of a
+// job's rows.
 func BenchmarkRecord(b *testing.B) {
 	s := spec("0192f0c1-7a5e-7cc3-98c4-000000000001", time.Hour)
 	r := task.New(s)
@@ -238,40 +241,40 @@
 	}
 	b.ReportMetric(float64(len(encode(r))+len(jobKey("wk/zone-3/07", s.ID))), "B/record")
 	b.ReportMetric(float64(len(refKey(s.ID))+len("wk/zone-3/07")), "B/ref")
-	b.ReportMetric(float64(len(encode(keyRow{ID: s.ID, Hash: 1 << 60}))+len(idempotencyKey(s.Team, s.Key))), "B/key")
+	b.ReportMetric(float64(len(encode(idempotencyRow{ID: s.ID, Hash: 1 << 60}))+len(idempotencyKey(s.Team, s.Key))), "B/key")
 }
 
-// wire counts the bytes of connections and how many were accepted.
-type wire struct {
+// countingListener counts accepted connections and the bytes read and written.
+type countingListener struct {
 	stdnet.Listener
 	in, out, accepted *atomic.Int64
 }
 
-func (w wire) Accept() (stdnet.Conn, error) {
+func (w countingListener) Accept() (stdnet.Conn, error) {
 	c, err := w.Listener.Accept()
 	w.accepted.Add(1)
-	return wireConn{c, w}, err
+	return countingConn{c, w}, err
 }
 
-type wireConn struct {
+type countingConn struct {
 	stdnet.Conn
-	wire wire
+	wire countingListener
 }
 
-func (c wireConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.wire.in.Add(int64(n))
 	return n, err
 }
 
-func (c wireConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.wire.out.Add(int64(n))
 	return n, err
 }
 
-// BenchmarkFleetHTTP measures exchanges over HTTP on loopback: bytes and
-// connections a worker, and processor time with the workers' part.
+// BenchmarkFleetHTTP measures exchanges over HTTP on loopback: bytes per
+// exchange, connections per second, and CPU time including the workers' part.
 func BenchmarkFleetHTTP(b *testing.B) {
 	for _, workers := range []int{65, 250, 478} {
 		for _, each := range []int{0, 9} {
@@ -299,7 +302,7 @@
 		}
 		f.members[i].Address = l.Addr().String()
 		s := &http.Server{Handler: f.handler(w)}
-		serving.Go(func() { _ = s.Serve(wire{l, &in, &out, &accepted}) })
+		serving.Go(func() { _ = s.Serve(countingListener{l, &in, &out, &accepted}) })
 		defer s.Close()
 	}
 	transport := &http.Transport{MaxIdleConns: idle, MaxIdleConnsPerHost: 64}
--- a/batch/config.go
+++ b/batch/config.go
@@ -14,17 +14,17 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// Appender takes changes for the table; *journal.Journal is one.
+// Appender queues transactions for the table. *journal.Journal implements it.
 type Appender interface {
 	Append(e journal.Entry)
 }
 
-// Config is what a manager needs.
+// Config is the configuration of a Manager.
 type Config struct {
 	// Host is this entry host's name.
 	Host  string
 	Table infra.Table
-	// Journal commits the changes of all shards owned here.
+	// Journal commits the transactions of all shards of this host.
 	Journal   Appender
 	Workers   infra.Workers
 	Transport peer.Transport
@@ -32,48 +32,52 @@
 	// NewPlanner returns an empty planner for a shard.
 	NewPlanner func(shard string) placement.Planner
 	Settings   settings.Batch
-	// TaskLease is how long a run goes on without word from its owner.
+	// TaskLease is how long a run continues after the last renewal by its
+	// shard's owner.
 	TaskLease time.Duration
-	// ClockRate is the largest relative difference of two hosts' clocks.
+	// ClockRate is the maximum relative difference in rate between the clocks
+	// of two hosts.
 	ClockRate float64
-	// Timeout bounds one request to the table; 0 for 2 s.
+	// Timeout limits one request to the table; 0 for 2 s.
 	Timeout time.Duration
 	// Retention is how long terminal jobs are kept; 0 for a day.
 	Retention time.Duration
-	Log       *slog.Logger
-	// Now is the monotonic clock, and gives Unix times; nil for time.Now.
+	// Log receives events; nil discards them.
+	Log *slog.Logger
+	// Now returns the current time with a monotonic reading; nil for time.Now.
 	Now func() time.Time
-	// Rand spreads exchanges and submissions; it is used under a lock.
+	// Rand randomizes exchange times and shard selection; nil for a random
+	// seed. The manager serializes its use.
 	Rand *rand.Rand
-	// Registerer takes the metrics; nil for none.
+	// Registerer registers the metrics; nil for none.
 	Registerer prometheus.Registerer
 }
 
 const (
 	defaultTimeout   = 2 * time.Second
 	defaultRetention = 24 * time.Hour
-	// exchangeTimeout bounds one exchange with a worker.
+	// exchangeTimeout limits one exchange with a worker.
 	exchangeTimeout = time.Second
-	// leaseBuffer is how much longer than the lease, besides the clock-rate
-	// bound, a run is taken to go on: the time that the last renewal may have
-	// been under way, and the worker's own time to stop.
+	// leaseBuffer is added to a lease, after the clock-rate correction, before
+	// its runs count as ended. It covers the time that the last renewal was in
+	// flight and the worker's time to stop a run.
 	leaseBuffer = 2 * exchangeTimeout
-	// silentAfter is after how many exchange intervals without an answer a
-	// worker gets no new work.
-	silentAfter = 3
-	// planLimit is the largest number of actions taken from one plan.
-	planLimit = 64
-	// maxStartsInFlight bounds the starts whose commit is not answered.
+	// unreachableIntervals is the number of exchange intervals without an
+	// answer after which a worker gets no new jobs.
+	unreachableIntervals = 3
+	// maxPlanActions is the largest number of actions requested per plan.
+	maxPlanActions = 64
+	// maxStartsInFlight limits the starts whose commit has no result yet.
 	maxStartsInFlight = 1024
-	// retryCommit is how long a refused commit waits for the next attempt.
-	retryCommit = 500 * time.Millisecond
-	// maxKills is how often guards may kill a job before it is parked.
+	// commitRetryDelay is the pause of commits after one was refused.
+	commitRetryDelay = 500 * time.Millisecond
+	// maxKills is the number of kills by guards after which a job is parked.
 	maxKills = 6
-	// scanPage is how many rows one read of a replay asks for.
-	scanPage = 1000
+	// scanPageRows is the number of rows per page of a scan.
+	scanPageRows = 1000
 )
 
-// withDefaults fills in what was left out.
+// withDefaults returns c with defaults for unset fields.
 func withDefaults(c Config) Config {
 	if c.Timeout == 0 {
 		c.Timeout = defaultTimeout
--- a/batch/event_work.go
+++ b/batch/event_work.go
@@ -13,40 +13,41 @@
 
 const methodEventWork peer.Method = "batch.event_work"
 
-// EventWork is the work that is due by one start of an event, in some shards,
-// by the jobs' records. It is known for as long as these are kept.
+// EventWork summarizes the jobs due by one start of an event in a set of
+// shards. Jobs count until their records are deleted.
 type EventWork struct {
 	Event string `msgpack:"e"`
-	// StartUnixMS is the start, in Unix milliseconds.
+	// StartUnixMS is the start of the event in Unix milliseconds.
 	StartUnixMS int64 `msgpack:"s"`
-	// Jobs counts all. Done, Parked and Cancelled count those that ended so,
-	// and Late those among the done ones that were done after they were due.
+	// Jobs is the number of all jobs; Done, Parked and Cancelled count those
+	// in that state. Late counts the done jobs that finished after their
+	// deadline.
 	Jobs      int `msgpack:"j"`
 	Done      int `msgpack:"d"`
 	Late      int `msgpack:"l"`
 	Parked    int `msgpack:"p"`
 	Cancelled int `msgpack:"x"`
-	// Verdict and Reason are what the shards' planners foresee of the work
-	// left, the worst of them; empty if no planner that has some told.
+	// Verdict and Reason are the worst forecast among the shards with
+	// remaining work; empty if there is none.
 	Verdict forecast.Verdict `msgpack:"v"`
 	Reason  string           `msgpack:"r"`
 }
 
-// Left counts the jobs that have not ended.
+// Remaining returns the number of jobs that have not ended.
 func (w EventWork) Remaining() int { return w.Jobs - w.Done - w.Parked - w.Cancelled }
 
-// Add returns the work of both.
+// Add returns the sum of both.
 func (w EventWork) Add(o EventWork) EventWork {
 	w.Jobs += o.Jobs
 	w.Done += o.Done
 	w.Late += o.Late
 	w.Parked += o.Parked
 	w.Cancelled += o.Cancelled
-	return w.foresee(o.Verdict, o.Reason)
+	return w.mergeForecast(o.Verdict, o.Reason)
 }
 
-// foresee takes in one forecast of the work left.
-func (w EventWork) foresee(v forecast.Verdict, reason string) EventWork {
+// mergeForecast returns w with its forecast merged with another.
+func (w EventWork) mergeForecast(v forecast.Verdict, reason string) EventWork {
 	switch {
 	case v == "":
 		return w
@@ -59,35 +60,35 @@
 	return w
 }
 
-// EventStart names one start of an event.
+// EventStart identifies one start of an event.
 type EventStart struct {
 	Event  string
 	UnixMS int64
 }
 
-// Start names the start that the work is due by.
+// Start returns the event start that the work is due by.
 func (w EventWork) Start() EventStart { return EventStart{w.Event, w.StartUnixMS} }
 
-// eventWorkReply is one host's answer.
+// eventWorkReply is one host's reply.
 type eventWorkReply struct {
 	Work []EventWork `msgpack:"w"`
 }
 
-// EventWork returns the work due by each start of each event in the shards
-// owned here, in order; false when ctx ended first.
+// EventWork returns the work due by each start of each event in the shards that
+// this host owns, sorted by event and start; false if ctx ended first.
 func (m *Manager) EventWork(ctx context.Context) ([]EventWork, bool) {
-	r, ok := m.eventWorkHere(ctx, struct{}{})
+	r, ok := m.eventWorkLocal(ctx, struct{}{})
 	return r.Work, ok
 }
 
-// PeerEventWork asks another entry host for its EventWork.
+// PeerEventWork requests the EventWork of another entry host.
 func (m *Manager) PeerEventWork(ctx context.Context, host string) ([]EventWork, error) {
 	var r eventWorkReply
 	result := m.config.Transport.Call(ctx, host, methodEventWork, struct{}{}, &r)
 	return r.Work, result.Err
 }
 
-func (m *Manager) eventWorkHere(ctx context.Context, _ struct{}) (eventWorkReply, bool) {
+func (m *Manager) eventWorkLocal(ctx context.Context, _ struct{}) (eventWorkReply, bool) {
 	return await(ctx, m, func(now time.Time, reply func(eventWorkReply)) {
 		work := map[EventStart]EventWork{}
 		for _, o := range m.shards {
@@ -99,11 +100,11 @@
 	})
 }
 
-// eventWork returns the shard's work by the start that it is due by.
+// eventWork returns the shard's work by event start.
 func (s *Shard) eventWork(now time.Time, calendar forecast.Calendar) map[EventStart]EventWork {
 	work := map[EventStart]EventWork{}
 	for _, j := range s.jobs {
-		start, ok := startOf(calendar, j.rec.Spec)
+		start, ok := eventStartOf(calendar, j.rec.Spec)
 		if ok {
 			work[start] = work[start].Add(eventWorkOf(j.rec, start))
 		}
@@ -114,14 +115,14 @@
 	for _, r := range s.planner.Forecast(now) {
 		start := EventStart{r.Event, r.Start.UnixMilli()}
 		if w, ok := work[start]; ok && w.Remaining() > 0 {
-			work[start] = w.foresee(r.Verdict, r.Reason)
+			work[start] = w.mergeForecast(r.Verdict, r.Reason)
 		}
 	}
 	return work
 }
 
-// startOf returns the start that a job is due by.
-func startOf(calendar forecast.Calendar, spec task.Spec) (EventStart, bool) {
+// eventStartOf returns the event start that a job is due by; false for none.
+func eventStartOf(calendar forecast.Calendar, spec task.Spec) (EventStart, bool) {
 	e, known := calendar.Find(spec.Event)
 	if !known {
 		return EventStart{}, false
@@ -130,7 +131,7 @@
 	return EventStart{spec.Event, at.UnixMilli()}, !at.IsZero()
 }
 
-// eventWorkOf returns what one job adds.
+// eventWorkOf returns the work that one job counts as.
 func eventWorkOf(r task.Record, start EventStart) EventWork {
 	w := EventWork{Jobs: 1}
 	due := cmp.Or(r.Spec.DueUnixMS, start.UnixMS)
--- a/batch/faults_test.go
+++ b/batch/faults_test.go
@@ -17,24 +17,24 @@
 	r.t.Helper()
 	n := r.node("a")
 	r.own(n)
-	r.settle(2 * time.Second)
+	r.advanceTime(2 * time.Second)
 	r.submit(n, spec("j", run))
-	r.settle(3 * time.Second)
+	r.advanceTime(3 * time.Second)
 	return n
 }
 
-// evict has the planner ask for the job's eviction.
+// evict makes the planner evict the job.
 func (n *node) evict(job string) {
 	n.post(func(time.Time) {
-		n.planner.wanted = append(n.planner.wanted, placement.Action{Kind: placement.Evict, Job: job})
+		n.planner.nextActions = append(n.planner.nextActions, placement.Action{Kind: placement.Evict, Job: job})
 		if o := n.shards[shard]; o != nil {
-			o.dirty = true
+			o.planNeeded = true
 		}
 	})
 }
 
-// expectRuns expects the number of runs of "j".
-func (r *rig) expectRuns(want int) []interval {
+// expectRuns checks the number of runs of "j" and returns them.
+func (r *rig) expectRuns(want int) []runInterval {
 	r.t.Helper()
 	runs := r.workers.runsOf("j")
 	if len(runs) != want {
@@ -43,62 +43,63 @@
 	return runs
 }
 
-// cutOff has w0 lose touch while "j" runs there, and returns what the checker
-// says of the history.
-func cutOff(t *testing.T, f faults) (wrong string) {
+// runWithWorkerCutOff makes w0 unreachable while "j" runs there, and returns the
+// violation found in the history, if any.
+func runWithWorkerCutOff(t *testing.T, f faults) (violation string) {
 	bubble(t, 2, func(r *rig) {
 		r.faults = f
 		n := r.started(time.Hour)
 		r.workers.set("w0", func(w *fakeWorker) { w.cut = true })
-		r.settle(time.Minute)
+		r.advanceTime(time.Minute)
 		r.workers.set("w0", func(w *fakeWorker) { w.cut = false })
-		r.settle(5 * time.Second)
-		r.state(n, "j", task.Running)
+		r.advanceTime(5 * time.Second)
+		r.expectState(n, "j", task.Running)
 		r.expectRuns(2)
-		wrong = r.workers.overlap()
+		violation = r.workers.overlap()
 	})
-	return wrong
+	return violation
 }
 
-func TestLapsedRunStartsAgainElsewhere(t *testing.T) {
-	if wrong := cutOff(t, faults{}); wrong != "" {
-		t.Error(wrong)
+func TestExpiredRunRestartsElsewhere(t *testing.T) {
+	if violation := runWithWorkerCutOff(t, faults{}); violation != "" {
+		t.Error(violation)
 	}
-	if cutOff(t, faults{lapseAtOnce: true}) == "" {
-		t.Error("an owner that does not wait for the lease passes the check")
+	if runWithWorkerCutOff(t, faults{lapseAtOnce: true}) == "" {
+		t.Error("no violation found for an owner that does not wait for the lease")
 	}
 }
 
-// diesBeforeCommit has the owner die with a start's commit on its way, and the
-// next owner unable to reach w0.
-func diesBeforeCommit(t *testing.T, f faults) (wrong string) {
+// runOwnerKilledBeforeCommit kills the owner while a start's commit is in
+// flight, with w0 unreachable for the next owner, and returns the violation found
+// in the history, if any.
+func runOwnerKilledBeforeCommit(t *testing.T, f faults) (violation string) {
 	bubble(t, 2, func(r *rig) {
 		r.faults = f
 		a := r.node("a")
 		r.own(a)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.table.Set(func(f *memtable.Faults) { f.Delay = 500 * time.Millisecond })
 		r.submit(a, spec("j", time.Hour))
-		r.settle(100 * time.Millisecond)
+		r.advanceTime(100 * time.Millisecond)
 		a.kill()
 		r.workers.set("w0", func(w *fakeWorker) { w.cut = true })
 		b := r.node("b")
 		r.own(b)
-		r.settle(10 * time.Second)
+		r.advanceTime(10 * time.Second)
 		if f == (faults{}) {
-			r.state(b, "j", task.Running)
+			r.expectState(b, "j", task.Running)
 		}
-		wrong = r.workers.overlap()
+		violation = r.workers.overlap()
 	})
-	return wrong
+	return violation
 }
 
 func TestStartIsDurableBeforeItsOrder(t *testing.T) {
-	if wrong := diesBeforeCommit(t, faults{}); wrong != "" {
-		t.Error(wrong)
+	if violation := runOwnerKilledBeforeCommit(t, faults{}); violation != "" {
+		t.Error(violation)
 	}
-	if diesBeforeCommit(t, faults{sendBeforeDurable: true}) == "" {
-		t.Error("an owner that sends a start before its commit passes the check")
+	if runOwnerKilledBeforeCommit(t, faults{sendBeforeDurable: true}) == "" {
+		t.Error("no violation found for an owner that sends a start before its commit")
 	}
 }
 
@@ -106,17 +107,17 @@
 	bubble(t, 2, func(r *rig) {
 		a := r.node("a")
 		r.own(a)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.workers.set("w0", func(w *fakeWorker) { w.cut = true })
 		r.submit(a, spec("j", 10*time.Second))
-		r.settle(500 * time.Millisecond)
-		r.state(a, "j", task.Starting)
+		r.advanceTime(500 * time.Millisecond)
+		r.expectState(a, "j", task.Starting)
 		a.kill()
 		r.workers.set("w0", func(w *fakeWorker) { w.cut = false })
 		b := r.node("b")
 		r.own(b)
-		r.settle(20 * time.Second)
-		rec := r.state(b, "j", task.Done)
+		r.advanceTime(20 * time.Second)
+		rec := r.expectState(b, "j", task.Done)
 		if r.expectRuns(1); rec.Epoch != 2 {
 			t.Errorf("epoch %d, want 2: the first start never reached its worker", rec.Epoch)
 		}
@@ -128,8 +129,8 @@
 		n := r.started(time.Hour)
 		r.workers.set("w0", func(w *fakeWorker) { w.loseReplies = 3 })
 		n.evict("j")
-		r.settle(10 * time.Second)
-		rec := r.state(n, "j", task.Running)
+		r.advanceTime(10 * time.Second)
+		rec := r.expectState(n, "j", task.Running)
 		runs := r.expectRuns(2)
 		if rec.Evictions != 1 || len(runs) == 2 && runs[1].checkpoint == "" {
 			t.Errorf("evictions %d, runs %+v: want one, resumed from a checkpoint", rec.Evictions, runs)
@@ -140,10 +141,10 @@
 func TestCheckpointLost(t *testing.T) {
 	bubble(t, 2, func(r *rig) {
 		n := r.started(time.Hour)
-		r.workers.set("w0", func(w *fakeWorker) { w.noSave = true })
+		r.workers.set("w0", func(w *fakeWorker) { w.loseCheckpoints = true })
 		n.evict("j")
-		r.settle(5 * time.Second)
-		if rec := r.state(n, "j", task.Running); rec.LostMS == 0 || rec.Checkpoint != "" {
+		r.advanceTime(5 * time.Second)
+		if rec := r.expectState(n, "j", task.Running); rec.LostMS == 0 || rec.Checkpoint != "" {
 			t.Errorf("record %+v: want the work counted as lost", rec)
 		}
 		r.expectRuns(2)
@@ -156,12 +157,12 @@
 			a := r.started(time.Hour)
 			r.table.Set(func(f *memtable.Faults) { f.Delay = 20 * time.Millisecond })
 			a.evict("j")
-			r.settle(wait)
+			r.advanceTime(wait)
 			a.kill()
 			b := r.node("b")
 			r.own(b)
-			r.settle(5 * time.Second)
-			rec := r.state(b, "j", task.Running)
+			r.advanceTime(5 * time.Second)
+			rec := r.expectState(b, "j", task.Running)
 			r.expectRuns(1 + rec.Evictions)
 		})
 	}
@@ -171,10 +172,10 @@
 	bubble(t, 2, func(r *rig) {
 		n := r.started(5 * time.Second)
 		r.workers.set("w0", func(w *fakeWorker) { w.loseReplies = 4 })
-		r.settle(2100 * time.Millisecond)
+		r.advanceTime(2100 * time.Millisecond)
 		n.evict("j")
-		r.settle(10 * time.Second)
-		r.state(n, "j", task.Done)
+		r.advanceTime(10 * time.Second)
+		r.expectState(n, "j", task.Done)
 		r.expectRuns(1)
 	})
 }
@@ -183,11 +184,11 @@
 	bubble(t, 2, func(r *rig) {
 		n := r.node("a")
 		r.own(n)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.table.Set(func(f *memtable.Faults) { f.LoseAnswers = 3 })
 		r.submit(n, spec("j", time.Second))
-		r.settle(10 * time.Second)
-		r.state(n, "j", task.Done)
+		r.advanceTime(10 * time.Second)
+		r.expectState(n, "j", task.Done)
 		r.expectRuns(1)
 	})
 }
@@ -196,16 +197,16 @@
 	bubble(t, 1, func(r *rig) {
 		n := r.node("a")
 		r.own(n)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.table.Set(func(f *memtable.Faults) { f.Delay = 200 * time.Millisecond })
 		r.submit(n, spec("j", time.Hour))
-		r.settle(50 * time.Millisecond) // the start is on its way to the table
-		reply, _ := n.cancelHere(context.Background(), jobRequest{Shard: shard, ID: "j"})
+		r.advanceTime(50 * time.Millisecond) // the start's commit is in flight
+		reply, _ := n.cancelLocal(context.Background(), jobRequest{Shard: shard, ID: "j"})
 		if reply.Code != cancelNeverRan {
-			t.Errorf("cancel: %+v, want a job that never ran", reply)
+			t.Errorf("cancel: %+v, want cancelNeverRan", reply)
 		}
-		r.settle(3 * time.Second)
-		r.state(n, "j", task.Cancelled)
+		r.advanceTime(3 * time.Second)
+		r.expectState(n, "j", task.Cancelled)
 		r.expectRuns(0)
 	})
 }
@@ -216,10 +217,10 @@
 		if _, kind, reason := n.Cancel(context.Background(), "j"); kind != outcome.Answered {
 			t.Errorf("cancel: %v %s", kind, reason)
 		}
-		r.settle(3 * time.Second)
-		r.state(n, "j", task.Cancelled)
+		r.advanceTime(3 * time.Second)
+		r.expectState(n, "j", task.Cancelled)
 		if runs := r.expectRuns(1); runs[0].to.IsZero() {
-			t.Error("the run goes on")
+			t.Error("the cancelled job's run has not ended")
 		}
 		synctest.Wait()
 	})
@@ -229,26 +230,26 @@
 	bubble(t, 1, func(r *rig) {
 		n := r.node("a")
 		r.own(n)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.table.Set(func(f *memtable.Faults) { f.Delay = 500 * time.Millisecond })
 		s := spec("j", 10*time.Second)
 		s.Urgent = true
 		begin := time.Now()
 		r.submit(n, s)
-		r.settle(time.Second)
+		r.advanceTime(time.Second)
 		if runs := r.expectRuns(1); len(runs) == 1 && runs[0].from.Sub(begin) > 600*time.Millisecond {
-			t.Errorf("started after %v, want one commit's time", runs[0].from.Sub(begin))
+			t.Errorf("started after %v, want at most 600 ms", runs[0].from.Sub(begin))
 		}
-		r.settle(15 * time.Second)
-		r.state(n, "j", task.Done)
+		r.advanceTime(15 * time.Second)
+		r.expectState(n, "j", task.Done)
 	})
 }
 
-func TestUrgentSubmissionRefusedFreesItsPlace(t *testing.T) {
+func TestRefusedUrgentSubmissionFreesCapacity(t *testing.T) {
 	bubble(t, 1, func(r *rig) {
 		n := r.node("a")
 		r.own(n)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		s := spec("j", time.Second)
 		s.Urgent = true
 		s.Resources.MilliCPU = 4000
@@ -256,13 +257,13 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if _, kind, _ := n.Submit(ctx, s); kind == outcome.Answered {
-			t.Error("a submission was answered while the table was down")
+			t.Error("a submission was accepted while the table was unavailable")
 		}
 		r.table.Set(func(f *memtable.Faults) { f.Down = false })
-		r.settle(5 * time.Second)
+		r.advanceTime(5 * time.Second)
 		r.submit(n, s)
-		r.settle(10 * time.Second)
-		r.state(n, "j", task.Done)
+		r.advanceTime(10 * time.Second)
+		r.expectState(n, "j", task.Done)
 		r.expectRuns(1)
 	})
 }
@@ -271,17 +272,17 @@
 	bubble(t, 1, func(r *rig) {
 		n := r.node("a")
 		r.own(n)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.workers.set("w0", func(w *fakeWorker) { w.cut = true })
 		r.submit(n, spec("j", time.Hour))
-		r.settle(500 * time.Millisecond)
+		r.advanceTime(500 * time.Millisecond)
 		if _, kind, reason := n.Cancel(context.Background(), "j"); kind != outcome.Answered {
 			t.Errorf("cancel: %v %s", kind, reason)
 		}
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.workers.set("w0", func(w *fakeWorker) { w.cut = false })
-		r.settle(5 * time.Second)
-		r.state(n, "j", task.Cancelled)
+		r.advanceTime(5 * time.Second)
+		r.expectState(n, "j", task.Cancelled)
 		r.expectRuns(0)
 	})
 }
--- a/batch/health.go
+++ b/batch/health.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// health counts failures of distinct jobs in a row on one worker and keeps the
-// quarantine that follows.
+// health tracks consecutive failures of distinct jobs on one worker and the
+// quarantine that they cause.
 type health struct {
-	// failed are the distinct jobs that failed since the last success.
+	// failed are the jobs that failed since the last success.
 	failed map[string]struct{}
 	// until is the end of the quarantine; zero for none.
 	until time.Time
-	// probe is the one job that runs on trial after the quarantine.
+	// probe is the only job that may run after the quarantine until it
+	// succeeds.
 	probe string
 }
 
-// failure notes a failed run and reports whether it began a quarantine.
-func (h *health) failure(now time.Time, job string, limit int, length time.Duration) bool {
+// recordFailure records a failed run and reports whether it started a
+// quarantine.
+func (h *health) recordFailure(now time.Time, job string, limit int, length time.Duration) bool {
 	if h.failed == nil {
 		h.failed = map[string]struct{}{}
 	}
@@ -30,22 +32,25 @@
 	return true
 }
 
-// success notes a completed run and reports whether it ended a quarantine.
-func (h *health) success() bool {
+// recordSuccess records a completed run and reports whether it ended a
+// quarantine.
+func (h *health) recordSuccess() bool {
 	ended := !h.until.IsZero()
 	*h = health{}
 	return ended
 }
 
-// ended frees the probe's place when its job left without a verdict.
-func (h *health) ended(job string) {
+// clearProbe allows another probe if the job was the probe and ended without
+// success or failure.
+func (h *health) clearProbe(job string) {
 	if h.probe == job {
 		h.probe = ""
 	}
 }
 
-// unschedulable says why the worker takes no job now; empty if it does.
-func (h *health) unschedulable(now time.Time) string {
+// unschedulableReason returns why the worker may not get a job now; empty if it
+// may.
+func (h *health) unschedulableReason(now time.Time) string {
 	switch {
 	case h.until.IsZero():
 		return ""
@@ -58,10 +63,10 @@
 	}
 }
 
-// admit notes a start and reports whether the worker takes it: past its
-// quarantine it takes one job at a time.
+// admit records a start and reports whether the worker may get it. After a
+// quarantine only one job at a time is admitted.
 func (h *health) admit(now time.Time, job string) bool {
-	if h.unschedulable(now) != "" {
+	if h.unschedulableReason(now) != "" {
 		return false
 	}
 	if !h.until.IsZero() {
--- a/batch/health_test.go
+++ b/batch/health_test.go
@@ -14,30 +14,30 @@
 		r.workers.set("w0", func(w *fakeWorker) { w.failAll = true })
 		n := r.node("a")
 		r.own(n)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		for i := range 12 {
 			r.submit(n, spec(fmt.Sprint("j", i), 5*time.Second))
 		}
-		r.settle(40 * time.Second)
+		r.advanceTime(40 * time.Second)
 		for i := range 12 {
-			r.state(n, fmt.Sprint("j", i), task.Done)
+			r.expectState(n, fmt.Sprint("j", i), task.Done)
 		}
 		before := r.countOn("w0")
 		if before > 4 {
-			t.Errorf("%d runs on the failing worker, want no more than it held at once", before)
+			t.Errorf("%d runs on the failing worker, want at most 4", before)
 		}
-		r.settle(time.Minute)
+		r.advanceTime(time.Minute)
 		for i := range 6 {
 			r.submit(n, spec(fmt.Sprint("p", i), 5*time.Second))
 		}
-		r.settle(20 * time.Second)
+		r.advanceTime(20 * time.Second)
 		if got := r.countOn("w0") - before; got != 1 {
-			t.Errorf("%d jobs used as a probe, want 1", got)
+			t.Errorf("%d jobs ran on the worker after its quarantine, want 1", got)
 		}
 	})
 }
 
-// countOn counts runs that a worker began.
+// countOn returns the number of runs started on a worker.
 func (r *rig) countOn(worker string) int {
 	r.workers.mu.Lock()
 	defer r.workers.mu.Unlock()
@@ -57,41 +57,41 @@
 		}
 		n := r.node("a")
 		r.own(n)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.submit(n, spec("j", time.Second))
-		r.settle(10 * time.Second)
-		if rec := r.state(n, "j", task.Parked); len(rec.Failures) != 3 {
+		r.advanceTime(10 * time.Second)
+		if rec := r.expectState(n, "j", task.Parked); len(rec.Failures) != 3 {
 			t.Errorf("parked after failures on %v, want three workers", rec.Failures)
 		}
 	})
 }
 
-func TestKilledJobGrowsUntilItFitsNowhere(t *testing.T) {
+func TestKilledJobIsParkedWhenItFitsNoHost(t *testing.T) {
 	bubble(t, 2, func(r *rig) {
 		for i := range 2 {
 			r.workers.set(fmt.Sprint("w", i), func(w *fakeWorker) { w.killAll = true })
 		}
 		n := r.node("a")
 		r.own(n)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.submit(n, spec("j", time.Second))
-		r.settle(10 * time.Second)
-		if rec := r.state(n, "j", task.Parked); rec.Kills != 4 || len(rec.Failures) != 0 {
+		r.advanceTime(10 * time.Second)
+		if rec := r.expectState(n, "j", task.Parked); rec.Kills != 4 || len(rec.Failures) != 0 {
 			t.Errorf("parked after %d kills and failures on %v, want 4 and none", rec.Kills, rec.Failures)
 		}
 		if n.planner.killed != 4 {
-			t.Errorf("the planner was told of %d kills before their release, want 4", n.planner.killed)
+			t.Errorf("the planner recorded %d kills before the release of their runs, want 4", n.planner.killed)
 		}
 	})
 }
 
-func TestLeavingWorkerIsEmptied(t *testing.T) {
+func TestLeavingWorkerIsDrained(t *testing.T) {
 	bubble(t, 2, func(r *rig) {
 		n := r.started(time.Hour)
 		r.members[0].State = infra.Leaving
 		n.SetWorkers(map[string][]infra.Member{shard: r.members})
-		r.settle(5 * time.Second)
-		r.state(n, "j", task.Running)
+		r.advanceTime(5 * time.Second)
+		r.expectState(n, "j", task.Running)
 		runs := r.expectRuns(2)
 		if last := runs[len(runs)-1]; last.worker != "w1" || last.checkpoint == "" {
 			t.Errorf("run %+v, want one on w1 from a checkpoint", last)
--- a/batch/job.go
+++ b/batch/job.go
@@ -7,38 +7,37 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// job is one job of a shard.
 type job struct {
-	// rec is the durable record, but for Running, which is not written.
+	// rec is the durable record, except that Running is not stored.
 	rec task.Record
-	// version is of the record's row, a condition of the next change.
+	// version is the version of the record's row.
 	version uint64
-	// committing is set while a change of the record is with the journal;
-	// there is at most one.
+	// committing is set while a commit of the record is in flight; there is
+	// at most one.
 	committing bool
-	// sent is set when a start of the record's epoch may have been sent.
+	// sent is set if a start of the record's epoch may have been sent.
 	sent bool
-	// evict asks for a checkpoint and stop.
+	// evict is set if the run is to be checkpointed and stopped.
 	evict bool
-	// percent is the throttle wanted and applied the one acknowledged; 0 and
-	// 100 are none.
-	percent, applied int
-	// late is the last report that came while a commit was under way, or whose
-	// commit was refused.
-	late *infra.RunReport
-	// cancels wait for the job to be cancelled durably.
-	cancels []func(cancelReply)
-	// doneMS is the progress last reported.
+	// cpuLimit is the requested CPU limit in percent and ackedCPULimit the one
+	// acknowledged by the worker; 0 and 100 mean no limit.
+	cpuLimit, ackedCPULimit int
+	// deferredReport is the last report that arrived while a commit was in
+	// flight, or whose commit was refused.
+	deferredReport *infra.RunReport
+	// cancelWaiters are called once the job is durably cancelled.
+	cancelWaiters []func(cancelReply)
+	// doneMS is the last reported progress.
 	doneMS int64
-	// queued is when the job last became pending here.
-	queued time.Time
+	// queuedAt is when the job last became pending in this shard.
+	queuedAt time.Time
 }
 
-// stored is a record as the table holds it.
-type stored struct {
+// storedRecord is a record with the version of its row.
+type storedRecord struct {
 	record  task.Record
 	version uint64
 }
 
-// throttling reports whether the worker has to be told of a throttle.
-func (j *job) throttling() bool { return j.percent != 0 && j.percent != j.applied }
+// needsCPULimitOrder reports whether the CPU limit must be sent to the worker.
+func (j *job) needsCPULimitOrder() bool { return j.cpuLimit != 0 && j.cpuLimit != j.ackedCPULimit }
--- a/batch/lookup.go
+++ b/batch/lookup.go
@@ -8,15 +8,15 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// showReply is the answer about one job.
+// showReply is the status of one job.
 type showReply struct {
 	Found  bool   `msgpack:"f"`
 	Status Status `msgpack:"s"`
 }
 
-// Cancel asks for the end of a job. Answered means that the job will not start
-// again; its Status says whether a run is still being stopped. The kind is
-// NotRun, with a reason, when nothing was changed.
+// Cancel cancels a job. Answered means that the job will not start again; its
+// Status shows whether a run is still being stopped. The kind is NotRun, with a
+// reason, if nothing was changed.
 func (m *Manager) Cancel(ctx context.Context, id string) (Status, outcome.Kind, string) {
 	shard, reason := m.locate(ctx, id)
 	if shard == "" {
@@ -24,10 +24,10 @@
 	}
 	request := jobRequest{Shard: shard, ID: id}
 	r, kind := call[cancelReply](ctx, m, shard, methodCancel, request, func(ctx context.Context) (cancelReply, bool) {
-		return m.cancelHere(ctx, request)
+		return m.cancelLocal(ctx, request)
 	})
 	if kind != outcome.Answered {
-		return r.Status, kind, lossReason(kind)
+		return r.Status, kind, callFailureReason(kind)
 	}
 	switch r.Code {
 	case cancelDone, cancelNeverRan:
@@ -36,23 +36,23 @@
 		return r.Status, outcome.NotRun, ReasonAlreadyFinished
 	case cancelRefused:
 		return r.Status, outcome.NotRun, ReasonStoreUnavailable
-	case cancelMissing, cancelNotReady: // the job exists, but is on its way
+	case cancelMissing, cancelNotReady: // the job may be moving between shards
 		return r.Status, outcome.NotRun, ReasonNoShardReady
 	default:
 		return r.Status, outcome.Unknown, ReasonAnswerLost
 	}
 }
 
-// lossReason explains a call to an owner that was not answered.
-func lossReason(kind outcome.Kind) string {
+// callFailureReason returns the reason for a call to an owner without an answer.
+func callFailureReason(kind outcome.Kind) string {
 	if kind == outcome.NotRun {
 		return ReasonNoShardReady
 	}
 	return ReasonAnswerLost
 }
 
-// cancelHere cancels a job of a local shard.
-func (m *Manager) cancelHere(ctx context.Context, r jobRequest) (cancelReply, bool) {
+// cancelLocal cancels a job of a local shard.
+func (m *Manager) cancelLocal(ctx context.Context, r jobRequest) (cancelReply, bool) {
 	return await(ctx, m, func(now time.Time, reply func(cancelReply)) {
 		o := m.shards[r.Shard]
 		if o == nil {
@@ -63,7 +63,8 @@
 	})
 }
 
-// Show tells of a job: by its owner if that answers, else by its record.
+// Show returns the status of a job from its owner, or from its stored record if
+// the owner does not answer.
 func (m *Manager) Show(ctx context.Context, id string) (Status, outcome.Kind, string) {
 	shard, reason := m.locate(ctx, id)
 	if shard == "" {
@@ -71,16 +72,16 @@
 	}
 	request := jobRequest{Shard: shard, ID: id}
 	r, kind := call[showReply](ctx, m, shard, methodShow, request, func(ctx context.Context) (showReply, bool) {
-		return m.showHere(ctx, request)
+		return m.showLocal(ctx, request)
 	})
 	if kind == outcome.Answered && r.Found {
 		return r.Status, outcome.Answered, ""
 	}
-	return m.recorded(ctx, shard, id)
+	return m.showStored(ctx, shard, id)
 }
 
-// showHere tells of a job of a local shard.
-func (m *Manager) showHere(ctx context.Context, r jobRequest) (showReply, bool) {
+// showLocal returns the status of a job of a local shard.
+func (m *Manager) showLocal(ctx context.Context, r jobRequest) (showReply, bool) {
 	return await(ctx, m, func(_ time.Time, reply func(showReply)) {
 		o := m.shards[r.Shard]
 		if o == nil || o.jobs[r.ID] == nil {
@@ -91,9 +92,9 @@
 	})
 }
 
-// recorded tells of a job by its record in the table.
-func (m *Manager) recorded(ctx context.Context, shard, id string) (Status, outcome.Kind, string) {
-	row, err := m.get(ctx, jobKey(shard, id))
+// showStored returns the status of a job according to its record in the table.
+func (m *Manager) showStored(ctx context.Context, shard, id string) (Status, outcome.Kind, string) {
+	row, err := m.getRow(ctx, jobKey(shard, id))
 	if err != nil {
 		return Status{}, outcome.NotRun, ReasonStoreUnavailable
 	}
@@ -104,9 +105,9 @@
 	return Status{ID: id, Shard: shard, State: r.State, Record: r}, outcome.Answered, ""
 }
 
-// locate returns the shard that holds a job, or why it is not known.
+// locate returns the shard that holds a job, or the reason why it is not known.
 func (m *Manager) locate(ctx context.Context, id string) (shard, reason string) {
-	row, err := m.get(ctx, refKey(id))
+	row, err := m.getRow(ctx, refKey(id))
 	if err != nil {
 		if local := m.localShard(ctx, id); local != "" {
 			return local, ""
@@ -119,7 +120,7 @@
 	return string(row.Value), ""
 }
 
-// localShard returns the shard owned here that holds a job; empty for none.
+// localShard returns the local shard that holds a job; empty for none.
 func (m *Manager) localShard(ctx context.Context, id string) string {
 	shard, _ := await(ctx, m, func(_ time.Time, reply func(string)) {
 		for name, o := range m.shards {
@@ -133,8 +134,7 @@
 	return shard
 }
 
-// get reads one row.
-func (m *Manager) get(ctx context.Context, key string) (infra.Row, error) {
+func (m *Manager) getRow(ctx context.Context, key string) (infra.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.config.Timeout)
 	defer cancel()
 	rows, err := m.config.Table.Get(ctx, key)
--- a/batch/manager.go
+++ b/batch/manager.go
@@ -14,8 +14,8 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// Manager runs the worker shards that this host owns, on one control
-// goroutine, and answers for jobs of shards owned elsewhere. Its exported
+// Manager runs the worker shards that this host owns on one control goroutine,
+// and forwards requests for jobs of other shards to their owners. Its exported
 // methods are safe for concurrent use.
 type Manager struct {
 	config  Config
@@ -23,99 +23,98 @@
 	wake    chan struct{}
 
 	mu sync.Mutex
-	// inbox is what the control goroutine has to do.
+	// inbox holds functions to run on the control goroutine.
 	inbox []func(now time.Time)
-	// stopped is set once the control goroutine has ended.
+	// stopped is closed once the control goroutine has ended.
 	stopped chan struct{}
-	// view is the newest ownership.
-	view *ownership.Snapshot
-	// loads is the number of waiting jobs by shard, as last heard.
+	// snapshot is the latest shard ownership.
+	snapshot *ownership.Snapshot
+	// loads is the last known number of pending jobs by shard.
 	loads  map[string]int
 	counts Counts
 
-	// The fields below belong to the control goroutine.
-	shards  map[string]*owned
+	// The fields below are used only on the control goroutine.
+	shards  map[string]*ownedShard
 	members map[string][]infra.Member
 	// lost are grants under which a shard was dropped because another host
-	// owns it; they are not taken up again.
+	// owns it. They are not used again.
 	lost    map[string]ownership.Grant
 	tasks   sync.WaitGroup
 	context context.Context
-	// calendar holds the events in force.
+	// calendar holds the configured events.
 	calendar forecast.Calendar
-	// quotas are the teams' quotas, and divisions those that this host
-	// divides.
+	// quotas are the teams' quotas; divisions are those that this host divides.
 	quotas    map[string]quota.Amount
-	divisions map[string]*division
-	// dividers are the hosts that divide, by team.
+	divisions map[string]*teamDivision
+	// dividers are the hosts that divide the quotas, by team.
 	dividers map[string]string
-	// faults break a mechanism on purpose; only tests set them.
+	// faults disable mechanisms; only tests set them.
 	faults faults
 }
 
-// owned is a shard with the grant that it is held under.
-type owned struct {
+// ownedShard is a shard with the grant under which this host owns it.
+type ownedShard struct {
 	*Shard
 	grant ownership.Grant
-	// stop ends the replay.
+	// stop cancels the replay.
 	stop context.CancelFunc
-	// released is closed once a hand-over has nothing under way.
+	// released is closed once a release is complete; nil if none was requested.
 	released chan struct{}
 }
 
-// live reports whether leases may be renewed under the grant: past its end
-// another host may have taken over.
-func (o *owned) live(now time.Time) bool {
+// grantValid reports whether the grant is valid at now. After it ends another
+// host may own the shard, so leases must not be renewed.
+func (o *ownedShard) grantValid(now time.Time) bool {
 	return o.grant.Share != ownership.None && now.Before(o.grant.Until)
 }
 
-// New returns a manager and registers its peer methods; it works once Run is
-// called.
+// New returns a manager and registers its peer methods. Its shards are
+// processed while Run is running.
 func New(c Config) *Manager {
 	c = withDefaults(c)
 	m := &Manager{
-		config:  c,
-		metrics: newMetrics(c.Registerer),
-		wake:    make(chan struct{}, 1),
-		stopped: make(chan struct{}),
-		view:    &ownership.Snapshot{},
-		loads:   map[string]int{},
-		shards:  map[string]*owned{},
-		members: map[string][]infra.Member{},
-		lost:    map[string]ownership.Grant{},
+		config:   c,
+		metrics:  newMetrics(c.Registerer),
+		wake:     make(chan struct{}, 1),
+		stopped:  make(chan struct{}),
+		snapshot: &ownership.Snapshot{},
+		loads:    map[string]int{},
+		shards:   map[string]*ownedShard{},
+		members:  map[string][]infra.Member{},
+		lost:     map[string]ownership.Grant{},
 
 		quotas:    map[string]quota.Amount{},
-		divisions: map[string]*division{},
+		divisions: map[string]*teamDivision{},
 		dividers:  map[string]string{},
 	}
-	m.handle(c.Mux)
+	m.registerHandlers(c.Mux)
 	return m
 }
 
-// SetOwnership takes in the newest ownership of shards.
+// SetOwnership sets the latest ownership of shards.
 func (m *Manager) SetOwnership(v *ownership.Snapshot) {
 	m.mu.Lock()
-	m.view = v
+	m.snapshot = v
 	m.mu.Unlock()
-	m.post(func(now time.Time) { m.apply(now, v) })
+	m.post(func(now time.Time) { m.applyOwnership(now, v) })
 }
 
-// SetPolicy brings other settings into force in the shards owned here and in
-// their planners, which keep what they learned.
+// SetPolicy applies new settings to the shards that this host owns and to their
+// planners, which keep their learned estimates.
 func (m *Manager) SetPolicy(b settings.Batch, o placement.Options) {
 	m.post(func(time.Time) {
 		m.config.Settings = b
-		// Events that can't be read are refused by package settings before.
+		// Package settings has rejected invalid events before.
 		m.calendar, _ = forecast.NewCalendar(o.Events)
 		m.quotas = quotasOf(o.Teams)
-		m.assignDuties()
+		m.assignDividers()
 		for _, shard := range m.shards {
 			shard.setPolicy(b, o, m.quotas)
 		}
 	})
 }
 
-// SetWorkers takes in the workers of each worker shard.
+// SetWorkers sets the workers of each worker shard.
 func (m *Manager) SetWorkers(workers map[string][]infra.Member) {
 	m.post(func(now time.Time) {
 		m.members = workers
@@ -125,19 +124,19 @@
 	})
 }
 
-// Counts returns totals over the shards owned here.
+// Counts returns totals over the shards that this host owns.
 func (m *Manager) Counts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.counts
 }
 
-// Release stops all work of a shard for a hand-over: no new job, start or
-// exchange. It returns once no commit of the shard is under way; the caller
-// may then give up the shard's row.
+// Release stops a shard so that it can be handed over: no more jobs, starts or
+// exchanges. It returns once none of the shard's commits and exchanges is in
+// flight; the caller may then give up the shard's row.
 func (m *Manager) Release(ctx context.Context, shard string) error {
 	released := make(chan struct{})
-	m.post(func(now time.Time) { m.release(now, shard, released) })
+	m.post(func(now time.Time) { m.beginRelease(now, shard, released) })
 	select {
 	case <-released:
 		return nil
@@ -148,7 +147,7 @@
 	}
 }
 
-// post has f run on the control goroutine.
+// post queues f to run on the control goroutine.
 func (m *Manager) post(f func(now time.Time)) {
 	m.mu.Lock()
 	m.inbox = append(m.inbox, f)
@@ -159,7 +158,7 @@
 	}
 }
 
-// drain runs what was posted.
+// drain runs the posted functions.
 func (m *Manager) drain(now time.Time) {
 	m.mu.Lock()
 	posted := m.inbox
@@ -170,7 +169,7 @@
 	}
 }
 
-// commit hands a shard's change to the journal.
+// commit appends a shard's change to the journal.
 func (m *Manager) commit(c change) {
 	m.config.Journal.Append(journal.Entry{
 		Conditions: c.conditions,
--- a/batch/manager_gain.go
+++ b/batch/manager_gain.go
@@ -12,66 +12,66 @@
 	"github.com/fireflygate/fireflygate/ownership"
 )
 
-// apply takes in a new view: shards no longer held are dropped, new ones are
-// replayed.
-func (m *Manager) apply(now time.Time, v *ownership.Snapshot) {
+// applyOwnership drops the shards that this host no longer owns and takes over
+// new ones.
+func (m *Manager) applyOwnership(now time.Time, v *ownership.Snapshot) {
 	for name, o := range m.shards {
 		g, ok := v.Grants[name]
 		if !ok || g.Epoch != o.epoch || g.Share == ownership.None {
-			m.drop(name, "grant ended")
+			m.dropShard(name, "grant ended")
 			continue
 		}
 		o.grant = g
-		// A host may write its own shard's row anew, for instance to confirm
-		// a succession; later commits carry the newer version.
+		// The host itself may have rewritten its shard's row, for instance to
+		// confirm a succession; later commits must use the newer version.
 		o.fence.Version = g.Version
 	}
 	for name, g := range v.Grants {
-		if m.shards[name] == nil && m.mayGain(now, name, g) {
-			m.gain(now, name, g)
+		if m.shards[name] == nil && m.canTakeOver(now, name, g) {
+			m.takeOver(now, name, g)
 		}
 	}
-	m.assignDuties()
+	m.assignDividers()
 }
 
-// mayGain reports whether the grant is of a worker shard and was not found to
-// be overtaken.
-func (m *Manager) mayGain(now time.Time, name string, g ownership.Grant) bool {
+// canTakeOver reports whether the grant is for a worker shard, is valid, and is
+// not known to be superseded.
+func (m *Manager) canTakeOver(now time.Time, name string, g ownership.Grant) bool {
 	lost, ok := m.lost[name]
 	overtaken := ok && lost.Epoch == g.Epoch && lost.Version == g.Version
 	return strings.HasPrefix(name, workerShards) && g.At(now) != ownership.None && !overtaken
 }
 
-// gain takes over a shard.
-func (m *Manager) gain(now time.Time, name string, g ownership.Grant) {
+// takeOver creates a shard and starts its replay.
+func (m *Manager) takeOver(now time.Time, name string, g ownership.Grant) {
 	l := limits{Batch: m.config.Settings, taskLease: m.config.TaskLease, clockRate: m.config.ClockRate, retention: m.config.Retention}
 	s := newShard(name, g.Epoch, g.Version, l, m.config.NewPlanner(name), m.config.Log, m.metrics)
 	s.faults = m.faults
 	s.setQuotas(m.quotas)
 	ctx, cancel := context.WithCancel(m.context)
-	o := &owned{Shard: s, grant: g, stop: cancel}
+	o := &ownedShard{Shard: s, grant: g, stop: cancel}
 	m.shards[name] = o
 	s.setMembers(now, m.members[name])
 	for _, w := range s.workers {
-		w.next = now.Add(m.spread())
+		w.nextExchange = now.Add(m.randomExchangeDelay())
 	}
 	event.ShardReplaying.Log(m.config.Log, slog.String("shard", name), slog.Uint64("epoch", g.Epoch))
 	m.tasks.Go(func() { m.replay(ctx, o) })
 }
 
-// spread returns a random part of the exchange interval.
-func (m *Manager) spread() time.Duration {
+// randomExchangeDelay returns a random duration up to the exchange interval.
+func (m *Manager) randomExchangeDelay() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Duration(m.config.Rand.Int64N(int64(m.config.Settings.Exchange.D()) + 1))
 }
 
-// replay reads the shard's records. The fence is in place: the row changed
-// before, so no earlier owner writes any more.
-func (m *Manager) replay(ctx context.Context, o *owned) {
+// replay reads the shard's records. Earlier owners can't write any more, because
+// the version of the shard's row has changed.
+func (m *Manager) replay(ctx context.Context, o *ownedShard) {
 	var divisions map[string]storedDivision
-	records, err := backoff.Retry(ctx, func() ([]stored, error) {
-		records, err := m.read(ctx, o.name)
+	records, err := backoff.Retry(ctx, func() ([]storedRecord, error) {
+		records, err := m.readRecords(ctx, o.name)
 		if err == nil {
 			divisions, err = m.readDivisions(ctx)
 		}
@@ -84,16 +84,16 @@
 		return // the shard was dropped
 	}
 	m.post(func(now time.Time) {
-		if !m.holds(o) {
+		if !m.isCurrent(o) {
 			return
 		}
-		o.beginAllotments(divisions)
+		o.loadAllotments(divisions)
 		o.load(now, records)
 		event.ShardReplayed.Log(m.config.Log, slog.String("shard", o.name), slog.Int("records", len(records)))
 	})
 }
 
-// replayBackoff returns the waits between attempts of a replay.
+// replayBackoff returns the backoff between attempts of a replay.
 func replayBackoff() backoff.BackOff {
 	const first, largest = 100 * time.Millisecond, 2 * time.Second
 	b := backoff.NewExponentialBackOff()
@@ -102,10 +102,11 @@
 	return b
 }
 
-// read reads all records of a shard, page by page.
-func (m *Manager) read(ctx context.Context, shard string) ([]stored, error) {
+// readRecords reads all records of a shard. It logs and skips those that can't
+// be decoded.
+func (m *Manager) readRecords(ctx context.Context, shard string) ([]storedRecord, error) {
 	prefix := jobPrefix + shard + "/"
-	var records []stored
+	var records []storedRecord
 	after := ""
 	for {
 		rows, err := m.scan(ctx, prefix, after)
@@ -119,9 +120,9 @@
 				event.RecordUnreadable.Log(m.config.Log, slog.String("key", row.Key), slog.String("error", err.Error()))
 				continue
 			}
-			records = append(records, stored{record: r, version: row.Version})
+			records = append(records, storedRecord{record: r, version: row.Version})
 		}
-		if len(rows) < scanPage {
+		if len(rows) < scanPageRows {
 			return records, nil
 		}
 	}
--- a/batch/manager_move.go
+++ b/batch/manager_move.go
@@ -10,47 +10,47 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// offerRequest asks a shard's owner which jobs it would take over.
+// offerRequest asks a shard's owner which of the jobs it accepts.
 type offerRequest struct {
 	Shard string      `msgpack:"h"`
 	Specs []task.Spec `msgpack:"s"`
 }
 
-// offerReply names the jobs that would be taken.
+// offerReply lists the accepted jobs.
 type offerReply struct {
 	IDs []string `msgpack:"i"`
-	// Version is of the shard's row, a condition of the hand-over.
+	// Version is the version of the shard's row, on which the hand-over is
+	// conditional.
 	Version uint64 `msgpack:"v"`
 	Load    int    `msgpack:"l"`
 }
 
-// movedRequest tells a shard's owner of jobs that were handed over to it.
+// movedRequest notifies a shard's owner of jobs handed over to it.
 type movedRequest struct {
 	Shard string   `msgpack:"h"`
 	IDs   []string `msgpack:"i"`
 }
 
-// movedReply is empty.
 type movedReply struct{}
 
-// move offers jobs that wait to another shard, and looks for jobs that this
-// shard accepted and did not hear of.
-func (m *Manager) move(now time.Time, o *owned) {
-	if specs := o.surplus(now); len(specs) > 0 {
+// moveJobs offers pending jobs to another shard, and reads the rows of accepted
+// jobs whose notification is overdue.
+func (m *Manager) moveJobs(now time.Time, o *ownedShard) {
+	if specs := o.offerableJobs(now); len(specs) > 0 {
 		m.tasks.Go(func() { m.offer(o, specs) })
 	}
 	if now.Before(o.nextCheck) {
 		return
 	}
-	o.nextCheck = now.Add(checkAfter)
-	if ids := o.overdue(now); len(ids) > 0 {
-		m.tasks.Go(func() { m.fetch(m.context, o, ids) })
+	o.nextCheck = now.Add(expectedCheckInterval)
+	if ids := o.overdueJobs(now); len(ids) > 0 {
+		m.tasks.Go(func() { m.fetchExpected(m.context, o, ids) })
 	}
 }
 
-// offer asks the less loaded of two shards to take the jobs, and hands over
+// offer offers the jobs to the less loaded of two random shards and hands over
 // those that it accepts.
-func (m *Manager) offer(o *owned, specs []task.Spec) {
+func (m *Manager) offer(o *ownedShard, specs []task.Spec) {
 	ctx, cancel := context.WithTimeout(m.context, m.config.Timeout)
 	defer cancel()
 	others := slices.DeleteFunc(m.candidates(specs[0].Zones), func(s string) bool { return s == o.name })
@@ -60,58 +60,59 @@
 	to := m.pick(others)
 	request := offerRequest{Shard: to, Specs: specs}
 	r, kind := call[offerReply](ctx, m, to, methodOffer, request, func(ctx context.Context) (offerReply, bool) {
-		return m.offerHere(ctx, request)
+		return m.offerLocal(ctx, request)
 	})
 	if kind != outcome.Answered {
 		return
 	}
-	m.heard(to, r.Load)
+	m.setLoad(to, r.Load)
 	condition := infra.Condition{Key: shardKey(to), Version: r.Version}
 	for _, id := range r.IDs {
 		m.post(func(now time.Time) {
-			o.moveOut(now, id, condition, to, func(ok bool) {
+			o.handOver(now, id, condition, to, func(ok bool) {
 				if ok {
-					m.tasks.Go(func() { m.tellMoved(to, id) })
+					m.tasks.Go(func() { m.notifyMoved(to, id) })
 				}
 			})
 		})
 	}
 }
 
-// tellMoved tells the new shard's owner of a job. If that is lost, the owner
-// reads the row by itself.
-func (m *Manager) tellMoved(to, id string) {
+// notifyMoved notifies the owner of the new shard of a job. If the notification
+// is lost, the owner finds the row by itself.
+func (m *Manager) notifyMoved(to, id string) {
 	ctx, cancel := context.WithTimeout(m.context, m.config.Timeout)
 	defer cancel()
 	request := movedRequest{Shard: to, IDs: []string{id}}
 	call[movedReply](ctx, m, to, methodMoved, request, func(ctx context.Context) (movedReply, bool) {
-		return m.movedHere(ctx, request)
+		return m.movedLocal(ctx, request)
 	})
 }
 
-// offerHere answers for a local shard.
-func (m *Manager) offerHere(ctx context.Context, r offerRequest) (offerReply, bool) {
+// offerLocal handles an offer to a local shard.
+func (m *Manager) offerLocal(ctx context.Context, r offerRequest) (offerReply, bool) {
 	return await(ctx, m, func(now time.Time, reply func(offerReply)) {
 		o := m.shards[r.Shard]
-		if o == nil || !o.live(now) {
+		if o == nil || !o.grantValid(now) {
 			reply(offerReply{})
 			return
 		}
-		reply(offerReply{IDs: o.accepts(now, r.Specs), Version: o.fence.Version, Load: o.pending})
+		reply(offerReply{IDs: o.acceptOffer(now, r.Specs), Version: o.fence.Version, Load: o.pending})
 	})
 }
 
-// movedHere reads jobs that were handed over to a local shard.
-func (m *Manager) movedHere(ctx context.Context, r movedRequest) (movedReply, bool) {
-	o, ok := await(ctx, m, func(_ time.Time, reply func(*owned)) { reply(m.shards[r.Shard]) })
+// movedLocal reads jobs that were handed over to a local shard.
+func (m *Manager) movedLocal(ctx context.Context, r movedRequest) (movedReply, bool) {
+	o, ok := await(ctx, m, func(_ time.Time, reply func(*ownedShard)) { reply(m.shards[r.Shard]) })
 	if ok && o != nil {
-		m.fetch(ctx, o, r.IDs)
+		m.fetchExpected(ctx, o, r.IDs)
 	}
 	return movedReply{}, ok
 }
 
-// fetch reads jobs that the shard expects and takes in those that are there.
-func (m *Manager) fetch(ctx context.Context, o *owned, ids []string) {
+// fetchExpected reads the rows of expected jobs and adds those found to the
+// shard.
+func (m *Manager) fetchExpected(ctx context.Context, o *ownedShard, ids []string) {
 	ctx, cancel := context.WithTimeout(ctx, m.config.Timeout)
 	defer cancel()
 	keys := make([]string, 0, len(ids))
@@ -120,13 +121,13 @@
 	}
 	rows, err := m.config.Table.Get(ctx, keys...)
 	if err != nil {
-		return // looked for again after checkAfter
+		return // retried after expectedCheckInterval
 	}
 	m.post(func(now time.Time) {
 		for _, row := range rows {
 			record, err := decodeRecord(row.Value)
-			if row.Version != 0 && err == nil && m.holds(o) {
-				o.arrive(now, stored{record: record, version: row.Version})
+			if row.Version != 0 && err == nil && m.isCurrent(o) {
+				o.adoptMoved(now, storedRecord{record: record, version: row.Version})
 			}
 		}
 	})
--- a/batch/manager_quota.go
+++ b/batch/manager_quota.go
@@ -15,41 +15,42 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// division is what the host that divides a team's quota keeps between rounds.
-type division struct {
-	stored  storedDivision
-	known   bool
-	targets map[string]quota.Amount
-	busy    bool
-	next    time.Time
-	// began is when the last round began, and hurried is set when a shard
-	// asked for the next one meanwhile.
-	began   time.Time
-	hurried bool
+// teamDivision is the state between rounds of the host that divides a team's
+// quota.
+type teamDivision struct {
+	stored     storedDivision
+	known      bool
+	targets    map[string]quota.Amount
+	inProgress bool
+	nextRound  time.Time
+	// startedAt is when the last round started. rerun is set if a shard
+	// requested another round since.
+	startedAt time.Time
+	rerun     bool
 }
 
-// hasten has the next round come as soon as rounds may follow each other.
-func (d *division) hasten(now time.Time) {
-	d.hurried = d.busy
-	soon := d.began.Add(divideSoon)
-	if now.After(soon) {
-		soon = now
+// expedite schedules the next round as soon as divideMinInterval allows.
+func (d *teamDivision) expedite(now time.Time) {
+	d.rerun = d.inProgress
+	earliest := d.startedAt.Add(divideMinInterval)
+	if now.After(earliest) {
+		earliest = now
 	}
-	if soon.Before(d.next) {
-		d.next = soon
+	if earliest.Before(d.nextRound) {
+		d.nextRound = earliest
 	}
 }
 
-// ended takes in a round.
-func (d *division) ended(now time.Time, r *round) {
+// finishRound stores the result of a round and schedules the next one.
+func (d *teamDivision) finishRound(now time.Time, r *round) {
 	d.stored, d.known, d.targets = r.stored, r.known, r.targets
-	d.busy, d.next = false, now.Add(r.wait())
-	if d.hurried {
-		d.hasten(now)
+	d.inProgress, d.nextRound = false, now.Add(r.nextDelay())
+	if d.rerun {
+		d.expedite(now)
 	}
 }
 
-// quotasOf returns the quotas of the teams that have one.
+// quotasOf returns the quotas of the teams that have any.
 func quotasOf(teams map[string]settings.Team) map[string]quota.Amount {
 	out := map[string]quota.Amount{}
 	for name, t := range teams {
@@ -60,10 +61,10 @@
 	return out
 }
 
-// assignDuties keeps the divisions of the teams that fall to this host, by
-// rendezvous hashing over the owners of worker shards. Two hosts that see
-// different owners may both divide for a while; the table lets one win.
-func (m *Manager) assignDuties() {
+// assignDividers assigns each team's quota to a host by rendezvous hashing over
+// the owners of worker shards. Hosts with different ownership snapshots may both
+// divide a quota; the conditions of the commits let only one succeed.
+func (m *Manager) assignDividers() {
 	shards := m.shardsByOwner()
 	hosts := slices.Sorted(maps.Keys(shards))
 	clear(m.dividers)
@@ -75,7 +76,7 @@
 	}
 	for team, host := range m.dividers {
 		if host == m.config.Host && m.divisions[team] == nil {
-			m.divisions[team] = &division{}
+			m.divisions[team] = &teamDivision{}
 		}
 	}
 	for team := range m.divisions {
@@ -85,41 +86,43 @@
 	}
 }
 
-// askForMore tells the hosts that divide of teams that wait in shards here.
-func (m *Manager) askForMore(now time.Time) {
-	wants := map[string][]string{}
+// requestQuota notifies the dividing hosts of teams whose pending jobs exceed
+// their allotments in local shards.
+func (m *Manager) requestQuota(now time.Time) {
+	waiting := map[string][]string{}
 	for _, o := range m.shards {
-		for _, team := range o.wanting(now) {
+		for _, team := range o.teamsWaitingForQuota(now) {
 			host := m.dividers[team]
-			if host != "" && !slices.Contains(wants[host], team) {
-				wants[host] = append(wants[host], team)
+			if host != "" && !slices.Contains(waiting[host], team) {
+				waiting[host] = append(waiting[host], team)
 			}
 		}
 	}
-	for host, teams := range wants {
-		request := wantRequest{Teams: teams}
-		m.tasks.Go(func() { m.want(host, request) })
+	for host, teams := range waiting {
+		request := quotaWantRequest{Teams: teams}
+		m.tasks.Go(func() { m.sendQuotaWant(host, request) })
 	}
 }
 
-// want sends one word to a host. If it is lost, another follows.
-func (m *Manager) want(host string, request wantRequest) {
+// sendQuotaWant sends one request to a host. A lost request is repeated after
+// quotaCheckInterval.
+func (m *Manager) sendQuotaWant(host string, request quotaWantRequest) {
 	ctx, cancel := context.WithTimeout(m.context, exchangeTimeout)
 	defer cancel()
 	if host == m.config.Host {
-		m.wantHere(ctx, request)
+		m.quotaWantLocal(ctx, request)
 		return
 	}
-	var reply wantReply
+	var reply quotaWantReply
 	m.config.Transport.Call(ctx, host, methodQuotaWant, request, &reply)
 }
 
-// shardsByOwner returns the worker shards of each host, as last known.
+// shardsByOwner returns the last known worker shards of each host.
 func (m *Manager) shardsByOwner() map[string][]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := map[string][]string{}
-	for shard, owner := range m.view.Owners {
+	for shard, owner := range m.snapshot.Owners {
 		if owner != "" && strings.HasPrefix(shard, workerShards) {
 			out[owner] = append(out[owner], shard)
 		}
@@ -127,25 +130,26 @@
 	return out
 }
 
-// divide begins the rounds that are due.
-func (m *Manager) divide(now time.Time) {
+// startRounds starts the rounds that are due.
+func (m *Manager) startRounds(now time.Time) {
 	for team, d := range m.divisions {
-		if d.busy || now.Before(d.next) {
+		if d.inProgress || now.Before(d.nextRound) {
 			continue
 		}
-		d.busy, d.hurried, d.began = true, false, now
+		d.inProgress, d.rerun, d.startedAt = true, false, now
 		r := &round{
 			manager: m, team: team, quota: m.quotas[team], shards: m.shardsByOwner(),
 			stored: d.stored, known: d.known, targets: d.targets,
 		}
 		m.tasks.Go(func() {
 			r.run(m.context)
-			m.post(func(now time.Time) { d.ended(now, r) })
+			m.post(func(now time.Time) { d.finishRound(now, r) })
 		})
 	}
 }
 
-// readDivisions reads the divisions of all teams.
+// readDivisions reads the divisions of all teams, skipping those that can't be
+// decoded.
 func (m *Manager) readDivisions(ctx context.Context) (map[string]storedDivision, error) {
 	out := map[string]storedDivision{}
 	after := ""
@@ -162,7 +166,7 @@
 				out[team] = d
 			}
 		}
-		if len(rows) < scanPage {
+		if len(rows) < scanPageRows {
 			return out, nil
 		}
 	}
--- a/batch/manager_run.go
+++ b/batch/manager_run.go
@@ -9,11 +9,12 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// ticksPerExchange is how often in an exchange interval a shard looks at what
-// is due; exchanges are spread over these ticks.
+// ticksPerExchange is the number of ticks per exchange interval; exchanges are
+// spread over them.
 const ticksPerExchange = 50
 
-// Run works until ctx ends and waits for what it has under way.
+// Run processes the shards until ctx ends, then waits for the manager's
+// goroutines.
 func (m *Manager) Run(ctx context.Context) {
 	defer close(m.stopped)
 	m.context = ctx
@@ -38,34 +39,35 @@
 	}
 }
 
-// tickInterval is how often the shards look at what is due.
+// tickInterval returns the interval of the timer that drives the shards.
 func (m *Manager) tickInterval() time.Duration {
 	return max(m.config.Settings.Exchange.D()/ticksPerExchange, time.Millisecond)
 }
 
-// tick lets each shard do what the passing of time asks for.
+// tick runs the periodic work of all shards.
 func (m *Manager) tick(now time.Time) {
 	for _, o := range m.shards {
-		if o.live(now) {
+		if o.grantValid(now) {
 			o.tick(now)
-			m.move(now, o)
+			m.moveJobs(now, o)
 			m.rescan(now, o)
 		}
 	}
-	m.askForMore(now)
-	m.divide(now)
-	m.count()
+	m.requestQuota(now)
+	m.startRounds(now)
+	m.publishCounts()
 }
 
-// flush carries out what the shards left in their outboxes.
+// flush sends the commits and exchanges that the shards have queued, and drops
+// shards that were fenced or released.
 func (m *Manager) flush(now time.Time) {
 	for name, o := range m.shards {
 		if o.fenced {
 			m.lost[name] = o.grant
-			m.drop(name, "another owner")
+			m.dropShard(name, "another owner")
 			continue
 		}
-		if o.live(now) && o.ready && o.dirty {
+		if o.grantValid(now) && o.ready && o.planNeeded {
 			o.plan(now)
 		}
 		changes := o.changes
@@ -73,7 +75,7 @@
 		for _, c := range changes {
 			m.commit(c)
 		}
-		if o.live(now) {
+		if o.grantValid(now) {
 			for _, msg := range o.messages(now) {
 				m.exchange(now, o, msg)
 			}
@@ -82,12 +84,12 @@
 	}
 }
 
-// exchange sends one message on a goroutine of its own. Its time counts from
-// the check of the grant at now: a process that was paused in between must not
-// renew leases of a shard that has another owner since.
-func (m *Manager) exchange(now time.Time, o *owned, msg message) {
-	left := exchangeTimeout - m.config.Now().Sub(now)
-	ctx, cancel := context.WithTimeout(m.context, left)
+// exchange sends one message on a new goroutine. Its timeout starts at now, when
+// the grant was checked, so that a process that was paused since does not renew
+// leases of a shard that may have another owner.
+func (m *Manager) exchange(now time.Time, o *ownedShard, msg message) {
+	remaining := exchangeTimeout - m.config.Now().Sub(now)
+	ctx, cancel := context.WithTimeout(m.context, remaining)
 	m.tasks.Go(func() {
 		defer cancel()
 		var reply infra.ExchangeReply
@@ -96,18 +98,18 @@
 			reply, err = m.config.Workers.Exchange(ctx, msg.address, msg.exchange)
 		}
 		m.post(func(now time.Time) {
-			if m.holds(o) {
-				o.answer(now, msg, reply, err)
+			if m.isCurrent(o) {
+				o.handleReply(now, msg, reply, err)
 			}
 		})
 	})
 }
 
-// holds reports whether the shard is still the one held.
-func (m *Manager) holds(o *owned) bool { return m.shards[o.name] == o }
+// isCurrent reports whether o is still a shard of this manager.
+func (m *Manager) isCurrent(o *ownedShard) bool { return m.shards[o.name] == o }
 
-// drop forgets a shard at once.
-func (m *Manager) drop(name, reason string) {
+// dropShard removes a shard immediately.
+func (m *Manager) dropShard(name, reason string) {
 	o := m.shards[name]
 	o.fenced = true
 	o.stop()
@@ -118,8 +120,9 @@
 	event.ShardDropped.Log(m.config.Log, slog.String("shard", name), slog.String("reason", reason))
 }
 
-// release begins the hand-over of a shard.
-func (m *Manager) release(_ time.Time, shard string, released chan struct{}) {
+// beginRelease starts the release of a shard and closes released once it is
+// complete.
+func (m *Manager) beginRelease(_ time.Time, shard string, released chan struct{}) {
 	o := m.shards[shard]
 	if o == nil {
 		close(released)
@@ -137,27 +140,28 @@
 	})
 }
 
-// finishRelease ends a hand-over once nothing of the shard is under way.
-func (m *Manager) finishRelease(name string, o *owned) {
-	if !o.releasing || o.open > 0 || o.exchanging() {
+// finishRelease drops a releasing shard once it has no commits or exchanges in
+// flight.
+func (m *Manager) finishRelease(name string, o *ownedShard) {
+	if !o.releasing || o.commitsInFlight > 0 || o.anyExchangeInFlight() {
 		return
 	}
 	event.WorkerShardReleased.Log(m.config.Log, slog.String("shard", name))
-	m.drop(name, "released")
+	m.dropShard(name, "released")
 }
 
-// exchanging reports whether an exchange is under way.
-func (s *Shard) exchanging() bool {
+// anyExchangeInFlight reports whether an exchange of the shard is in flight.
+func (s *Shard) anyExchangeInFlight() bool {
 	for _, w := range s.workers {
-		if w.busy {
+		if w.exchangeInFlight {
 			return true
 		}
 	}
 	return false
 }
 
-// count publishes the totals.
-func (m *Manager) count() {
+// publishCounts updates the totals, gauges and loads.
+func (m *Manager) publishCounts() {
 	c := Counts{Shards: len(m.shards)}
 	loads := make(map[string]int, len(m.shards))
 	for name, o := range m.shards {
@@ -184,5 +188,5 @@
 func (m *Manager) scan(ctx context.Context, prefix, after string) ([]infra.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.config.Timeout)
 	defer cancel()
-	return m.config.Table.Scan(ctx, prefix, after, scanPage)
+	return m.config.Table.Scan(ctx, prefix, after, scanPageRows)
 }
--- a/batch/manager_test.go
+++ b/batch/manager_test.go
@@ -14,12 +14,12 @@
 	bubble(t, 2, func(r *rig) {
 		n := r.node("a")
 		r.own(n)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.submit(n, spec("j", 10*time.Second))
-		r.settle(2 * time.Second)
-		r.state(n, "j", task.Running)
-		r.settle(20 * time.Second)
-		r.state(n, "j", task.Done)
+		r.advanceTime(2 * time.Second)
+		r.expectState(n, "j", task.Running)
+		r.advanceTime(20 * time.Second)
+		r.expectState(n, "j", task.Done)
 		if runs := r.workers.runsOf("j"); len(runs) != 1 {
 			t.Errorf("%d runs, want 1", len(runs))
 		}
@@ -30,23 +30,23 @@
 	bubble(t, 1, func(r *rig) {
 		a, b := r.node("a"), r.node("b")
 		r.own(a)
-		r.tell(b)
-		r.settle(2 * time.Second)
+		r.setOwnership(b)
+		r.advanceTime(2 * time.Second)
 		r.submit(b, spec("j", time.Second))
 		again := spec("other", time.Second)
 		again.Key = "key-j"
 		s, kind, _ := b.Submit(context.Background(), again)
 		if kind != outcome.Answered || s.ID != "j" || !s.Existing {
-			t.Errorf("repeat under the key: %+v %v, want the job that is there", s, kind)
+			t.Errorf("repeated submission with the key: %+v %v, want the existing job", s, kind)
 		}
 		again.RunMS++
 		if _, kind, reason := b.Submit(context.Background(), again); kind != outcome.NotRun || reason != ReasonKeyConflict {
-			t.Errorf("another job under the key: %v %s", kind, reason)
+			t.Errorf("another job with the key: %v %s, want a key conflict", kind, reason)
 		}
 		huge := spec("huge", 0)
 		huge.Resources.MemoryMB = 1 << 40
 		if _, kind, reason := b.Submit(context.Background(), huge); kind != outcome.NotRun || !strings.HasPrefix(reason, ReasonNeverFits) {
-			t.Errorf("a job that fits nowhere: %v %s", kind, reason)
+			t.Errorf("a job that fits no host: %v %s, want never fits", kind, reason)
 		}
 	})
 }
@@ -55,18 +55,18 @@
 	bubble(t, 2, func(r *rig) {
 		a := r.node("a")
 		r.own(a)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.submit(a, spec("j", 20*time.Second))
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		a.kill()
 		b := r.node("b")
 		r.own(b)
-		r.settle(5 * time.Second)
-		r.state(b, "j", task.Running)
-		r.settle(30 * time.Second)
-		r.state(b, "j", task.Done)
+		r.advanceTime(5 * time.Second)
+		r.expectState(b, "j", task.Running)
+		r.advanceTime(30 * time.Second)
+		r.expectState(b, "j", task.Done)
 		if runs := r.workers.runsOf("j"); len(runs) != 1 {
-			t.Errorf("%d runs, want the one adopted", len(runs))
+			t.Errorf("%d runs, want only the adopted one", len(runs))
 		}
 	})
 }
--- a/batch/metrics.go
+++ b/batch/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// metrics are the manager's metrics; labels are bounded.
+// metrics are the manager's metrics.
 type metrics struct {
 	pending   prometheus.Gauge
 	running   prometheus.Gauge
@@ -47,8 +47,8 @@
 	return m
 }
 
-// started notes the latency of a start.
-func (m *metrics) started(d time.Duration, urgent bool) {
+// observeStart records the time from pending to running.
+func (m *metrics) observeStart(d time.Duration, urgent bool) {
 	label := "no"
 	if urgent {
 		label = "yes"
@@ -56,12 +56,12 @@
 	m.latency.WithLabelValues(label).Observe(d.Seconds())
 }
 
-// otherEnd is the label of an end that no worker should report.
+// otherEnd is the label of ends with an unknown state.
 const otherEnd = "other"
 
-// ended notes the end of a run. What a worker says is no label by itself: a
-// faulty one could make up any number.
-func (m *metrics) ended(state infra.RunState) {
+// countEnd counts the end of a run. Unknown states share one label, so that a
+// faulty worker can't create an unbounded number of labels.
+func (m *metrics) countEnd(state infra.RunState) {
 	label := otherEnd
 	switch state {
 	case infra.RunDone, infra.RunFailed, infra.RunKilled, infra.RunStopped, infra.RunExpired, infra.RunRefused:
--- a/batch/metrics_test.go
+++ b/batch/metrics_test.go
@@ -9,14 +9,14 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// TestEndsHaveBoundedLabels lets a worker report states of its own making.
-func TestEndsHaveBoundedLabels(t *testing.T) {
+// TestEndLabelsAreBounded checks that unknown run states share one label.
+func TestEndLabelsAreBounded(t *testing.T) {
 	m := newMetrics(nil)
-	m.ended(infra.RunDone)
+	m.countEnd(infra.RunDone)
 	for i := range 10 {
-		m.ended(infra.RunState(fmt.Sprint("made-up-", i)))
+		m.countEnd(infra.RunState(fmt.Sprint("made-up-", i)))
 	}
 	if n := testutil.CollectAndCount(m.ends); n != 2 {
-		t.Errorf("%d label values, want done and other", n)
+		t.Errorf("%d label values, want 2: done and other", n)
 	}
 }
--- a/batch/move_test.go
+++ b/batch/move_test.go
@@ -14,7 +14,8 @@
 
 const otherShard = "wk/zone/1"
 
-// twoShards has a own one shard of w0, and b another of w1.
+// twoShards starts hosts a and b, which own one shard each: a that of w0, b that
+// of w1.
 func (r *rig) twoShards() (a, b *node) {
 	a, b = r.node("a"), r.node("b")
 	owners := map[string]string{shard: "a", otherShard: "b"}
@@ -26,37 +27,37 @@
 			Share: ownership.Full, Until: time.Now().Add(time.Hour),
 		}}})
 	}
-	r.settle(2 * time.Second)
+	r.advanceTime(2 * time.Second)
 	return a, b
 }
 
-// fill has a's shard hold more than its worker does.
-func (r *rig) fill(a *node, jobs int) {
+// submitJobs submits jobs to the shard of a.
+func (r *rig) submitJobs(a *node, jobs int) {
 	for i := range jobs {
-		reply, _ := a.submitHere(r.t.Context(), submitRequest{Shard: shard, Spec: spec(fmt.Sprint("j", i), 30*time.Second)})
+		reply, _ := a.submitLocal(r.t.Context(), submitRequest{Shard: shard, Spec: spec(fmt.Sprint("j", i), 30*time.Second)})
 		if reply.Code != submitAccepted {
 			r.t.Fatalf("submission %d: %+v", i, reply)
 		}
 	}
 }
 
-// loseMoved has b never hear of jobs that were handed over to it.
-func (r *rig) loseMoved() {
+// dropMovedCalls loses the notifications to b of jobs handed over to it.
+func (r *rig) dropMovedCalls() {
 	r.net.Remove("b", methodMoved)
 }
 
 func TestWaitingJobsMoveToAFreeShard(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		t.Run(fmt.Sprint("word lost ", lost), func(t *testing.T) {
+		t.Run(fmt.Sprint("notification lost ", lost), func(t *testing.T) {
 			bubble(t, 2, func(r *rig) {
 				a, _ := r.twoShards()
 				if lost {
-					r.loseMoved()
+					r.dropMovedCalls()
 				}
-				r.fill(a, 8)
-				r.settle(25 * time.Second)
+				r.submitJobs(a, 8)
+				r.advanceTime(25 * time.Second)
 				for i := range 8 {
-					r.state(a, fmt.Sprint("j", i), task.Running)
+					r.expectState(a, fmt.Sprint("j", i), task.Running)
 				}
 				if got := r.countOn("w1"); got != 4 {
 					t.Errorf("%d jobs on the other shard's worker, want 4", got)
@@ -66,31 +67,31 @@
 	}
 }
 
-func TestNoMoveToAShardThatChangedHands(t *testing.T) {
+func TestNoMoveToShardWithNewOwner(t *testing.T) {
 	bubble(t, 2, func(r *rig) {
 		a, b := r.twoShards()
-		r.table.Put(shardKey(otherShard), []byte("c")) // b does not know yet
-		r.fill(a, 8)
-		r.settle(15 * time.Second)
+		r.table.Put(shardKey(otherShard), []byte("c")) // unknown to b
+		r.submitJobs(a, 8)
+		r.advanceTime(15 * time.Second)
 		if c := b.Counts(); c.Pending+c.Running != 0 {
-			t.Errorf("a late owner was handed jobs: %+v", c)
+			t.Errorf("jobs were handed over to a former owner: %+v", c)
 		}
-		r.settle(time.Minute)
+		r.advanceTime(time.Minute)
 		for i := range 8 {
-			r.state(a, fmt.Sprint("j", i), task.Done)
+			r.expectState(a, fmt.Sprint("j", i), task.Done)
 		}
 	})
 }
 
-// TestMovesUnderFaults has jobs move while commits, answers and words to the
-// new owner are lost: each ends once.
-func TestMovesUnderFaults(t *testing.T) {
+// TestJobMovesUnderFaults checks that each job runs exactly once when jobs move
+// while commits, their results and notifications are lost.
+func TestJobMovesUnderFaults(t *testing.T) {
 	const seeds, steps, jobs = 10, 40, 10
 	for seed := range uint64(seeds) {
 		bubble(t, 2, func(r *rig) {
 			rnd := rand.New(rand.NewPCG(seed, 0))
 			a, b := r.twoShards()
-			r.fill(a, jobs)
+			r.submitJobs(a, jobs)
 			for range steps {
 				switch rnd.IntN(5) {
 				case 0:
@@ -102,15 +103,15 @@
 				case 3:
 					r.table.Deliver()
 				case 4:
-					r.loseMoved()
+					r.dropMovedCalls()
 				}
-				r.settle(time.Duration(rnd.IntN(2000)) * time.Millisecond)
+				r.advanceTime(time.Duration(rnd.IntN(2000)) * time.Millisecond)
 			}
 			r.table.Set(func(f *memtable.Faults) { *f = memtable.Faults{} })
 			r.table.Deliver()
-			r.settle(4 * time.Minute)
+			r.advanceTime(4 * time.Minute)
 			for i := range jobs {
-				r.state(b, fmt.Sprint("j", i), task.Done)
+				r.expectState(b, fmt.Sprint("j", i), task.Done)
 				if runs := r.workers.runsOf(fmt.Sprint("j", i)); len(runs) != 1 {
 					t.Errorf("seed %d: j%d has %d runs, want 1", seed, i, len(runs))
 				}
@@ -119,26 +120,26 @@
 	}
 }
 
-// TestRescanFindsWhatNobodyToldOf has a job handed over with the word on it
-// lost for good, and the owner's own wait for it over.
-func TestRescanFindsWhatNobodyToldOf(t *testing.T) {
+// TestRescanFindsJobWithLostNotification checks that a rescan finds a job that
+// was handed over without a notification and is not expected any more.
+func TestRescanFindsJobWithLostNotification(t *testing.T) {
 	bubble(t, 1, func(r *rig) {
 		n := r.started(2 * time.Minute)
 		lost := task.New(spec("lost", time.Second))
 		r.table.Put(jobKey(shard, "lost"), encode(lost))
 		r.table.Put(refKey("lost"), []byte(shard))
 		for range 20 {
-			r.settle(3 * time.Second)
+			r.advanceTime(3 * time.Second)
 			id := fmt.Sprint("k", time.Now().UnixMilli())
 			r.submit(n, spec(id, time.Second))
 		}
-		r.settle(time.Minute)
-		r.state(n, "lost", task.Done)
+		r.advanceTime(time.Minute)
+		r.expectState(n, "lost", task.Done)
 		if runs := r.workers.runsOf("lost"); len(runs) != 1 {
 			t.Errorf("%d runs, want 1", len(runs))
 		}
 		if c := n.Counts(); c.Pending != 0 {
-			t.Errorf("%+v: something is counted twice", c)
+			t.Errorf("counts %+v, want no pending job", c)
 		}
 	})
 }
--- a/batch/pause_test.go
+++ b/batch/pause_test.go
@@ -7,8 +7,8 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// TestExchangeAfterPauseIsNotSent has the process pause between the check of
-// the grant and the sending of an exchange.
+// TestExchangeAfterPauseIsNotSent checks that an exchange is not sent if the
+// process was paused after the check of the grant.
 func TestExchangeAfterPauseIsNotSent(t *testing.T) {
 	bubble(t, 1, func(r *rig) {
 		n := r.started(time.Hour)
@@ -25,9 +25,9 @@
 				o := n.shards[shard]
 				n.exchange(now.Add(-pause), o, message{worker: "w0", address: o.workers["w0"].member.Address, exchange: infra.Exchange{OwnerEpoch: o.epoch, LeaseMS: 1}})
 			})
-			r.settle(100 * time.Millisecond)
+			r.advanceTime(100 * time.Millisecond)
 			if sent != want {
-				t.Errorf("after a pause of %v %d exchanges were sent, want %d", pause, sent, want)
+				t.Errorf("after a pause of %v: %d exchanges sent, want %d", pause, sent, want)
 			}
 		}
 	})
--- a/batch/planner_test.go
+++ b/batch/planner_test.go
@@ -11,18 +11,18 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// firstFit is a small planner: urgent jobs first, then in order, each on the
-// first host by name that holds it.
+// firstFit is a minimal planner. It places urgent jobs first, then the others in
+// order of submission, each on the first host by name with enough free capacity.
 type firstFit struct {
 	hosts   map[string]placement.Host
 	free    map[string]infra.Resources
 	pending []task.Spec
 	placed  map[string]placed
 	avoid   map[string][]string
-	// killed counts the kills told while the run was still adopted.
+	// killed counts the kills recorded before the release of their runs.
 	killed int
-	// wanted are actions that a test has the next plan return.
-	wanted []placement.Action
+	// nextActions are returned by the next plan.
+	nextActions []placement.Action
 }
 
 type placed struct {
@@ -84,8 +84,8 @@
 func (p *firstFit) Explain(string) string   { return "" }
 
 func (p *firstFit) Plan(_ time.Time, limit int) []placement.Action {
-	out := p.wanted
-	p.wanted = nil
+	out := p.nextActions
+	p.nextActions = nil
 	slices.SortStableFunc(p.pending, func(a, b task.Spec) int {
 		switch {
 		case a.Urgent == b.Urgent:
@@ -115,7 +115,7 @@
 	return out
 }
 
-// sizeOf is what firstFit reserves for a job.
+// sizeOf returns the size that firstFit reserves for a job.
 func sizeOf(s task.Spec) infra.Resources {
 	s.Resources.MemoryMB = max(s.Resources.MemoryMB, s.Floor.MemoryMB)
 	return s.Resources
--- a/batch/quota_calls.go
+++ b/batch/quota_calls.go
@@ -8,56 +8,54 @@
 	"github.com/fireflygate/fireflygate/quota"
 )
 
-// Methods of the division of quotas.
+// Peer methods for the division of quotas.
 const (
 	methodQuota     peer.Method = "batch.quota"
 	methodQuotaWant peer.Method = "batch.quota_want"
 )
 
-// wantRequest tells the host that divides teams' quotas which of them wait.
-type wantRequest struct {
+// quotaWantRequest names the teams whose pending jobs exceed their allotments.
+type quotaWantRequest struct {
 	Teams []string `msgpack:"t"`
 }
 
-// wantReply is empty.
-type wantReply struct{}
+type quotaWantReply struct{}
 
-// wantHere has the next rounds of teams that wait come soon.
-func (m *Manager) wantHere(ctx context.Context, r wantRequest) (wantReply, bool) {
-	return await(ctx, m, func(now time.Time, reply func(wantReply)) {
+// quotaWantLocal expedites the next rounds of the teams.
+func (m *Manager) quotaWantLocal(ctx context.Context, r quotaWantRequest) (quotaWantReply, bool) {
+	return await(ctx, m, func(now time.Time, reply func(quotaWantReply)) {
 		for _, team := range r.Teams {
 			if d := m.divisions[team]; d != nil {
-				d.hasten(now)
+				d.expedite(now)
 			}
 		}
-		reply(wantReply{})
+		reply(quotaWantReply{})
 	})
 }
 
-// quotaRequest tells a host what the division of a team's quota gives its
-// shards, and asks what they hold.
+// quotaRequest sends the division of a team's quota to an owner of shards and
+// requests its reports.
 type quotaRequest struct {
 	Team string `msgpack:"t"`
-	// Version is that of the division in the table, 0 if there is none yet.
+	// Version is the version of the division in the table; 0 for none.
 	Version uint64       `msgpack:"v"`
 	Shards  []shardBound `msgpack:"s"`
 }
 
-// shardBound is what one shard gets.
+// shardBound is the bound and target of one shard.
 type shardBound struct {
 	Shard string       `msgpack:"h"`
 	Bound quota.Amount `msgpack:"b"`
-	// Target is what it is to come down to.
+	// Target is the amount that the shard is to lower its allotment to.
 	Target quota.Amount `msgpack:"t"`
 }
 
-// quotaReply holds a report on each shard that the host owns and that has the
-// quota in force.
+// quotaReply holds a report on each of the shards that the host owns and where
+// the quota applies.
 type quotaReply struct {
 	Reports []shardReport `msgpack:"r"`
 }
 
-// shardReport is the report on one shard.
 type shardReport struct {
 	Shard string `msgpack:"h"`
 	// Fence is the version of the shard's row.
@@ -65,16 +63,16 @@
 	Report quota.Report `msgpack:"r"`
 }
 
-// quotaHere takes in a division and reports on the shards owned here.
-func (m *Manager) quotaHere(ctx context.Context, q quotaRequest) (quotaReply, bool) {
+// quotaLocal applies a division to the local shards and returns their reports.
+func (m *Manager) quotaLocal(ctx context.Context, q quotaRequest) (quotaReply, bool) {
 	return await(ctx, m, func(now time.Time, reply func(quotaReply)) {
 		var out quotaReply
 		for _, b := range q.Shards {
 			o := m.shards[b.Shard]
-			if o == nil || !o.live(now) {
+			if o == nil || !o.grantValid(now) {
 				continue
 			}
-			if r, ok := o.divided(q.Team, q.Version, b); ok {
+			if r, ok := o.applyDivision(q.Team, q.Version, b); ok {
 				out.Reports = append(out.Reports, shardReport{Shard: b.Shard, Fence: o.fence.Version, Report: r})
 			}
 		}
--- a/batch/quota_event_test.go
+++ b/batch/quota_event_test.go
@@ -11,17 +11,16 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// TestQuotaInForceIsTold checks that a shard says when its planner keeps to
-// another quota of a team, and nothing when the quota stays. Jobs that hold more
-// than a lowered quota go on, so an operator could not tell it from one that never
-// came.
-func TestQuotaInForceIsTold(t *testing.T) {
+// TestQuotaInForceIsLogged checks that a shard logs a changed quota once its
+// planner applies it, and nothing for an unchanged quota.
+func TestQuotaInForceIsLogged(t *testing.T) {
 	var log bytes.Buffer
 	s := newShard(shard, 1, 1, limits{}, newFirstFit(), slog.New(slog.NewJSONHandler(&log, nil)), newMetrics(nil))
 	for _, step := range []struct {
 		teams map[string]settings.Team
-		// told are the quotas told, by team, in thousandths of a core.
-		told map[string]float64
+		// logged are the expected quotas in the log by team, in thousandths of
+		// a core.
+		logged map[string]float64
 	}{
 		{map[string]settings.Team{"a": {MilliCPU: 4000}, "b": {}}, map[string]float64{"a": 4000}},
 		{map[string]settings.Team{"a": {MilliCPU: 4000}, "b": {}}, nil},
@@ -30,7 +29,7 @@
 	} {
 		log.Reset()
 		s.setPolicy(settings.Batch{}, placement.Options{Teams: step.teams}, quotasOf(step.teams))
-		told := map[string]float64{}
+		logged := map[string]float64{}
 		for d := json.NewDecoder(&log); d.More(); {
 			var line struct {
 				Event int
@@ -41,15 +40,15 @@
 				t.Fatal(err)
 			}
 			if line.Event == event.QuotaInForce.Number {
-				told[line.Team] = line.Quota.MilliCPU
+				logged[line.Team] = line.Quota.MilliCPU
 			}
 		}
-		if len(told) != len(step.told) {
-			t.Errorf("%v: told %v, want %v", step.teams, told, step.told)
+		if len(logged) != len(step.logged) {
+			t.Errorf("%v: logged quotas %v, want %v", step.teams, logged, step.logged)
 		}
-		for team, want := range step.told {
-			if told[team] != want {
-				t.Errorf("%v: team %s is told %v, want %v", step.teams, team, told[team], want)
+		for team, want := range step.logged {
+			if logged[team] != want {
+				t.Errorf("%v: logged quota of team %s is %v, want %v", step.teams, team, logged[team], want)
 			}
 		}
 	}
--- a/batch/quota_round.go
+++ b/batch/quota_round.go
@@ -13,38 +13,38 @@
 	"github.com/fireflygate/fireflygate/quota"
 )
 
-// round is one division of one team's quota, on a goroutine of its own.
+// round is one division of one team's quota; it runs on its own goroutine.
 type round struct {
 	manager *Manager
 	team    string
 	quota   quota.Amount
 	// shards are the worker shards by owner.
 	shards map[string][]string
-	// stored is the division that this one replaces; known is set if it was
-	// read.
+	// stored is the division to replace; known is set if it was read.
 	stored  storedDivision
 	known   bool
 	targets map[string]quota.Amount
-	// moved is set when bounds changed.
-	moved bool
+	// changed is set if the division was replaced.
+	changed bool
 }
 
-// run divides the quota once: it asks the owners what they hold, and commits
-// the division that follows if it differs.
+// run divides the quota once: it requests the owners' reports and commits the
+// resulting division if it differs.
 func (r *round) run(ctx context.Context) {
 	if !r.known && !r.read(ctx) {
 		return
 	}
-	answers := r.ask(ctx)
+	answers := r.askOwners(ctx)
 	reports := r.reports(answers)
 	next, targets := r.stored.division.Next(r.quota, reports)
 	r.targets = targets
-	for range asksMore {
-		if !waits(reports, next) || !comesDown(r.targets, next) {
+	for range maxExtraAsks {
+		if !hasUnmetDemand(reports, next) || !canLowerBounds(r.targets, next) {
 			break
 		}
-		// What others give up is at hand at once, not with the next round.
-		answers = r.ask(ctx)
+		// Other shards have lowered their allotments; reassign these amounts
+		// now rather than in the next round.
+		answers = r.askOwners(ctx)
 		reports = r.reports(answers)
 		next, r.targets = r.stored.division.Next(r.quota, reports)
 	}
@@ -54,30 +54,30 @@
 	version, ok := r.commit(ctx, next, answers)
 	r.known = ok
 	if !ok {
-		return // what the table holds is read again
+		return // the next round reads the division again
 	}
-	r.moved = true
+	r.changed = true
 	r.stored = storedDivision{division: next, version: version}
-	r.ask(ctx)
+	r.askOwners(ctx)
 }
 
-// asksMore is how often a round asks again while a shard waits and others hold
-// more than they need. Each time these come down by half.
-const asksMore = 3
+// maxExtraAsks is how many times a round repeats its requests while a shard has
+// unmet demand and others hold a surplus. Each request halves the surplus.
+const maxExtraAsks = 3
 
-// waits reports whether a shard asks for more than a division gives it.
-func waits(reports map[string]quota.Report, next quota.Division) bool {
+// hasUnmetDemand reports whether a shard's demand exceeds its bound.
+func hasUnmetDemand(reports map[string]quota.Report, next quota.Division) bool {
 	for shard, r := range reports {
-		asks := r.Demand != (infra.Resources{})
-		if asks && !next.Bounds[shard].Allows(r.Used, r.Demand) {
+		hasDemand := r.Demand != (infra.Resources{})
+		if hasDemand && !next.Bounds[shard].Allows(r.Used, r.Demand) {
 			return true
 		}
 	}
 	return false
 }
 
-// comesDown reports whether a shard is to hold less than a division gives it.
-func comesDown(targets map[string]quota.Amount, next quota.Division) bool {
+// canLowerBounds reports whether a shard's target is below its bound.
+func canLowerBounds(targets map[string]quota.Amount, next quota.Division) bool {
 	for shard, target := range targets {
 		bound := next.Bounds[shard]
 		if target.MilliCPU < bound.MilliCPU || target.MemoryMB < bound.MemoryMB {
@@ -87,7 +87,7 @@
 	return false
 }
 
-// read reads the division from the table.
+// read reads the division from the table and reports whether it succeeded.
 func (r *round) read(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, r.manager.config.Timeout)
 	defer cancel()
@@ -103,8 +103,8 @@
 	return true
 }
 
-// ask tells all owners of the division and returns their reports by shard.
-func (r *round) ask(ctx context.Context) map[string]shardReport {
+// askOwners sends the division to all owners and returns their reports by shard.
+func (r *round) askOwners(ctx context.Context) map[string]shardReport {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var mu sync.Mutex
@@ -136,7 +136,7 @@
 		})
 	}
 	if host == r.manager.config.Host {
-		reply, _ := r.manager.quotaHere(ctx, request)
+		reply, _ := r.manager.quotaLocal(ctx, request)
 		return reply
 	}
 	var reply quotaReply
@@ -146,8 +146,8 @@
 	return reply
 }
 
-// reports returns the reports to divide by. Where more bounds came down than
-// one commit lowers, the rest count as before.
+// reports returns the reports for the next division. If more than maxLowered
+// shards hold less than their bounds, the rest count as holding their bounds.
 func (r *round) reports(answers map[string]shardReport) map[string]quota.Report {
 	out := make(map[string]quota.Report, len(answers))
 	lowered := 0
@@ -165,11 +165,11 @@
 	return out
 }
 
-// commit replaces the division, on condition that the owners that came down
-// still own their shards: a later owner has read the bound as it was.
+// commit replaces the division, on condition that the owners of lowered shards
+// still own them: a newer owner would use the old bound.
 func (r *round) commit(ctx context.Context, next quota.Division, answers map[string]shardReport) (version uint64, ok bool) {
 	conditions := []infra.Condition{{Key: quotaKey(r.team), Version: r.stored.version}}
-	if !r.manager.faults.looseQuota {
+	if !r.manager.faults.unfencedQuota {
 		for _, shard := range r.stored.division.Lowered(next) {
 			conditions = append(conditions, infra.Condition{Key: shardKey(shard), Version: answers[shard].Fence})
 		}
@@ -178,7 +178,7 @@
 	r.manager.config.Journal.Append(journal.Entry{
 		Conditions: conditions,
 		Writes:     []infra.Write{{Key: quotaKey(r.team), Value: encode(next)}},
-		Urgent:     true, // urgent work may wait for it
+		Urgent:     true, // urgent jobs may wait for it
 		Deadline:   r.manager.config.Now().Add(r.manager.config.Timeout),
 		Done:       func(c infra.CommitResult) { result <- c },
 	})
@@ -190,10 +190,10 @@
 	}
 }
 
-// wait is how long until the next division.
-func (r *round) wait() time.Duration {
-	if r.moved || !r.known {
-		return divideSoon
+// nextDelay returns the time until the next round.
+func (r *round) nextDelay() time.Duration {
+	if r.changed || !r.known {
+		return divideMinInterval
 	}
-	return divideEvery
+	return divideInterval
 }
--- a/batch/quota_test.go
+++ b/batch/quota_test.go
@@ -23,11 +23,11 @@
 
 const (
 	quotaShards = 6
-	// quotaCores is the team's quota; each shard alone could hold it.
+	// quotaCores is the team's quota. Each shard has the capacity for all of it.
 	quotaCores = 12
 )
 
-// quotaRig is a rig with several shards, of one zone each.
+// quotaRig is a rig with several shards, each in its own zone.
 type quotaRig struct {
 	*rig
 	owners  map[string]*node
@@ -39,9 +39,9 @@
 
 func quotaShard(i int) string { return fmt.Sprintf("wk/z%d/0", i) }
 
-// quotas runs f with hosts that divide a quota over shards, and returns the
-// most that the team's runs reserved at any time, in cores.
-func quotas(t *testing.T, f faults, run func(q *quotaRig)) (most int64) {
+// runQuotaRig calls run with three hosts that divide a quota among shards, and
+// returns the peak of the team's reservations in cores.
+func runQuotaRig(t *testing.T, f faults, run func(q *quotaRig)) (peak int64) {
 	bubble(t, 2*quotaShards, func(r *rig) {
 		r.faults = f
 		ctx, stop := context.WithCancel(context.Background())
@@ -54,24 +54,24 @@
 		for i, m := range r.members {
 			q.members[quotaShard(i/2)] = append(q.members[quotaShard(i/2)], m)
 		}
-		recorder := r.real(ctx, &done)
+		recorder := r.useRealPlanner(ctx, &done)
 		for i := range 3 {
 			q.start(fmt.Sprint("h", i))
 		}
 		for i := range quotaShards {
-			q.give(quotaShard(i), q.nodes[i%3])
+			q.assign(quotaShard(i), q.nodes[i%3])
 		}
-		q.tellAll(nil)
-		r.settle(5 * time.Second)
+		q.publishOwnership(nil)
+		r.advanceTime(5 * time.Second)
 		run(q)
 		stop()
 		done.Wait()
-		most = mostReserved(recorder.Records())
+		peak = peakReserved(recorder.Records())
 	})
-	return most
+	return peak
 }
 
-// start starts a host with the quota in force.
+// start starts a host with the team's quota.
 func (q *quotaRig) start(name string) *node {
 	n := q.node(name)
 	n.SetWorkers(q.members)
@@ -80,14 +80,15 @@
 	return n
 }
 
-// give has a host own a shard; views follow with tellAll.
-func (q *quotaRig) give(shard string, n *node) {
+// assign makes a host the owner of a shard in the table; publishOwnership
+// notifies the hosts.
+func (q *quotaRig) assign(shard string, n *node) {
 	q.owners[shard] = n
 	q.table.Put(shardKey(shard), []byte(n.config.Host))
 }
 
-// tellAll gives all hosts but one their view.
-func (q *quotaRig) tellAll(but *node) {
+// publishOwnership passes the current ownership to all hosts but one.
+func (q *quotaRig) publishOwnership(but *node) {
 	q.epochs++
 	for _, n := range q.nodes {
 		if n == but {
@@ -110,11 +111,11 @@
 		}
 		n.SetOwnership(v)
 	}
-	q.settle(0)
+	q.advanceTime(0)
 }
 
-// work has jobs submitted in a shard's zone.
-func (q *quotaRig) work(shard, count, cores int, run time.Duration) {
+// submitJobs submits jobs to a shard's zone.
+func (q *quotaRig) submitJobs(shard, count, cores int, run time.Duration) {
 	for range count {
 		s := spec(fmt.Sprint("j", q.jobs), run)
 		s.Resources.MilliCPU = int64(cores) * 1000
@@ -126,68 +127,69 @@
 	}
 }
 
-// disturb brings about one fault or mends one.
-func (q *quotaRig) disturb(rnd *rand.Rand, step int) {
+// injectFault causes or clears one random fault.
+func (q *quotaRig) injectFault(rnd *rand.Rand, step int) {
 	shard := quotaShard(rnd.IntN(quotaShards))
 	switch rnd.IntN(8) {
 	case 0:
-		q.cut(q.nodes[rnd.IntN(len(q.nodes))].config.Host, rnd.IntN(2) == 0)
+		q.partition(q.nodes[rnd.IntN(len(q.nodes))].config.Host, rnd.IntN(2) == 0)
 	case 1:
 		q.table.Set(func(f *memtable.Faults) { f.Down = !f.Down })
 	case 2:
 		q.table.Set(func(f *memtable.Faults) { f.LoseAnswers = 1 + rnd.IntN(2) })
-	case 3: // an owner dies, and others take its shards
+	case 3: // an owner is killed, and others take over its shards
 		i := rnd.IntN(len(q.nodes))
-		dead := q.nodes[i]
-		dead.kill()
+		killed := q.nodes[i]
+		killed.kill()
 		q.nodes = append(q.nodes[:i:i], q.nodes[i+1:]...)
 		q.start(fmt.Sprint("s", step))
 		for name, owner := range q.owners {
-			if owner == dead {
-				q.give(name, q.nodes[rnd.IntN(len(q.nodes))])
+			if owner == killed {
+				q.assign(name, q.nodes[rnd.IntN(len(q.nodes))])
 			}
 		}
-		q.tellAll(nil)
-	case 4, 5: // a shard moves while its old owner is not told
+		q.publishOwnership(nil)
+	case 4, 5: // a shard gets a new owner without a notification to the old one
 		old := q.owners[shard]
-		q.give(shard, q.nodes[rnd.IntN(len(q.nodes))])
-		q.tellAll(old)
+		q.assign(shard, q.nodes[rnd.IntN(len(q.nodes))])
+		q.publishOwnership(old)
 	default:
-		q.tellAll(nil)
+		q.publishOwnership(nil)
 	}
 }
 
-// mostReserved is the most that all runs together reserved, in cores.
-func mostReserved(records []check.Record) int64 {
-	var held, most int64
+// peakReserved returns the peak of the reservations of all runs, in cores.
+func peakReserved(records []check.Record) int64 {
+	var held, peak int64
 	runs := map[infra.RunID]int64{}
 	for _, r := range records {
 		switch {
 		case r.RunBegan != nil:
 			runs[r.RunBegan.Run] = r.RunBegan.Resources.MilliCPU / 1000
 			held += runs[r.RunBegan.Run]
-			most = max(most, held)
+			peak = max(peak, held)
 		case r.RunEnded != nil:
 			held -= runs[r.RunEnded.Run]
 			delete(runs, r.RunEnded.Run)
 		}
 	}
-	return most
+	return peak
 }
 
-// faultyQuotas has faults of all kinds while demand moves between shards.
-func faultyQuotas(t *testing.T, seed uint64, f faults) int64 {
+// runQuotasWithFaults injects random faults while demand moves between shards,
+// and returns the peak of the team's reservations in cores.
+func runQuotasWithFaults(t *testing.T, seed uint64, f faults) int64 {
 	rnd := rand.New(rand.NewPCG(seed, 0))
-	return quotas(t, f, func(q *quotaRig) {
+	return runQuotaRig(t, f, func(q *quotaRig) {
 		for step := range 25 {
-			q.disturb(rnd, step)
-			q.work(rnd.IntN(quotaShards), 1+rnd.IntN(4), 2, time.Duration(5+rnd.IntN(20))*time.Second)
-			q.settle(time.Duration(rnd.IntN(4000)) * time.Millisecond)
+			q.injectFault(rnd, step)
+			q.submitJobs(rnd.IntN(quotaShards), 1+rnd.IntN(4), 2, time.Duration(5+rnd.IntN(20))*time.Second)
+			q.advanceTime(time.Duration(rnd.IntN(4000)) * time.Millisecond)
 		}
 		q.table.Set(func(f *memtable.Faults) { *f = memtable.Faults{} })
-		q.cut("", false)
-		q.tellAll(nil)
-		q.settle(time.Minute)
+		q.partition("", false)
+		q.publishOwnership(nil)
+		q.advanceTime(time.Minute)
 	})
 }
 
@@ -195,33 +197,33 @@
 	const seeds = 10
 	busy, broken := 0, 0
 	for seed := range uint64(seeds) {
-		most := faultyQuotas(t, seed, faults{})
-		if most > quotaCores {
-			t.Errorf("seed %d: %d cores reserved of a quota of %d", seed, most, quotaCores)
+		peak := runQuotasWithFaults(t, seed, faults{})
+		if peak > quotaCores {
+			t.Errorf("seed %d: %d cores reserved of a quota of %d", seed, peak, quotaCores)
 		}
-		if most > quotaCores/2 {
+		if peak > quotaCores/2 {
 			busy++
 		}
-		if broken == 0 && faultyQuotas(t, seed, faults{wholeQuota: true}) > quotaCores {
+		if broken == 0 && runQuotasWithFaults(t, seed, faults{wholeQuota: true}) > quotaCores {
 			broken++
 		}
 	}
 	t.Logf("%d of %d seeds used more than half of the quota", busy, seeds)
 	if busy == 0 || broken == 0 {
-		t.Error("the quota was never pressed: the check proves nothing")
+		t.Error("no run used more than half of the quota, or none exceeded it without division: the test can't detect a violation")
 	}
 }
 
-// heldTable keeps back one division.
+// heldTable delays the commits that holds selects until release is closed.
 type heldTable struct {
 	infra.Table
-	keeps   func(infra.Transaction) bool
+	holds   func(infra.Transaction) bool
 	reached chan struct{}
 	release chan struct{}
 }
 
 func (h *heldTable) Commit(ctx context.Context, tx infra.Transaction) infra.CommitResult {
-	if h.keeps(tx) {
+	if h.holds(tx) {
 		close(h.reached)
 		<-h.release
 		ctx = context.WithoutCancel(ctx)
@@ -229,14 +231,15 @@
 	return h.Table.Commit(ctx, tx)
 }
 
-// overtaken has a shard change its owner between its report and the division
-// that lowers its bound, with work for the new owner.
-func overtaken(t *testing.T, f faults) int64 {
-	return quotas(t, f, func(q *quotaRig) {
+// runDivisionWithOwnerChange changes the owners of shards between their reports
+// and the commit of the division that lowers their bounds, and gives the new
+// owners jobs. It returns the peak of the team's reservations in cores.
+func runDivisionWithOwnerChange(t *testing.T, f faults) int64 {
+	return runQuotaRig(t, f, func(q *quotaRig) {
 		held := &heldTable{reached: make(chan struct{}), release: make(chan struct{})}
-		q.wrap = func(table infra.Table) infra.Table { held.Table = table; return held }
+		q.wrapTable = func(table infra.Table) infra.Table { held.Table = table; return held }
 		armed := false
-		held.keeps = func(tx infra.Transaction) bool {
+		held.holds = func(tx infra.Transaction) bool {
 			for _, w := range tx.Writes {
 				var d quota.Division
 				if !armed || w.Key != quotaKey("team") || msgpack.Unmarshal(w.Value, &d) != nil {
@@ -247,37 +250,38 @@
 			}
 			return false
 		}
-		// One host owns and divides everything, but what is taken from it.
-		n := q.start(divider(q.nodes[0].config.Host))
+		// One host owns all shards at first, and divides the quota.
+		n := q.start(dividerName(q.nodes[0].config.Host))
 		for i := range quotaShards {
-			q.give(quotaShard(i), n)
+			q.assign(quotaShard(i), n)
 		}
-		q.tellAll(nil)
-		q.settle(5 * time.Second)
+		q.publishOwnership(nil)
+		q.advanceTime(5 * time.Second)
 		armed = true
-		q.work(0, 20, 1, time.Minute)
+		q.submitJobs(0, 20, 1, time.Minute)
 		select {
 		case <-held.reached:
 		case <-time.After(time.Minute):
-			t.Error("no division followed the demand")
+			t.Error("no division was committed within a minute of the demand")
 			return
 		}
 		for i := 1; i < quotaShards; i++ {
-			q.give(quotaShard(i), q.nodes[0])
+			q.assign(quotaShard(i), q.nodes[0])
 		}
-		q.tellAll(n)
-		q.settle(3 * time.Second)
+		q.publishOwnership(n)
+		q.advanceTime(3 * time.Second)
 		for i := 1; i < quotaShards; i++ {
-			q.work(i, 4, 1, time.Minute)
+			q.submitJobs(i, 4, 1, time.Minute)
 		}
-		q.settle(5 * time.Second)
+		q.advanceTime(5 * time.Second)
 		close(held.release)
-		q.settle(30 * time.Second)
+		q.advanceTime(30 * time.Second)
 	})
 }
 
-// divider returns the name of a host that the team falls to beside another.
-func divider(other string) string {
+// dividerName returns the name of a host that divides the team's quota if it and
+// other are the only hosts.
+func dividerName(other string) string {
 	for i := 0; ; i++ {
 		name := fmt.Sprint("all", i)
 		if rendezvous.New([]string{name, other}, xxhash.Sum64String).Lookup("team") == name {
@@ -286,30 +290,31 @@
 	}
 }
 
-func TestDivisionIsBoundToItsOwners(t *testing.T) {
-	if most := overtaken(t, faults{}); most > quotaCores {
-		t.Errorf("%d cores reserved of a quota of %d", most, quotaCores)
+func TestDivisionIsConditionalOnOwners(t *testing.T) {
+	if peak := runDivisionWithOwnerChange(t, faults{}); peak > quotaCores {
+		t.Errorf("%d cores reserved of a quota of %d", peak, quotaCores)
 	}
-	if most := overtaken(t, faults{looseQuota: true}); most <= quotaCores {
-		t.Errorf("without the condition on owners only %d cores of %d: the check proves nothing", most, quotaCores)
+	if peak := runDivisionWithOwnerChange(t, faults{unfencedQuota: true}); peak <= quotaCores {
+		t.Errorf("without the condition on owners only %d cores reserved of a quota of %d: the test can't detect a violation", peak, quotaCores)
 	}
 }
 
-// TestQuotaFollowsDemand has all demand in one shard, then in another.
+// TestQuotaFollowsDemand checks that the quota moves to the shard with demand,
+// first to one shard and then to another.
 func TestQuotaFollowsDemand(t *testing.T) {
-	quotas(t, faults{}, func(q *quotaRig) {
+	runQuotaRig(t, faults{}, func(q *quotaRig) {
 		for _, shard := range []int{0, 4} {
-			q.work(shard, 20, 2, 30*time.Second)
-			var seen []int
+			q.submitJobs(shard, 20, 2, 30*time.Second)
+			var coresInUse []int
 			for range 12 {
-				q.settle(time.Second)
-				seen = append(seen, 2*q.owners[quotaShard(shard)].Counts().Running)
+				q.advanceTime(time.Second)
+				coresInUse = append(coresInUse, 2*q.owners[quotaShard(shard)].Counts().Running)
 			}
-			t.Logf("shard %d: cores in use after each second, of %d: %v (a static split gives %d)", shard, quotaCores, seen, quotaCores/quotaShards)
-			if seen[len(seen)-1] != quotaCores {
-				t.Errorf("shard %d: %d cores of %d in use after 12 s", shard, seen[len(seen)-1], quotaCores)
+			t.Logf("shard %d: cores in use after each second, of %d: %v (a static split gives %d)", shard, quotaCores, coresInUse, quotaCores/quotaShards)
+			if coresInUse[len(coresInUse)-1] != quotaCores {
+				t.Errorf("shard %d: %d cores in use after 12 s, want all %d", shard, coresInUse[len(coresInUse)-1], quotaCores)
 			}
-			q.settle(3 * time.Minute)
+			q.advanceTime(3 * time.Minute)
 		}
 	})
 }
--- a/batch/restart_test.go
+++ b/batch/restart_test.go
@@ -12,8 +12,8 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// slowPath keeps the first exchange with a start on its way, and can cut off
-// the worker that it goes to.
+// slowPath holds back the first exchange with a start, and can make its worker
+// unreachable.
 type slowPath struct {
 	infra.Workers
 	mu      sync.Mutex
@@ -37,8 +37,9 @@
 	return p.Workers.Exchange(ctx, address, x)
 }
 
-// deliver has the held exchange arrive. With fresh it names the worker's life
-// and time as of now, as if the worker did not look at them.
+// deliver delivers the held exchange. If fresh is set, the exchange has the
+// worker's current incarnation and time, which simulates a worker that checks
+// neither.
 func (p *slowPath) deliver(t *testing.T, fresh bool) {
 	x := p.held
 	if fresh {
@@ -53,55 +54,55 @@
 	}
 }
 
-// delayedStart has the exchange with a job's first start arrive only after the
-// job was moved to another worker: because the first was restarted, or because
-// it was out of reach for longer than its leases.
-func delayedStart(t *testing.T, restart, fresh bool) (wrong int) {
+// runDelayedStart delivers the exchange with a job's first start only after the
+// job was moved to another worker, because the first one restarted or was
+// unreachable for longer than its leases. It returns the number of violations.
+func runDelayedStart(t *testing.T, restart, fresh bool) (count int) {
 	bubble(t, 2, func(r *rig) {
 		ctx, stop := context.WithCancel(context.Background())
 		var done sync.WaitGroup
-		recorder := r.real(ctx, &done)
-		path := &slowPath{Workers: r.reach, cut: !restart}
-		r.reach = path
+		recorder := r.useRealPlanner(ctx, &done)
+		path := &slowPath{Workers: r.workerClient, cut: !restart}
+		r.workerClient = path
 		n := r.node("a")
 		r.own(n)
-		r.settle(2 * time.Second)
+		r.advanceTime(2 * time.Second)
 		r.submit(n, spec("j", time.Hour))
-		r.settle(500 * time.Millisecond)
+		r.advanceTime(500 * time.Millisecond)
 		if path.address == "" {
 			t.Fatal("no start was sent")
 		}
 		n.post(func(time.Time) { n.shards[shard].planner.Avoid("j", path.address) })
 		if restart {
-			worker := r.stands[path.address]
+			worker := r.standIns[path.address]
 			worker.Set(standin.WorkerFaults{Dead: true})
-			r.settle(100 * time.Millisecond)
+			r.advanceTime(100 * time.Millisecond)
 			worker.Set(standin.WorkerFaults{})
 		}
-		r.settle(time.Minute)
-		if rec := r.state(n, "j", task.Running); rec.Epoch < 2 || rec.Worker == path.address {
+		r.advanceTime(time.Minute)
+		if rec := r.expectState(n, "j", task.Running); rec.Epoch < 2 || rec.Worker == path.address {
 			t.Errorf("the job was not moved: %+v", rec)
 		}
 		path.deliver(t, fresh)
-		r.settle(5 * time.Second)
+		r.advanceTime(5 * time.Second)
 		stop()
 		done.Wait()
 		for _, v := range check.Run(recorder.Records()).Violations {
 			if v.Promise == check.OnePlace {
-				wrong++
+				count++
 			}
 		}
 	})
-	return wrong
+	return count
 }
 
-func TestDelayedStartRunsNothing(t *testing.T) {
+func TestDelayedStartIsRejected(t *testing.T) {
 	for _, restart := range []bool{true, false} {
-		if wrong := delayedStart(t, restart, false); wrong > 0 {
-			t.Errorf("restart %t: the job ran in two places", restart)
+		if count := runDelayedStart(t, restart, false); count > 0 {
+			t.Errorf("restart %t: the job ran on two workers at once", restart)
 		}
-		if delayedStart(t, restart, true) == 0 {
-			t.Errorf("restart %t: a worker that looks at neither life nor time passes the check", restart)
+		if runDelayedStart(t, restart, true) == 0 {
+			t.Errorf("restart %t: no violation found for a worker that checks neither incarnation nor time", restart)
 		}
 	}
 }
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -24,8 +24,9 @@
 
 const shard = "wk/zone/0"
 
-// cut parts one host from all others, if parted; all others reach each other.
-func (r *rig) cut(host string, parted bool) {
+// partition separates one host from all others if parted is set. All other
+// connections are restored.
+func (r *rig) partition(host string, parted bool) {
 	r.net.SetFate(func(from, to string, _ peer.Method) peernet.Fate {
 		if parted && (from == host || to == host) {
 			return peernet.Unreachable
@@ -42,7 +43,7 @@
 	done    sync.WaitGroup
 }
 
-// kill ends the host's process at once.
+// kill stops the host without releasing its shards.
 func (n *node) kill() {
 	n.stop()
 	n.done.Wait()
@@ -59,18 +60,19 @@
 	owner   string
 	epoch   uint64
 	faults  faults
-	// reach and newPlanner stand in for the fakes, unless they are nil.
-	reach      infra.Workers
-	newPlanner func() placement.Planner
-	// wrap goes round the table that journals commit to, unless it is nil.
-	wrap func(infra.Table) infra.Table
-	// stands are the stand-in workers by address, if they are used.
-	stands map[string]*standin.Worker
-	// keep is the retention of terminal jobs; 0 for the default.
-	keep time.Duration
+	// workerClient and newPlanner replace the fakes unless they are nil.
+	workerClient infra.Workers
+	newPlanner   func() placement.Planner
+	// wrapTable wraps the table that journals commit to unless it is nil.
+	wrapTable func(infra.Table) infra.Table
+	// standIns are the stand-in workers by address, if they are used.
+	standIns map[string]*standin.Worker
+	// retention is the retention of terminal jobs; 0 for the default.
+	retention time.Duration
 }
 
-// bubble has f work with a rig on a virtual clock, and checks the history.
+// bubble runs f with a rig in a synctest bubble, and checks the history of runs
+// unless f sets faults.
 func bubble(t *testing.T, workers int, f func(r *rig)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -90,14 +92,13 @@
 			n.kill()
 		}
 		if r.faults == (faults{}) {
-			if wrong := r.workers.overlap(); wrong != "" {
-				t.Error(wrong)
+			if violation := r.workers.overlap(); violation != "" {
+				t.Error(violation)
 			}
 		}
 	})
 }
 
-// node starts an entry host.
 func (r *rig) node(name string) *node {
 	ctx, stop := context.WithCancel(context.Background())
 	n := &node{planner: newFirstFit(), stop: stop}
@@ -106,20 +107,20 @@
 	if newPlanner == nil {
 		newPlanner = func() placement.Planner { return n.planner }
 	}
-	var reach infra.Workers = r.workers
-	if r.reach != nil {
-		reach = r.reach
+	var workerClient infra.Workers = r.workers
+	if r.workerClient != nil {
+		workerClient = r.workerClient
 	}
 	var table infra.Table = r.table
-	if r.wrap != nil {
-		table = r.wrap(table)
+	if r.wrapTable != nil {
+		table = r.wrapTable(table)
 	}
 	j := journal.New(journal.Config{Table: table, Incarnation: fmt.Sprint(name, len(r.nodes)), Settings: b})
 	n.Manager = New(Config{
-		Host: name, Table: r.table, Journal: j, Workers: reach,
+		Host: name, Table: r.table, Journal: j, Workers: workerClient,
 		Transport: r.net.Port(name), Mux: r.net.Port(name),
 		NewPlanner: func(string) placement.Planner { return newPlanner() },
-		Settings:   b, TaskLease: settings.Default().Lease.TaskLease.D(), ClockRate: 0.01, Retention: r.keep, Rand: rand.New(rand.NewPCG(1, 2)),
+		Settings:   b, TaskLease: settings.Default().Lease.TaskLease.D(), ClockRate: 0.01, Retention: r.retention, Rand: rand.New(rand.NewPCG(1, 2)),
 	})
 	n.faults = r.faults
 	n.SetWorkers(map[string][]infra.Member{shard: r.members})
@@ -129,34 +130,35 @@
 	return n
 }
 
-// own makes the host the shard's owner, in the table and in its view.
+// own makes the host the shard's owner in the table and notifies it.
 func (r *rig) own(n *node) {
 	r.epoch++
 	version := r.table.Put(shardKey(shard), []byte(n.config.Host))
 	r.owner = n.config.Host
 	g := ownership.Grant{Shard: shard, Epoch: r.epoch, Version: version, Share: ownership.Full, Until: time.Now().Add(time.Hour)}
-	r.tell(n, g)
+	r.setOwnership(n, g)
 }
 
-// tell gives a host its view; other hosts learn the owner alone.
-func (r *rig) tell(n *node, grants ...ownership.Grant) {
+// setOwnership passes the shard's owner and the given grants to a host.
+func (r *rig) setOwnership(n *node, grants ...ownership.Grant) {
 	v := &ownership.Snapshot{Owners: map[string]string{shard: r.owner}, Grants: map[string]ownership.Grant{}}
 	for _, g := range grants {
 		v.Grants[g.Shard] = g
 	}
 	n.SetOwnership(v)
-	r.settle(0)
+	r.advanceTime(0)
 }
 
-// settle lets virtual time pass.
-func (r *rig) settle(d time.Duration) {
+// advanceTime advances the virtual clock by d and waits until all goroutines
+// are idle.
+func (r *rig) advanceTime(d time.Duration) {
 	if d > 0 {
 		<-time.After(d)
 	}
 	synctest.Wait()
 }
 
-// spec returns a job of one core.
+// spec returns the spec of a job of one core and 1000 MB.
 func spec(id string, run time.Duration) task.Spec {
 	return task.Spec{
 		ID: id, Key: "key-" + id, Team: "team", Class: "class",
@@ -164,7 +166,7 @@
 	}
 }
 
-// submit submits and expects the job to be held.
+// submit submits a job and fails the test unless it is accepted.
 func (r *rig) submit(n *node, s task.Spec) {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -174,8 +176,8 @@
 	}
 }
 
-// state expects a job's state.
-func (r *rig) state(n *node, id string, want task.State) task.Record {
+// expectState checks a job's state and returns its record.
+func (r *rig) expectState(n *node, id string, want task.State) task.Record {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/batch/rows.go
+++ b/batch/rows.go
@@ -18,27 +18,26 @@
 	refPrefix   = "jobref/"
 	keyPrefix   = "jobkey/"
 	quotaPrefix = "quota/"
-	// workerShards begins the name of each shard of workers.
+	// workerShards is the prefix of the names of worker shards.
 	workerShards = "wk/"
 )
 
-// keyRow is the value of a jobkey row.
-type keyRow struct {
+// idempotencyRow is the value of a jobkey row.
+type idempotencyRow struct {
 	ID string `msgpack:"i"`
-	// Hash is of the spec, to tell a repeat from another job under the key.
+	// Hash is the hash of the spec. It distinguishes a repeated submission
+	// from another job with the same key.
 	Hash uint64 `msgpack:"h"`
 }
 
-// shardKey returns the key of a shard's row.
 func shardKey(shard string) string { return shardPrefix + shard }
 
-// jobKey returns the key of a job's record.
 func jobKey(shard, id string) string { return jobPrefix + shard + "/" + url.PathEscape(id) }
 
-// refKey returns the key of the row that tells a job's shard.
+// refKey returns the key of the row that names a job's shard.
 func refKey(id string) string { return refPrefix + url.PathEscape(id) }
 
-// idempotencyKey returns the key of the row that tells a key's job.
+// idempotencyKey returns the key of the row for a team's idempotency key.
 func idempotencyKey(team, key string) string {
 	return keyPrefix + url.PathEscape(team) + "/" + url.PathEscape(key)
 }
@@ -46,7 +45,7 @@
 // quotaKey returns the key of the division of a team's quota.
 func quotaKey(team string) string { return quotaPrefix + url.PathEscape(team) }
 
-// quotaTeam returns the team of a quota key.
+// quotaTeam returns the team of a key made by quotaKey.
 func quotaTeam(key string) (team string, ok bool) {
 	team, err := url.PathUnescape(strings.TrimPrefix(key, quotaPrefix))
 	return team, err == nil
@@ -59,15 +58,15 @@
 	return zone
 }
 
-// specHash identifies what was asked for, leaving out what each attempt of a
-// submission gives anew.
+// specHash returns a hash of the spec without the fields that differ between
+// attempts of the same submission.
 func specHash(s task.Spec) uint64 {
 	s.ID = ""
 	s.SubmittedUnixMS = 0
 	return xxhash.Sum64(encode(s))
 }
 
-// encode returns v as msgpack.
+// encode returns v as msgpack. It panics if v can't be encoded.
 func encode(v any) []byte {
 	data, err := msgpack.Marshal(v)
 	if err != nil {
@@ -76,9 +75,8 @@
 	return data
 }
 
-// decodeRecord reads a job's record.
 func decodeRecord(data []byte) (task.Record, error) {
 	var r task.Record
 	err := msgpack.Unmarshal(data, &r)
-	return r, errors.Wrap(err, "batch: job record")
+	return r, errors.Wrap(err, "batch: decode job record")
 }
--- a/batch/shard.go
+++ b/batch/shard.go
@@ -11,18 +11,19 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// limits are the settings that a shard's decisions need.
+// limits are the settings that a shard uses.
 type limits struct {
 	settings.Batch
-	// taskLease is how long a run goes on without word from its owner.
+	// taskLease is how long a run continues after its last renewal.
 	taskLease time.Duration
 	clockRate float64
 	retention time.Duration
 }
 
-// lapseAfter is how long after the last word a run is surely over. The owner counts
-// longer than the worker does, by the clocks' difference and a buffer.
-func (s *Shard) lapseAfter() time.Duration {
+// leaseExpiryDelay returns the time after a worker's last answer at which its
+// runs have certainly ended: the lease, corrected for the clock rate, plus
+// leaseBuffer.
+func (s *Shard) leaseExpiryDelay() time.Duration {
 	lease := float64(s.limits.taskLease)
 	if s.faults.noBuffer {
 		return time.Duration(lease)
@@ -30,16 +31,16 @@
 	return time.Duration(lease*(1+s.limits.clockRate)) + leaseBuffer
 }
 
-// giveUpAfter is how long after the last word of a worker its runs are given
-// up without knowing how they ended.
-func (s *Shard) giveUpAfter() time.Duration {
+// runsLostDelay returns the time after a worker's last answer at which its runs
+// are ended without a report.
+func (s *Shard) runsLostDelay() time.Duration {
 	if s.faults.noBuffer {
-		return s.lapseAfter()
+		return s.leaseExpiryDelay()
 	}
-	return s.lapseAfter() + s.limits.taskLease/wordWithin
+	return s.leaseExpiryDelay() + s.limits.taskLease/lostRunsGraceDivisor
 }
 
-// change is a commit that a shard asks for. done is called on the control
+// change is a commit requested by a shard. done is called on the control
 // goroutine.
 type change struct {
 	conditions []infra.Condition
@@ -49,8 +50,8 @@
 	done       func(now time.Time, r infra.CommitResult)
 }
 
-// Shard is the state of one worker shard that this host owns. It is pure: its
-// methods leave what is to be done in its outbox.
+// Shard is the state of one worker shard that this host owns. It performs no
+// I/O: its methods queue commits in changes and return the exchanges to send.
 type Shard struct {
 	name    string
 	epoch   uint64
@@ -62,129 +63,132 @@
 
 	jobs    map[string]*job
 	workers map[string]*worker
-	// arriving are urgent jobs whose submission is committed with their start.
-	arriving map[string]struct{}
-	// retries are jobs whose late report waits for another commit.
-	retries map[string]*job
-	// quotas are the teams' quotas and allotments what this shard holds of
-	// them.
+	// committingUrgent are urgent jobs whose submission and start are being
+	// committed together.
+	committingUrgent map[string]struct{}
+	// deferredReports are jobs whose deferred report is to be committed again.
+	deferredReports map[string]*job
+	// quotas are the teams' quotas; allotments are this shard's parts of them.
 	quotas     map[string]quota.Amount
 	allotments map[string]*quota.Allotment
-	// expected are jobs that other shards may hand over, and since when.
-	expected            map[string]time.Time
-	nextMove, nextCheck time.Time
-	nextWant            time.Time
-	// unknown are rows that the last rescan found of jobs not known here.
-	unknown    map[string]uint64
-	nextRescan time.Time
-	rescanning bool
-
-	// changes is the outbox of commits.
+	// expected holds the jobs accepted from other shards, with the time of
+	// acceptance.
+	expected             map[string]time.Time
+	nextOffer, nextCheck time.Time
+	nextQuotaCheck       time.Time
+	// unknownRows holds the row versions of unknown jobs found by the last
+	// rescan.
+	unknownRows map[string]uint64
+	nextRescan  time.Time
+	rescanning  bool
+
+	// changes are the commits to send.
 	changes []change
-	// open counts changes that were not answered.
-	open int
-	// starting counts starts that were not answered.
-	starting int
-	// ready is set once the records were replayed.
+	// commitsInFlight is the number of changes without a result.
+	commitsInFlight int
+	// startsInFlight is the number of starts without a commit result.
+	startsInFlight int
+	// ready is set once the records are replayed.
 	ready bool
-	// fenced is set once a commit was refused because another host owns the
-	// shard; the manager drops it.
+	// fenced is set once the shard is known to have another owner, or its
+	// state may differ from the table. The manager then drops it.
 	fenced bool
-	// releasing is set during a hand-over: nothing new begins.
+	// releasing is set during a hand-over; no new work is started.
 	releasing bool
-	// dirty asks for a plan.
-	dirty bool
-	// heldUntil keeps plans back while the table refuses commits.
-	heldUntil time.Time
-	nextPlan  time.Time
-	planned   time.Time
-	// look asks for a search for exchanges that are due.
-	look      bool
-	pending   int
-	running   int
-	starts    uint64
-	nextSweep time.Time
-	// faults break a mechanism on purpose; only tests set them.
+	// planNeeded is set if something changed since the last plan.
+	planNeeded bool
+	// commitsPausedUntil delays new commits after one was refused.
+	commitsPausedUntil time.Time
+	nextPlan           time.Time
+	lastPlan           time.Time
+	// exchangesNeeded is set if an exchange may be due.
+	exchangesNeeded bool
+	pending         int
+	running         int
+	starts          uint64
+	nextSweep       time.Time
+	// faults disable mechanisms; only tests set them.
 	faults faults
 }
 
-// faults are the mechanisms that tests can break, to see their checks fail.
+// faults disable mechanisms, so that tests can verify that their checks detect
+// it.
 type faults struct {
-	// sendBeforeDurable sends a start before its commit is answered.
+	// sendBeforeDurable sends a start before its commit is applied.
 	sendBeforeDurable bool
-	// noFence leaves the shard's row out of commits.
+	// noFence omits the condition on the shard's row from commits.
 	noFence bool
-	// noBuffer takes a run as over as soon as its lease is.
+	// noBuffer treats a run as ended as soon as its lease expires.
 	noBuffer bool
-	// adoptDeclared takes a run to reserve what its job declares.
+	// adoptDeclared assumes the declared size as the reservation of a run.
 	adoptDeclared bool
-	// wholeQuota lets each shard take the whole of every quota, and looseQuota
-	// divides without regard to changes of owner.
-	wholeQuota, looseQuota bool
-	// lapseAtOnce takes a run as over with the first exchange unanswered.
+	// wholeQuota lets each shard use the whole of every quota; unfencedQuota
+	// commits divisions even if shards have new owners.
+	wholeQuota, unfencedQuota bool
+	// lapseAtOnce treats a run as ended after one unanswered exchange.
 	lapseAtOnce bool
 }
 
-// newShard returns a shard that waits for its records.
+// newShard returns a shard without records; load must follow.
 func newShard(name string, epoch, version uint64, l limits, p placement.Planner, log *slog.Logger, m *metrics) *Shard {
 	return &Shard{
-		name:     name,
-		epoch:    epoch,
-		fence:    infra.Condition{Key: shardKey(name), Version: version},
-		limits:   l,
-		planner:  p,
-		log:      log,
-		metrics:  m,
-		jobs:     map[string]*job{},
-		workers:  map[string]*worker{},
-		retries:  map[string]*job{},
-		expected: map[string]time.Time{},
-		arriving: map[string]struct{}{},
+		name:             name,
+		epoch:            epoch,
+		fence:            infra.Condition{Key: shardKey(name), Version: version},
+		limits:           l,
+		planner:          p,
+		log:              log,
+		metrics:          m,
+		jobs:             map[string]*job{},
+		workers:          map[string]*worker{},
+		deferredReports:  map[string]*job{},
+		expected:         map[string]time.Time{},
+		committingUrgent: map[string]struct{}{},
 
 		allotments: map[string]*quota.Allotment{},
 	}
 }
 
-// setPolicy brings other settings into force.
+// setPolicy applies new settings.
 func (s *Shard) setPolicy(b settings.Batch, o placement.Options, quotas map[string]quota.Amount) {
 	s.limits.Batch = b
 	s.planner.SetPolicy(o)
 	s.setQuotas(quotas)
-	s.dirty = true
+	s.planNeeded = true
 }
 
-// load takes in the replayed records, as of now.
-func (s *Shard) load(now time.Time, records []stored) {
+// load adds the replayed records and makes the shard ready.
+func (s *Shard) load(now time.Time, records []storedRecord) {
 	for _, row := range records {
 		r := row.record
-		j := &job{rec: r, version: row.version, queued: now}
+		j := &job{rec: r, version: row.version, queuedAt: now}
 		s.jobs[r.Spec.ID] = j
 		switch {
 		case r.State == task.Pending:
 			s.enqueue(now, j)
 		case r.State.Active():
 			j.sent = true
-			s.occupy(now, j)
+			s.adoptRun(now, j)
 		}
 	}
 	s.ready = true
-	s.dirty = true
+	s.planNeeded = true
 }
 
-// enqueue hands a pending job to the planner.
+// enqueue adds a pending job to the planner's queue.
 func (s *Shard) enqueue(now time.Time, j *job) {
 	s.pending++
-	j.queued = now
+	j.queuedAt = now
 	s.planner.Enqueue(now, j.rec.SpecWithFloor())
-	s.dirty = true
+	s.planNeeded = true
 }
 
-// occupy records that an active job may run on its worker.
-func (s *Shard) occupy(now time.Time, j *job) {
+// adoptRun records that an active job may be running on its worker.
+func (s *Shard) adoptRun(now time.Time, j *job) {
 	w := s.worker(now, j.rec.Worker)
 	w.jobs[j.rec.Spec.ID] = j
 	s.running++
-	s.show(now, w)
+	s.updatePlannerHost(now, w)
 	size := j.rec.Reservation()
 	if s.faults.adoptDeclared {
 		size = j.rec.Spec.Resources
@@ -192,8 +196,8 @@
 	s.planner.AdoptSized(j.rec.SpecWithFloor(), w.name, size)
 }
 
-// vacate frees what the job's run occupied.
-func (s *Shard) vacate(now time.Time, j *job, host string, done bool) {
+// freeRun releases the worker and reservation of a job's run.
+func (s *Shard) freeRun(now time.Time, j *job, host string, done bool) {
 	id := j.rec.Spec.ID
 	if w := s.workers[host]; w != nil {
 		delete(w.jobs, id)
@@ -201,11 +205,11 @@
 	s.running--
 	s.planner.Release(now, id, done)
 	j.sent, j.evict = false, false
-	j.percent, j.applied, j.doneMS = 0, 0, 0
-	s.dirty = true
+	j.cpuLimit, j.ackedCPULimit, j.doneMS = 0, 0, 0
+	s.planNeeded = true
 }
 
-// worker returns the worker's view, made when it is new.
+// worker returns the state of a worker, creating it if necessary.
 func (s *Shard) worker(now time.Time, name string) *worker {
 	w := s.workers[name]
 	if w == nil {
@@ -215,5 +219,5 @@
 	return w
 }
 
-// live reports whether the shard may take on anything.
-func (s *Shard) live() bool { return s.ready && !s.fenced && !s.releasing }
+// acceptsWork reports whether the shard may start new work.
+func (s *Shard) acceptsWork() bool { return s.ready && !s.fenced && !s.releasing }
--- a/batch/shard_cancel.go
+++ b/batch/shard_cancel.go
@@ -6,7 +6,7 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// cancelCode says what became of a cancellation.
+// cancelCode is the result of a cancellation.
 type cancelCode uint8
 
 // The results of a cancellation.
@@ -14,27 +14,28 @@
 	_ cancelCode = iota
 	// cancelDone: the job is cancelled, or will be once its run has ended.
 	cancelDone
-	// cancelNeverRan: the job was cancelled before any run of it began.
+	// cancelNeverRan: the job was cancelled before any of its runs started.
 	cancelNeverRan
 	// cancelFinished: the job had completed its work.
 	cancelFinished
-	// cancelMissing: there is no such job here.
+	// cancelMissing: the shard has no such job.
 	cancelMissing
-	// cancelNotReady: this host does not own the shard, or not yet.
+	// cancelNotReady: this host does not own the shard or has not replayed it.
 	cancelNotReady
 	// cancelRefused: the table refused the commit.
 	cancelRefused
 )
 
-// cancelReply is the answer to a cancellation.
+// cancelReply is the reply to a cancellation.
 type cancelReply struct {
 	Code   cancelCode `msgpack:"c"`
 	Status Status     `msgpack:"s"`
 }
 
-// cancel asks for the end of a job. reply is called once it is durable.
+// cancel cancels a job. reply is called once the cancellation is durable or has
+// failed.
 func (s *Shard) cancel(now time.Time, id string, reply func(cancelReply)) {
-	if !s.live() {
+	if !s.acceptsWork() {
 		reply(cancelReply{Code: cancelNotReady})
 		return
 	}
@@ -43,14 +44,14 @@
 		reply(cancelReply{Code: cancelMissing})
 		return
 	}
-	j.cancels = append(j.cancels, reply)
+	j.cancelWaiters = append(j.cancelWaiters, reply)
 	if !j.committing {
 		s.cancelNow(now, j)
 	}
 }
 
-// cancelNow commits the cancellation of a job that has no commit under way. A
-// start that is durable but was never sent has not run: it ends at once.
+// cancelNow commits the cancellation of a job that has no commit in flight. A
+// durable start that was never sent has no run, so the job ends immediately.
 func (s *Shard) cancelNow(now time.Time, j *job) {
 	before := j.rec.State
 	next, t := j.rec.CancelRequested(now.UnixMilli())
@@ -74,7 +75,7 @@
 		s.planner.Withdraw(j.rec.Spec.ID)
 	}
 	host := j.rec.Worker
-	s.advance(j, next, func(now time.Time) {
+	s.commitRecord(j, next, func(now time.Time) {
 		s.cancelled(now, j, before, host)
 		s.answerCancels(j, cancelReply{Code: code})
 	}, func(now time.Time) {
@@ -85,32 +86,32 @@
 	})
 }
 
-// cancelled carries out what follows from a durable cancellation.
+// cancelled updates the shard after a durable cancellation.
 func (s *Shard) cancelled(now time.Time, j *job, before task.State, host string) {
 	switch {
 	case before == task.Pending:
 		s.pending--
 	case j.rec.State == task.Cancelled && before.Active():
 		if w := s.workers[host]; w != nil {
-			w.health.ended(j.rec.Spec.ID)
+			w.health.clearProbe(j.rec.Spec.ID)
 		}
-		s.vacate(now, j, host, false)
+		s.freeRun(now, j, host, false)
 	case j.rec.State == task.Stopping:
-		s.hurry(j)
+		s.requestExchangeFor(j)
 	}
 }
 
-// answerCancels tells all who wait for the job's cancellation.
+// answerCancels replies to all pending cancellations of the job.
 func (s *Shard) answerCancels(j *job, r cancelReply) {
 	r.Status = s.status(j)
-	waiting := j.cancels
-	j.cancels = nil
+	waiting := j.cancelWaiters
+	j.cancelWaiters = nil
 	for _, reply := range waiting {
 		reply(r)
 	}
 }
 
-// status returns what is told of a job.
+// status returns the status of a job.
 func (s *Shard) status(j *job) Status {
 	id := j.rec.Spec.ID
 	return Status{ID: id, Shard: s.name, State: j.rec.State, Record: j.rec, Explanation: s.planner.Explain(id)}
--- a/batch/shard_commit.go
+++ b/batch/shard_commit.go
@@ -9,22 +9,23 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// put asks for a commit, under the shard's fence.
-func (s *Shard) put(c change) {
+// submitCommit queues a commit that is conditional on the shard's row.
+func (s *Shard) submitCommit(c change) {
 	if !s.faults.noFence {
 		c.conditions = append(c.conditions, s.fence)
 	}
 	done := c.done
-	s.open++
+	s.commitsInFlight++
 	c.done = func(now time.Time, r infra.CommitResult) {
-		s.open--
+		s.commitsInFlight--
 		done(now, s.checkFence(r))
 	}
 	s.changes = append(s.changes, c)
 }
 
-// checkFence notes that another host owns the shard. A commit that was under
-// way while this host wrote the shard's row anew counts as not applied.
+// checkFence fences the shard if a conflict shows that another host owns it, or
+// if the result is unknown. A conflict because this host rewrote the shard's row
+// while the commit was in flight counts as not applied.
 func (s *Shard) checkFence(r infra.CommitResult) infra.CommitResult {
 	for _, row := range r.Conflicts {
 		switch {
@@ -37,21 +38,21 @@
 		}
 	}
 	if r.Status == infra.CommitUnknown {
-		// The journal gave up for good: what holds is in the table alone.
+		// The journal stopped retrying; only the table has the actual state.
 		s.fenced = true
 	}
 	return r
 }
 
-// advance commits the job's next record. applied or refused is called after.
-// Starts of urgent jobs and cancellations are urgent; the end of a run can
-// wait for the next transaction.
-func (s *Shard) advance(j *job, next task.Record, applied, refused func(now time.Time)) {
+// commitRecord commits the job's next record and then calls applied or refused.
+// Starts of urgent jobs and cancellations are committed urgently; other changes
+// may wait for the next transaction.
+func (s *Shard) commitRecord(j *job, next task.Record, applied, refused func(now time.Time)) {
 	j.committing = true
-	s.put(change{
+	s.submitCommit(change{
 		conditions: []infra.Condition{{Key: jobKey(s.name, next.Spec.ID), Version: j.version}},
 		writes:     []infra.Write{{Key: jobKey(s.name, next.Spec.ID), Value: encode(next)}},
-		urgent:     next.State == task.Starting && next.Spec.Urgent || len(j.cancels) > 0,
+		urgent:     next.State == task.Starting && next.Spec.Urgent || len(j.cancelWaiters) > 0,
 		done: func(now time.Time, r infra.CommitResult) {
 			j.committing = false
 			if s.fenced {
@@ -68,16 +69,16 @@
 				s.disown(now, j)
 				return
 			default:
-				s.heldUntil = now.Add(retryCommit)
+				s.commitsPausedUntil = now.Add(commitRetryDelay)
 				refused(now)
 			}
-			s.settle(now, j)
+			s.resumeDeferred(now, j)
 		},
 	})
 }
 
-// disown forgets a job whose row is not as this owner left it: another shard
-// holds it.
+// disown removes a job whose row was changed by another owner: another shard
+// holds the job.
 func (s *Shard) disown(now time.Time, j *job) {
 	id := j.rec.Spec.ID
 	event.JobDisowned.Log(s.log, slog.String("job", id), slog.String("shard", s.name))
@@ -89,38 +90,40 @@
 		s.pending--
 		s.planner.Withdraw(id)
 	case j.rec.State.Active():
-		s.vacate(now, j, j.rec.Worker, false)
+		s.freeRun(now, j, j.rec.Worker, false)
 	}
 	delete(s.jobs, id)
-	delete(s.retries, id)
+	delete(s.deferredReports, id)
 	s.answerCancels(j, cancelReply{Code: cancelMissing})
 }
 
-// settle takes up what waited for the job's commit.
-func (s *Shard) settle(now time.Time, j *job) {
+// resumeDeferred handles the report and cancellations that waited for the job's
+// commit.
+func (s *Shard) resumeDeferred(now time.Time, j *job) {
 	if j.committing {
 		return
 	}
-	if now.Before(s.heldUntil) && j.late != nil {
-		s.retries[j.rec.Spec.ID] = j
+	if now.Before(s.commitsPausedUntil) && j.deferredReport != nil {
+		s.deferredReports[j.rec.Spec.ID] = j
 		return
 	}
-	if late := j.late; late != nil {
-		j.late = nil
-		s.report(now, s.worker(now, j.rec.Worker), *late)
+	if deferredReport := j.deferredReport; deferredReport != nil {
+		j.deferredReport = nil
+		s.handleReport(now, s.worker(now, j.rec.Worker), *deferredReport)
 	}
-	if !j.committing && len(j.cancels) > 0 {
+	if !j.committing && len(j.cancelWaiters) > 0 {
 		s.cancelNow(now, j)
 	}
 }
 
-// retry commits again what was refused, once the hold is over.
-func (s *Shard) retry(now time.Time) {
-	if now.Before(s.heldUntil) {
+// retryDeferred handles deferred reports again once commits are no longer
+// paused.
+func (s *Shard) retryDeferred(now time.Time) {
+	if now.Before(s.commitsPausedUntil) {
 		return
 	}
-	for id, j := range s.retries {
-		delete(s.retries, id)
-		s.settle(now, j)
+	for id, j := range s.deferredReports {
+		delete(s.deferredReports, id)
+		s.resumeDeferred(now, j)
 	}
 }
--- a/batch/shard_exchange.go
+++ b/batch/shard_exchange.go
@@ -10,80 +10,82 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// message is an exchange to be sent to one worker.
+// message is an exchange to send to one worker.
 type message struct {
 	worker   string
 	address  string
 	exchange infra.Exchange
-	// throttles are the limits that the orders carry, by job.
-	throttles map[string]int
+	// cpuLimits are the CPU limits in the orders, by job.
+	cpuLimits map[string]int
 }
 
-// messages returns the exchanges that are due, one a worker. They go out before
-// the replay too, without orders, so that leases hold while the table is down.
+// messages returns the exchanges that are due, at most one per worker. Before
+// the replay is complete they renew leases without orders, so that runs survive
+// an outage of the table.
 func (s *Shard) messages(now time.Time) []message {
-	if s.fenced || s.releasing || !s.look {
+	if s.fenced || s.releasing || !s.exchangesNeeded {
 		return nil
 	}
-	s.look = false
+	s.exchangesNeeded = false
 	var out []message
 	for _, w := range s.workers {
-		if w.busy || w.member.Address == "" || (!w.soon && now.Before(w.next)) {
+		if w.exchangeInFlight || w.member.Address == "" || (!w.exchangeNow && now.Before(w.nextExchange)) {
 			continue
 		}
-		left := w.answered.Add(s.limits.taskLease).Sub(now)
-		if w.lost {
-			left = s.limits.taskLease
+		remaining := w.lastAnswered.Add(s.limits.taskLease).Sub(now)
+		if w.leasesExpired {
+			remaining = s.limits.taskLease
 		}
-		if left < time.Millisecond {
-			continue // the runs there are to lapse; nothing may renew them
+		if remaining < time.Millisecond {
+			continue // the lease must expire; it can't be renewed any more
 		}
-		out = append(out, s.message(now, w, left))
+		out = append(out, s.message(now, w, remaining))
 	}
 	return out
 }
 
-// message builds the worker's next exchange. The lease it carries ends when the
-// one last acknowledged would, so unanswered attempts never put off the moment
-// from which the runs are surely over.
+// message builds the worker's next exchange. Its lease expires no later than
+// the last acknowledged one, so that unanswered attempts don't extend the time
+// until the runs have certainly ended.
 func (s *Shard) message(now time.Time, w *worker, lease time.Duration) message {
 	m := message{
 		worker:    w.name,
 		address:   w.member.Address,
-		throttles: map[string]int{},
-		exchange:  infra.Exchange{OwnerEpoch: s.epoch, LeaseMS: lease.Milliseconds(), Since: w.since},
+		cpuLimits: map[string]int{},
+		exchange:  infra.Exchange{OwnerEpoch: s.epoch, LeaseMS: lease.Milliseconds(), Since: w.lastSeq},
 	}
 	if w.incarnation != "" {
 		m.exchange.Incarnation = w.incarnation
 		m.exchange.ValidUntilMS = w.validUntilMS(now, s.limits.clockRate)
 	}
 	if w.reconciled {
-		m.exchange.Orders = s.orders(w, m.throttles)
+		m.exchange.Orders = s.orders(w, m.cpuLimits)
 	}
-	w.busy, w.soon = true, false
-	w.next = now.Add(s.limits.Exchange.D())
+	w.exchangeInFlight, w.exchangeNow = true, false
+	w.nextExchange = now.Add(s.limits.Exchange.D())
 	return m
 }
 
-// orders returns what the worker still has to be told.
+// orders returns the orders that the worker has not acknowledged.
 func (s *Shard) orders(w *worker, throttles map[string]int) []infra.Order {
 	var out []infra.Order
-	for run, kind := range w.extra {
+	for run, kind := range w.extraOrders {
 		out = append(out, infra.Order{Kind: kind, Run: run})
 	}
 	for id, j := range w.jobs {
 		if o, ok := s.orderFor(j); ok {
 			out = append(out, o)
 		}
-		if j.rec.State == task.Running && j.throttling() {
-			throttles[id] = j.percent
-			out = append(out, infra.Order{Kind: infra.OrderThrottle, Run: j.rec.RunID(), Percent: j.percent})
+		if j.rec.State == task.Running && j.needsCPULimitOrder() {
+			throttles[id] = j.cpuLimit
+			out = append(out, infra.Order{Kind: infra.OrderThrottle, Run: j.rec.RunID(), Percent: j.cpuLimit})
 		}
 	}
 	return out
 }
 
-// orderFor returns the order that brings the job's run where it should be.
+// orderFor returns the order that brings the job's run to the state required by
+// its record, if one is needed.
 func (s *Shard) orderFor(j *job) (infra.Order, bool) {
 	run := j.rec.RunID()
 	switch {
@@ -103,16 +105,16 @@
 	}
 }
 
-// answer takes in the outcome of an exchange.
-func (s *Shard) answer(now time.Time, m message, reply infra.ExchangeReply, err error) {
+// handleReply handles the reply to an exchange, or its error.
+func (s *Shard) handleReply(now time.Time, m message, reply infra.ExchangeReply, err error) {
 	w := s.workers[m.worker]
 	if w == nil {
 		return
 	}
-	w.busy = false
-	s.look = s.look || w.soon
+	w.exchangeInFlight = false
+	s.exchangesNeeded = s.exchangesNeeded || w.exchangeNow
 	if err != nil {
-		s.unanswered(now, w)
+		s.handleNoReply(now, w)
 		return
 	}
 	if reply.Refused {
@@ -120,66 +122,68 @@
 		s.fenced = true
 		return
 	}
-	w.hear(now, reply)
+	w.recordIncarnation(now, reply)
 	if reply.Stale {
-		s.look = true
+		s.exchangesNeeded = true
 		return
 	}
-	w.answered = now
-	w.lost = false
+	w.lastAnswered = now
+	w.leasesExpired = false
 	if !s.ready {
-		return // nothing to compare the list with yet
+		return // reports can't be handled before the replay
 	}
-	w.since = reply.Seq
+	w.lastSeq = reply.Seq
 	s.acknowledge(w, m)
 	for _, r := range reply.Runs {
-		s.report(now, w, r)
+		s.handleReport(now, w, r)
 	}
 	if reply.FullList {
 		s.reconcile(now, w, reply.Runs)
 	} else {
-		s.askWhole(w, m)
+		s.requestFullList(w, m)
 	}
-	s.observe(now, w, reply)
-	s.show(now, w)
+	s.reportUsage(now, w, reply)
+	s.updatePlannerHost(now, w)
 }
 
-// askWhole asks for the whole list when a stop was taken and its run was not
-// reported: the start may never have arrived, and now can't any more.
-func (s *Shard) askWhole(w *worker, m message) {
+// requestFullList requests the full list of runs if a stop was acknowledged but
+// the end of its run was not reported. The start may never have arrived, and can
+// no longer take effect.
+func (s *Shard) requestFullList(w *worker, m message) {
 	for _, o := range m.exchange.Orders {
 		j := w.jobs[o.Run.Job]
 		if o.Kind == infra.OrderStop && j != nil && j.rec.State == task.Stopping && !j.committing {
-			w.since = 0
-			s.call(w)
+			w.lastSeq = 0
+			s.requestExchange(w)
 		}
 	}
 }
 
-// unanswered keeps the worker's backlog for the next attempt.
-func (s *Shard) unanswered(now time.Time, w *worker) {
+// handleNoReply updates the planner's state of a worker that did not reply.
+// Unacknowledged orders are repeated with the next exchange.
+func (s *Shard) handleNoReply(now time.Time, w *worker) {
 	if s.faults.lapseAtOnce {
 		s.loseRuns(now, w)
 	}
-	s.show(now, w)
+	s.updatePlannerHost(now, w)
 }
 
-// acknowledge drops the orders that the worker has taken.
+// acknowledge removes the orders that the worker has received.
 func (s *Shard) acknowledge(w *worker, m message) {
 	for _, o := range m.exchange.Orders {
-		if w.extra[o.Run] == o.Kind {
-			delete(w.extra, o.Run)
+		if w.extraOrders[o.Run] == o.Kind {
+			delete(w.extraOrders, o.Run)
 		}
 	}
-	for id, percent := range m.throttles {
+	for id, percent := range m.cpuLimits {
 		if j := w.jobs[id]; j != nil {
-			j.applied = percent
+			j.ackedCPULimit = percent
 		}
 	}
 }
 
-// reconcile compares the worker's whole list with the records: a run that was
-// sent and is not on the list is over.
+// reconcile compares the worker's full list of runs with the records. A run that
+// was sent and is not on the list has ended.
 func (s *Shard) reconcile(now time.Time, w *worker, runs []infra.RunReport) {
 	present := make(map[infra.RunID]struct{}, len(runs))
 	for _, r := range runs {
@@ -187,21 +191,21 @@
 	}
 	for _, j := range w.jobs {
 		if _, ok := present[j.rec.RunID()]; !ok && j.sent {
-			s.lapse(now, w, j)
+			s.expireRun(now, w, j)
 		}
 	}
 	if !w.reconciled {
 		w.reconciled = true
-		s.dirty = true
+		s.planNeeded = true
 		event.WorkerReconciled.Log(s.log, slog.String("worker", w.name), slog.Int("runs", len(runs)))
 	}
-	if len(w.extra) > 0 {
-		s.call(w)
+	if len(w.extraOrders) > 0 {
+		s.requestExchange(w)
 	}
 }
 
-// observe passes usage on to the planner.
-func (s *Shard) observe(now time.Time, w *worker, reply infra.ExchangeReply) {
+// reportUsage passes the reported usage to the planner.
+func (s *Shard) reportUsage(now time.Time, w *worker, reply infra.ExchangeReply) {
 	u := placement.Usage{Host: w.name, At: now, LatencyMS: reply.LatencyMS}
 	for _, r := range reply.Runs {
 		if r.State == infra.RunRunning {
@@ -210,6 +214,6 @@
 	}
 	if len(u.Jobs) > 0 || len(u.LatencyMS) > 0 {
 		s.planner.Observe(u)
-		s.dirty = true
+		s.planNeeded = true
 	}
 }
--- a/batch/shard_move.go
+++ b/batch/shard_move.go
@@ -11,47 +11,49 @@
 )
 
 const (
-	// moveEvery is how often a shard looks for jobs to hand over.
-	moveEvery = 2 * time.Second
-	// moveAfter is how long a job waits before it may be handed over.
-	moveAfter = 5 * time.Second
-	// moveLimit bounds the jobs handed over at once.
-	moveLimit = 16
-	// checkAfter is how long a shard that accepted a job waits for word
-	// before it reads the row, and expectFor how long it goes on.
-	checkAfter = 3 * time.Second
-	expectFor  = time.Minute
+	// offerInterval is how often a shard offers pending jobs to another shard.
+	offerInterval = 2 * time.Second
+	// offerAfter is how long a job is pending before it may be offered.
+	offerAfter = 5 * time.Second
+	// maxOffered is the largest number of jobs offered or expected at once.
+	maxOffered = 16
+	// expectedCheckInterval is how long a shard waits for the notification of
+	// an accepted job before it reads the row; expectTimeout is how long it
+	// keeps expecting the job.
+	expectedCheckInterval = 3 * time.Second
+	expectTimeout         = time.Minute
 )
 
-// surplus returns jobs that have waited long and go to the same zones.
-func (s *Shard) surplus(now time.Time) []task.Spec {
-	if !s.live() || now.Before(s.nextMove) || now.Before(s.heldUntil) || s.pending == 0 {
+// offerableJobs returns up to maxOffered jobs that have been pending for
+// offerAfter and have the same zones.
+func (s *Shard) offerableJobs(now time.Time) []task.Spec {
+	if !s.acceptsWork() || now.Before(s.nextOffer) || now.Before(s.commitsPausedUntil) || s.pending == 0 {
 		return nil
 	}
-	s.nextMove = now.Add(moveEvery)
+	s.nextOffer = now.Add(offerInterval)
 	var out []task.Spec
 	for _, j := range s.jobs {
-		if !s.movable(j) || now.Sub(j.queued) < moveAfter {
+		if !s.movable(j) || now.Sub(j.queuedAt) < offerAfter {
 			continue
 		}
 		if len(out) > 0 && !slices.Equal(out[0].Zones, j.rec.Spec.Zones) {
 			continue
 		}
-		if out = append(out, j.rec.SpecWithFloor()); len(out) == moveLimit {
+		if out = append(out, j.rec.SpecWithFloor()); len(out) == maxOffered {
 			break
 		}
 	}
 	return out
 }
 
-// movable reports whether the job may be handed over: it has no run and no
-// change under way.
+// movable reports whether the job may be handed over: it is pending and has no
+// commit in flight.
 func (s *Shard) movable(j *job) bool { return j.rec.State == task.Pending && !j.committing }
 
-// accepts returns which of the jobs offered the shard would take. It expects
-// them from now on.
-func (s *Shard) accepts(now time.Time, specs []task.Spec) []string {
-	if !s.live() || s.pending > 0 || now.Before(s.heldUntil) || len(s.expected) >= moveLimit {
+// acceptOffer returns the IDs of the offered jobs that the shard accepts, and
+// expects them from now on.
+func (s *Shard) acceptOffer(now time.Time, specs []task.Spec) []string {
+	if !s.acceptsWork() || s.pending > 0 || now.Before(s.commitsPausedUntil) || len(s.expected) >= maxOffered {
 		return nil
 	}
 	var out []string
@@ -65,26 +67,26 @@
 	return out
 }
 
-// moveOut commits the hand-over of a job to another shard, on condition that
-// the owner that accepted it still owns that shard. done takes whether it took
-// effect.
-func (s *Shard) moveOut(now time.Time, id string, to infra.Condition, shard string, done func(bool)) {
+// handOver commits the hand-over of a job to another shard, on condition that
+// the owner that accepted it still owns that shard. done is called with whether
+// the commit was applied.
+func (s *Shard) handOver(now time.Time, id string, to infra.Condition, shard string, done func(bool)) {
 	j := s.jobs[id]
-	if j == nil || !s.live() || !s.movable(j) {
+	if j == nil || !s.acceptsWork() || !s.movable(j) {
 		done(false)
 		return
 	}
 	j.committing = true
 	s.pending--
 	s.planner.Withdraw(id)
-	s.put(change{
+	s.submitCommit(change{
 		conditions: []infra.Condition{to, {Key: jobKey(s.name, id), Version: j.version}},
 		writes: []infra.Write{
 			{Key: jobKey(s.name, id), Delete: true},
 			{Key: jobKey(shard, id), Value: encode(j.rec)},
 			{Key: refKey(id), Value: []byte(shard)},
 		},
-		deadline: now.Add(checkAfter),
+		deadline: now.Add(expectedCheckInterval),
 		done: func(now time.Time, r infra.CommitResult) {
 			j.committing = false
 			if r.Status == infra.CommitApplied {
@@ -95,16 +97,16 @@
 				return
 			}
 			done(false)
-			queued := j.queued
+			queuedAt := j.queuedAt
 			s.enqueue(now, j)
-			j.queued = queued
-			s.settle(now, j)
+			j.queuedAt = queuedAt
+			s.resumeDeferred(now, j)
 		},
 	})
 }
 
-// arrive takes in a job that was handed over to this shard.
-func (s *Shard) arrive(now time.Time, row stored) {
+// adoptMoved adds a job that was handed over to this shard, if it is expected.
+func (s *Shard) adoptMoved(now time.Time, row storedRecord) {
 	id := row.record.Spec.ID
 	if _, ok := s.expected[id]; !ok || s.jobs[id] != nil || row.record.State != task.Pending {
 		return
@@ -115,16 +117,16 @@
 	s.enqueue(now, j)
 }
 
-// overdue returns the jobs that were accepted and not heard of, and gives up
-// those that were expected for long. A job whose hand-over took effect after
-// that is found by a rescan.
-func (s *Shard) overdue(now time.Time) []string {
+// overdueJobs returns the accepted jobs whose notification is overdue, and stops
+// expecting those accepted more than expectTimeout ago. A job handed over later
+// than that is found by a rescan.
+func (s *Shard) overdueJobs(now time.Time) []string {
 	var out []string
 	for id, since := range s.expected {
 		switch waited := now.Sub(since); {
-		case waited > expectFor:
+		case waited > expectTimeout:
 			delete(s.expected, id)
-		case waited > checkAfter:
+		case waited > expectedCheckInterval:
 			out = append(out, id)
 		}
 	}
--- a/batch/shard_plan.go
+++ b/batch/shard_plan.go
@@ -9,46 +9,46 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// replan is how often a plan is made when nothing changed, since time alone
-// may call for one.
-const replan = 250 * time.Millisecond
+// replanInterval is the interval between plans if nothing changed; a planner's
+// decisions may depend on time alone.
+const replanInterval = 250 * time.Millisecond
 
-// planPause is the least time between two plans.
-const planPause = 5 * time.Millisecond
+// minPlanInterval is the minimum time between two plans.
+const minPlanInterval = 5 * time.Millisecond
 
-// tick does what the passing of time asks for.
+// tick runs the shard's periodic work.
 func (s *Shard) tick(now time.Time) {
-	s.look = true
-	if !s.live() {
+	s.exchangesNeeded = true
+	if !s.acceptsWork() {
 		return
 	}
-	s.watch(now)
-	s.retry(now)
+	s.checkWorkers(now)
+	s.retryDeferred(now)
 	s.sweep(now)
 	s.plan(now)
 }
 
-// plan carries out the planner's next actions.
+// plan applies the planner's next actions, if a plan is due.
 func (s *Shard) plan(now time.Time) {
-	if now.Before(s.heldUntil) || now.Sub(s.planned) < planPause || (!s.dirty && now.Before(s.nextPlan)) {
+	if now.Before(s.commitsPausedUntil) || now.Sub(s.lastPlan) < minPlanInterval || (!s.planNeeded && now.Before(s.nextPlan)) {
 		return
 	}
-	room := min(planLimit, maxStartsInFlight-s.starting)
-	if room <= 0 {
+	limit := min(maxPlanActions, maxStartsInFlight-s.startsInFlight)
+	if limit <= 0 {
 		return
 	}
-	actions := s.planner.Plan(now, room)
-	s.dirty = len(actions) >= room
-	s.nextPlan = now.Add(replan)
-	s.planned = now
+	actions := s.planner.Plan(now, limit)
+	s.planNeeded = len(actions) >= limit
+	s.nextPlan = now.Add(replanInterval)
+	s.lastPlan = now
 	for _, a := range actions {
-		s.act(now, a)
+		s.applyAction(now, a)
 	}
 }
 
-// act carries out one action of a plan.
-func (s *Shard) act(now time.Time, a placement.Action) {
-	if _, ok := s.arriving[a.Job]; ok {
+// applyAction applies one action of a plan.
+func (s *Shard) applyAction(now time.Time, a placement.Action) {
+	if _, ok := s.committingUrgent[a.Job]; ok {
 		return
 	}
 	j := s.jobs[a.Job]
@@ -60,83 +60,85 @@
 	case placement.Start:
 		s.start(now, j, a)
 	case placement.Throttle:
-		s.throttle(j, a.CPULimit)
+		s.setCPULimit(j, a.CPULimit)
 	case placement.Evict:
 		s.evict(j)
 	}
 }
 
-// start commits the start of a pending job; the order follows once it is
+// start commits the start of a pending job. The order is sent once the commit is
 // durable.
 func (s *Shard) start(now time.Time, j *job, a placement.Action) {
 	host := a.Host
 	w := s.workers[host]
 	next, t := j.rec.Start(host, a.Resources)
 	if w == nil || t != task.Applied || j.committing || !w.health.admit(now, j.rec.Spec.ID) {
-		s.giveBack(now, j)
+		s.undoPlannedStart(now, j)
 		return
 	}
 	s.pending--
 	s.running++
-	s.starting++
+	s.startsInFlight++
 	w.jobs[j.rec.Spec.ID] = j
 	if w.health.probe == j.rec.Spec.ID {
 		event.WorkerProbed.Log(s.log, slog.String("worker", w.name), slog.String("job", j.rec.Spec.ID))
-		s.show(now, w)
+		s.updatePlannerHost(now, w)
 	}
 	if s.faults.sendBeforeDurable {
 		j.rec = next
-		s.call(w)
+		s.requestExchange(w)
 	}
-	s.advance(j, next, func(time.Time) {
-		s.starting--
+	s.commitRecord(j, next, func(time.Time) {
+		s.startsInFlight--
 		s.starts++
-		s.call(w)
+		s.requestExchange(w)
 		s.metrics.starts.Inc()
 	}, func(now time.Time) {
-		s.starting--
-		w.health.ended(j.rec.Spec.ID)
-		s.vacate(now, j, host, false)
+		s.startsInFlight--
+		w.health.clearProbe(j.rec.Spec.ID)
+		s.freeRun(now, j, host, false)
 		s.enqueue(now, j)
 	})
 }
 
-// giveBack returns a planned start that can't be made.
-func (s *Shard) giveBack(now time.Time, j *job) {
+// undoPlannedStart returns the job of a start that can't be made to the
+// planner's queue.
+func (s *Shard) undoPlannedStart(now time.Time, j *job) {
 	s.planner.Release(now, j.rec.Spec.ID, false)
 	if j.rec.State == task.Pending && !j.committing {
 		s.planner.Enqueue(now, j.rec.SpecWithFloor())
 	}
 }
 
-// throttle has the worker told of a new limit.
-func (s *Shard) throttle(j *job, percent int) {
+// setCPULimit sets the CPU limit of the job's run, in percent, and requests an
+// exchange that sends it.
+func (s *Shard) setCPULimit(j *job, cpuLimit int) {
 	if !j.rec.State.Active() {
 		return
 	}
-	j.percent = percent
-	s.hurry(j)
+	j.cpuLimit = cpuLimit
+	s.requestExchangeFor(j)
 }
 
-// evict has the job's run checkpointed and stopped.
+// evict requests that the job's run is checkpointed and stopped.
 func (s *Shard) evict(j *job) {
 	if !j.rec.State.Active() || j.evict {
 		return
 	}
 	j.evict = true
 	s.metrics.evictions.Inc()
-	s.hurry(j)
+	s.requestExchangeFor(j)
 }
 
-// hurry asks for an exchange with the job's worker at once.
-func (s *Shard) hurry(j *job) {
+// requestExchangeFor requests an immediate exchange with the job's worker.
+func (s *Shard) requestExchangeFor(j *job) {
 	if w := s.workers[j.rec.Worker]; w != nil {
-		s.call(w)
+		s.requestExchange(w)
 	}
 }
 
-// call asks for an exchange with the worker at once.
-func (s *Shard) call(w *worker) {
-	w.soon = true
-	s.look = true
+// requestExchange requests an immediate exchange with the worker.
+func (s *Shard) requestExchange(w *worker) {
+	w.exchangeNow = true
+	s.exchangesNeeded = true
 }
--- a/batch/shard_quota.go
+++ b/batch/shard_quota.go
@@ -9,14 +9,14 @@
 	"github.com/fireflygate/fireflygate/quota"
 )
 
-// storedDivision is a division of one team's quota as the table holds it.
+// storedDivision is the division of a team's quota with the version of its row.
 type storedDivision struct {
 	division quota.Division
 	version  uint64
 }
 
-// setQuotas brings the teams' quotas into force. A team holds nothing here
-// until a division gives it something.
+// setQuotas applies the teams' quotas. A team's allotment is zero until a
+// division assigns a bound to this shard.
 func (s *Shard) setQuotas(quotas map[string]quota.Amount) {
 	for team := range s.quotas {
 		if _, ok := quotas[team]; !ok {
@@ -28,21 +28,21 @@
 	for team, q := range quotas {
 		a := s.allotment(team)
 		a.SetQuota(q)
-		s.allot(team, a)
-		if was, ok := before[team]; !ok || was != q {
-			s.noteQuota(team, q)
+		s.applyAllotment(team, a)
+		if previous, ok := before[team]; !ok || previous != q {
+			s.logQuota(team, q)
 		}
 	}
 	for team := range before {
 		if _, ok := quotas[team]; !ok {
-			s.noteQuota(team, quota.NewAmount(0, 0))
+			s.logQuota(team, quota.NewAmount(0, 0))
 		}
 	}
 }
 
-// noteQuota tells operators, who lower a quota and see no job ended by it, that
-// the planner keeps to it.
-func (s *Shard) noteQuota(team string, q quota.Amount) {
+// logQuota logs that the planner applies a quota. Operators need this because
+// lowering a quota ends no running job.
+func (s *Shard) logQuota(team string, q quota.Amount) {
 	held := quota.NewAmount(0, 0)
 	if q != held {
 		held = s.allotment(team).Held()
@@ -52,7 +52,8 @@
 		slog.Any("quota", q), slog.Any("held", held), slog.Any("used", used))
 }
 
-// allotment returns what the shard holds of a team's quota.
+// allotment returns the shard's allotment of a team's quota, creating it if
+// necessary.
 func (s *Shard) allotment(team string) *quota.Allotment {
 	a, ok := s.allotments[team]
 	if !ok {
@@ -62,8 +63,9 @@
 	return a
 }
 
-// beginAllotments takes in the divisions as they were read after the take-over.
-func (s *Shard) beginAllotments(divisions map[string]storedDivision) {
+// loadAllotments sets the allotments from the divisions read after the
+// takeover.
+func (s *Shard) loadAllotments(divisions map[string]storedDivision) {
 	for team, d := range divisions {
 		begun := quota.NewAllotment(d.version, d.division.Bounds[s.name])
 		s.allotments[team] = &begun
@@ -71,8 +73,8 @@
 	s.setQuotas(s.quotas)
 }
 
-// allot has the planner keep to what is held.
-func (s *Shard) allot(team string, a *quota.Allotment) {
+// applyAllotment passes the team's allotment to the planner.
+func (s *Shard) applyAllotment(team string, a *quota.Allotment) {
 	held := a.Held()
 	if s.faults.wholeQuota {
 		held = s.quotas[team]
@@ -80,11 +82,11 @@
 	s.planner.SetAllotment(team, held)
 }
 
-// divided takes in a division, comes down to the target as far as the team's
-// use allows, and reports. It reports nothing before the replay or while the
-// team has no quota here.
-func (s *Shard) divided(team string, version uint64, b shardBound) (quota.Report, bool) {
-	if _, ok := s.quotas[team]; !ok || !s.live() {
+// applyDivision applies a division, lowers the allotment to the target as far as
+// usage allows, and returns a report. It returns false before the replay is
+// complete and for teams without a quota.
+func (s *Shard) applyDivision(team string, version uint64, b shardBound) (quota.Report, bool) {
+	if _, ok := s.quotas[team]; !ok || !s.acceptsWork() {
 		return quota.Report{}, false
 	}
 	a := s.allotment(team)
@@ -92,18 +94,18 @@
 	used, pending := s.planner.TeamUsage(team)
 	a.Lower(b.Target, used)
 	held := a.Report(version)
-	s.allot(team, a)
-	s.dirty = true
+	s.applyAllotment(team, a)
+	s.planNeeded = true
 	return quota.Report{Capacity: s.planner.Capacity(), Used: used, Demand: pending, Held: held}, true
 }
 
-// wanting returns the teams whose pending jobs ask for more than the shard
-// holds of their quotas.
-func (s *Shard) wanting(now time.Time) []string {
-	if !s.live() || s.pending == 0 || now.Before(s.nextWant) {
+// teamsWaitingForQuota returns the teams whose usage and pending jobs exceed
+// their allotments.
+func (s *Shard) teamsWaitingForQuota(now time.Time) []string {
+	if !s.acceptsWork() || s.pending == 0 || now.Before(s.nextQuotaCheck) {
 		return nil
 	}
-	s.nextWant = now.Add(wantEvery)
+	s.nextQuotaCheck = now.Add(quotaCheckInterval)
 	var out []string
 	for team := range s.quotas {
 		used, pending := s.planner.TeamUsage(team)
@@ -116,13 +118,14 @@
 }
 
 const (
-	// divideEvery is how often a team's quota is divided anew, and
-	// divideSoon while bounds still move or a shard waits for more.
-	divideEvery = 30 * time.Second
-	divideSoon  = time.Second
-	// wantEvery is how often a shard looks for teams that wait.
-	wantEvery = 250 * time.Millisecond
-	// maxLowered bounds the bounds that one division lowers, since each is a
-	// condition of its commit.
+	// divideInterval is the interval between divisions of a team's quota, and
+	// divideMinInterval the one while bounds change or a shard needs more.
+	divideInterval    = 30 * time.Second
+	divideMinInterval = time.Second
+	// quotaCheckInterval is how often a shard checks whether teams need more
+	// quota.
+	quotaCheckInterval = 250 * time.Millisecond
+	// maxLowered is the largest number of bounds that one division lowers;
+	// each adds a condition to the commit.
 	maxLowered = 64
 )
--- a/batch/shard_rescan.go
+++ b/batch/shard_rescan.go
@@ -10,20 +10,21 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// rescanEvery is how often a shard looks through its rows for jobs that were
-// handed over to it without its hearing of it.
-const rescanEvery = 30 * time.Second
+// rescanInterval is how often a shard scans its rows for jobs that were handed
+// over without a notification.
+const rescanInterval = 30 * time.Second
 
-// rescan reads the shard's rows when it is time to.
-func (m *Manager) rescan(now time.Time, o *owned) {
-	if !o.Shard.live() || o.rescanning || now.Before(o.nextRescan) {
+// rescan starts a scan of the shard's rows if one is due.
+func (m *Manager) rescan(now time.Time, o *ownedShard) {
+	if !o.Shard.acceptsWork() || o.rescanning || now.Before(o.nextRescan) {
 		return
 	}
 	first := o.nextRescan.IsZero()
-	o.nextRescan = now.Add(rescanEvery)
+	o.nextRescan = now.Add(rescanInterval)
 	if first {
-		// The replay has just read all rows; shards take turns after it.
-		o.nextRescan = now.Add(rescanEvery/2 + time.Duration(m.fraction()*float64(rescanEvery)))
+		// The replay has just read all rows. The random delay spreads the
+		// scans of different shards.
+		o.nextRescan = now.Add(rescanInterval/2 + time.Duration(m.randomFraction()*float64(rescanInterval)))
 		return
 	}
 	o.rescanning = true
@@ -31,21 +32,21 @@
 		rows, ok := m.rows(m.context, o.name)
 		m.post(func(now time.Time) {
 			o.rescanning = false
-			if ok && m.holds(o) {
-				o.rescanned(now, rows)
+			if ok && m.isCurrent(o) {
+				o.handleRescan(now, rows)
 			}
 		})
 	})
 }
 
-// fraction returns a random number from 0 to 1.
-func (m *Manager) fraction() float64 {
+// randomFraction returns a random number in [0, 1).
+func (m *Manager) randomFraction() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.config.Rand.Float64()
 }
 
-// rows reads all rows of a shard; false if the table did not answer.
+// rows returns all job rows of a shard; false if a scan failed.
 func (m *Manager) rows(ctx context.Context, shard string) ([]infra.Row, bool) {
 	prefix := jobPrefix + shard + "/"
 	var out []infra.Row
@@ -56,19 +57,19 @@
 			return nil, false
 		}
 		out = append(out, page...)
-		if len(page) < scanPage {
+		if len(page) < scanPageRows {
 			return out, true
 		}
 		after = page[len(page)-1].Key
 	}
 }
 
-// rescanned takes in pending jobs that this shard does not know. A row counts
-// once two scans found it unchanged, since one alone may be of a job that is
-// just being submitted, or that was handed over or dropped meanwhile.
-func (s *Shard) rescanned(now time.Time, rows []infra.Row) {
-	before := s.unknown
-	s.unknown = map[string]uint64{}
+// handleRescan adds pending jobs that the shard does not know. A row must be
+// unchanged in two scans, because a single scan may include jobs that are being
+// submitted, or that were handed over or deleted during the scan.
+func (s *Shard) handleRescan(now time.Time, rows []infra.Row) {
+	before := s.unknownRows
+	s.unknownRows = map[string]uint64{}
 	prefix := jobPrefix + s.name + "/"
 	for _, row := range rows {
 		id, err := url.PathUnescape(strings.TrimPrefix(row.Key, prefix))
@@ -76,13 +77,13 @@
 			continue
 		}
 		if before[id] != row.Version {
-			s.unknown[id] = row.Version
+			s.unknownRows[id] = row.Version
 			continue
 		}
 		record, err := decodeRecord(row.Value)
 		if err == nil && record.State == task.Pending {
 			s.expected[id] = now
-			s.arrive(now, stored{record: record, version: row.Version})
+			s.adoptMoved(now, storedRecord{record: record, version: row.Version})
 		}
 	}
 }
--- a/batch/shard_urgent.go
+++ b/batch/shard_urgent.go
@@ -8,54 +8,53 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// submitStarted makes an urgent job durable together with its first start, if
-// it can be placed now; this saves one commit's time. It reports whether it
-// did.
-func (s *Shard) submitStarted(now time.Time, spec task.Spec, deadline time.Time, reply func(submitReply)) bool {
+// submitWithStart commits an urgent job together with its first start, which
+// saves the time of one commit. It returns false if the job can't be placed now.
+func (s *Shard) submitWithStart(now time.Time, spec task.Spec, deadline time.Time, reply func(submitReply)) bool {
 	placed, ok := s.placeNow(now, spec)
 	if !ok {
 		return false
 	}
 	host := placed.Host
 	next, _ := task.New(spec).Start(host, placed.Resources)
-	s.arriving[spec.ID] = struct{}{}
-	s.starting++
-	c := submission(s.name, next)
+	s.committingUrgent[spec.ID] = struct{}{}
+	s.startsInFlight++
+	c := submissionChange(s.name, next)
 	c.urgent = true
 	c.deadline = deadline
 	arrived := now
 	c.done = func(now time.Time, r infra.CommitResult) {
-		delete(s.arriving, spec.ID)
-		s.starting--
+		delete(s.committingUrgent, spec.ID)
+		s.startsInFlight--
 		if r.Status == infra.CommitApplied {
 			reply(s.acceptStarted(now, arrived, next, r.Version))
 			return
 		}
 		s.planner.Release(now, spec.ID, false)
 		if w := s.workers[host]; w != nil {
-			w.health.ended(spec.ID)
+			w.health.clearProbe(spec.ID)
 		}
-		reply(s.submitted(now, spec, r))
+		reply(s.handleSubmitResult(now, spec, r))
 	}
-	s.put(c)
+	s.submitCommit(c)
 	return true
 }
 
-// placeNow asks for a plan and returns its start of the job; false if it has
-// to wait.
+// placeNow runs the planner and returns the start of the job; false if the job
+// can't start now. Other actions of the plan are applied.
 func (s *Shard) placeNow(now time.Time, spec task.Spec) (start placement.Action, ok bool) {
-	if now.Before(s.heldUntil) || s.starting >= maxStartsInFlight {
+	if now.Before(s.commitsPausedUntil) || s.startsInFlight >= maxStartsInFlight {
 		return start, false
 	}
 	s.planner.Enqueue(now, spec)
-	for _, a := range s.planner.Plan(now, planLimit) {
+	for _, a := range s.planner.Plan(now, maxPlanActions) {
 		if a.Job != spec.ID || a.Kind != placement.Start {
-			s.act(now, a)
+			s.applyAction(now, a)
 			continue
 		}
 		start = a
 	}
-	s.dirty = true
+	s.planNeeded = true
 	if start.Host == "" {
 		s.planner.Withdraw(spec.ID)
 		return start, false
@@ -67,15 +66,15 @@
 	return start, true
 }
 
-// acceptStarted adds a job whose first start is durable.
+// acceptStarted adds a job that was committed with its first start.
 func (s *Shard) acceptStarted(now, arrived time.Time, r task.Record, version uint64) submitReply {
-	j := &job{rec: r, version: version, queued: arrived}
+	j := &job{rec: r, version: version, queuedAt: arrived}
 	s.jobs[r.Spec.ID] = j
 	w := s.worker(now, r.Worker)
 	w.jobs[r.Spec.ID] = j
 	s.running++
 	s.starts++
 	s.metrics.starts.Inc()
-	s.call(w)
+	s.requestExchange(w)
 	return submitReply{Code: submitAccepted, Status: s.status(j), Load: s.pending}
 }
--- a/batch/shard_workers.go
+++ b/batch/shard_workers.go
@@ -9,115 +9,116 @@
 	"github.com/fireflygate/fireflygate/placement"
 )
 
-// setMembers takes in the workers that the membership list gives the shard.
+// setMembers sets the workers that the membership list assigns to the shard.
 func (s *Shard) setMembers(now time.Time, members []infra.Member) {
 	listed := make(map[string]struct{}, len(members))
 	for _, m := range members {
 		listed[m.Name] = struct{}{}
 		w := s.worker(now, m.Name)
 		if w.member.Address != "" && w.member.Address != m.Address {
-			w.reconciled, w.since = false, 0
+			w.reconciled, w.lastSeq = false, 0
 		}
 		w.member, w.listed = m, true
-		s.show(now, w)
+		s.updatePlannerHost(now, w)
 	}
 	for name, w := range s.workers {
 		if _, ok := listed[name]; !ok {
 			w.listed = false
-			s.show(now, w)
+			s.updatePlannerHost(now, w)
 		}
 	}
-	s.dirty = true
+	s.planNeeded = true
 }
 
-// wordWithin is the part of a task lease for which the word of a worker is
-// waited for once its leases have lapsed.
-const wordWithin = 2
+// lostRunsGraceDivisor is the divisor of the task lease that gives the time to
+// wait for a worker's report after its leases have expired.
+const lostRunsGraceDivisor = 2
 
-// unschedulable says why no new job goes to the worker; empty if it may.
-func (s *Shard) unschedulable(now time.Time, w *worker) string {
+// unschedulableReason returns why the worker may not get new jobs; empty if it
+// may.
+func (s *Shard) unschedulableReason(now time.Time, w *worker) string {
 	switch {
 	case !w.listed:
 		return "gone"
 	case w.member.State == infra.Leaving:
 		return "leaving"
-	case w.lost || now.Sub(w.answered) > silentAfter*s.limits.Exchange.D():
+	case w.leasesExpired || now.Sub(w.lastAnswered) > unreachableIntervals*s.limits.Exchange.D():
 		return "unreachable"
 	case !w.reconciled:
 		return "unreconciled"
 	default:
-		return w.health.unschedulable(now)
+		return w.health.unschedulableReason(now)
 	}
 }
 
-// show tells the planner of the worker if anything changed.
-func (s *Shard) show(now time.Time, w *worker) {
+// updatePlannerHost updates the worker's host in the planner if it changed.
+func (s *Shard) updatePlannerHost(now time.Time, w *worker) {
 	h := placement.Host{
 		Name: w.name, Zone: w.member.Zone, Rack: w.member.Rack,
-		Capacity: w.member.Capacity, Unschedulable: s.unschedulable(now, w),
+		Capacity: w.member.Capacity, Unschedulable: s.unschedulableReason(now, w),
 	}
-	if w.known && h == w.shown {
+	if w.knownToPlanner && h == w.plannerHost {
 		return
 	}
-	if h.Unschedulable == "unreachable" && w.shown.Unschedulable == "" {
+	if h.Unschedulable == "unreachable" && w.plannerHost.Unschedulable == "" {
 		event.WorkerSilent.Log(s.log, slog.String("worker", w.name))
 	}
-	w.shown, w.known = h, true
+	w.plannerHost, w.knownToPlanner = h, true
 	s.planner.SetHost(h)
-	s.dirty = true
+	s.planNeeded = true
 }
 
-// watch looks for workers whose leases have lapsed, for leaving ones to be
-// emptied and for gone ones to be forgotten.
-func (s *Shard) watch(now time.Time) {
+// checkWorkers checks the leases of all workers, evicts the runs of leaving ones
+// and removes departed ones without runs.
+func (s *Shard) checkWorkers(now time.Time) {
 	for name, w := range s.workers {
-		s.show(now, w)
-		s.watchLeases(now, w)
+		s.updatePlannerHost(now, w)
+		s.checkLeases(now, w)
 		if w.listed && w.member.State == infra.Leaving {
-			s.empty(w)
+			s.evictAll(w)
 		}
-		if !w.listed && len(w.jobs) == 0 && !w.busy {
+		if !w.listed && len(w.jobs) == 0 && !w.exchangeInFlight {
 			s.planner.RemoveHost(name)
 			delete(s.workers, name)
 		}
 	}
 }
 
-// watchLeases looks whether the leases of a worker's runs have surely lapsed.
-// Its word is still asked for then: a run that was done before its lease lapsed
-// must not run again. Without it the runs are given up for lost after a while,
-// or as soon as the membership list drops the worker.
-func (s *Shard) watchLeases(now time.Time, w *worker) {
-	silent := now.Sub(w.answered)
-	if !w.lost && silent > s.lapseAfter() {
-		w.lost, w.reconciled, w.since = true, false, 0
-		s.call(w)
+// checkLeases checks whether the leases of a worker's runs have certainly
+// expired. The worker's report is still requested then, so that a run completed
+// before the expiry is not repeated. Without a report the runs are lost after
+// runsLostDelay, or as soon as the worker is off the membership list.
+func (s *Shard) checkLeases(now time.Time, w *worker) {
+	sinceAnswer := now.Sub(w.lastAnswered)
+	if !w.leasesExpired && sinceAnswer > s.leaseExpiryDelay() {
+		w.leasesExpired, w.reconciled, w.lastSeq = true, false, 0
+		s.requestExchange(w)
 	}
-	if !w.lost || len(w.jobs) == 0 {
+	if !w.leasesExpired || len(w.jobs) == 0 {
 		return
 	}
-	if !w.listed || silent > s.giveUpAfter() {
+	if !w.listed || sinceAnswer > s.runsLostDelay() {
 		s.loseRuns(now, w)
 	}
 }
 
-// loseRuns ends all runs on a worker whose leases have surely lapsed. What it
-// runs if it comes back is found by a new reconciliation.
+// loseRuns ends all runs on a worker whose leases have certainly expired. If the
+// worker returns, it is reconciled again.
 func (s *Shard) loseRuns(now time.Time, w *worker) {
 	event.WorkerLost.Log(s.log, slog.String("worker", w.name), slog.Int("runs", len(w.jobs)))
-	w.lost, w.reconciled, w.since = true, false, 0
+	w.leasesExpired, w.reconciled, w.lastSeq = true, false, 0
 	for _, j := range w.jobs {
-		s.lapse(now, w, j)
+		s.expireRun(now, w, j)
 	}
-	s.show(now, w)
+	s.updatePlannerHost(now, w)
 }
 
-// empty evicts all runs of a leaving worker, with checkpoints.
-func (s *Shard) empty(w *worker) {
+// evictAll evicts all runs of a leaving worker, with checkpoints.
+func (s *Shard) evictAll(w *worker) {
 	for _, j := range w.jobs {
 		if !j.evict {
 			j.evict = true
-			s.call(w)
+			s.requestExchange(w)
 		}
 	}
 }
--- a/batch/status.go
+++ b/batch/status.go
@@ -2,21 +2,22 @@
 
 import "github.com/fireflygate/fireflygate/task"
 
-// Status is what is told of a job.
+// Status is the status of a job as returned to callers.
 type Status struct {
 	ID    string     `msgpack:"i"`
 	Shard string     `msgpack:"s"`
 	State task.State `msgpack:"st"`
-	// Record is the job's record; its State may lag behind State, since the
-	// confirmation of a start is not written.
+	// Record is the job's record. Its State may be older than State, because
+	// the confirmation of a start is not stored.
 	Record task.Record `msgpack:"r"`
-	// Why says why it is pending or where it runs, for people.
+	// Explanation is a human-readable reason why the job is pending or where
+	// it runs.
 	Explanation string `msgpack:"w,omitempty"`
-	// Existing is set when a submission named a job that was already known.
+	// Existing is set if a submission matched an existing job.
 	Existing bool `msgpack:"x,omitempty"`
 }
 
-// Counts are totals over the shards that this host owns.
+// Counts holds totals over the shards that this host owns.
 type Counts struct {
 	Shards  int
 	Ready   int
--- a/batch/submit.go
+++ b/batch/submit.go
@@ -13,10 +13,10 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// Submit has a job held by one of the shards of its zones. It is answered only
-// once the job is durable. A repeat under the same key is answered with the
-// job that is there; the kind is NotRun, with a reason, when no job was made.
-// The spec's ID and time are given here if they are not set.
+// Submit submits a job to one of the shards of its zones and returns once the
+// job is durable. A repeated submission with the same idempotency key returns
+// the existing job. The kind is NotRun, with a reason, if no job was created.
+// Submit sets the spec's ID and submission time if they are unset.
 func (m *Manager) Submit(ctx context.Context, spec task.Spec) (Status, outcome.Kind, string) {
 	if spec.Team == "" || spec.Class == "" || spec.RunMS < 0 {
 		return Status{}, outcome.NotRun, ReasonInvalidSpec
@@ -28,10 +28,10 @@
 		spec.SubmittedUnixMS = m.config.Now().UnixMilli()
 	}
 	reason := ReasonNoShardReady
-	left := m.candidates(spec.Zones)
-	for len(left) > 0 {
-		shard := m.pick(left)
-		left = slices.DeleteFunc(left, func(s string) bool { return s == shard })
+	remaining := m.candidates(spec.Zones)
+	for len(remaining) > 0 {
+		shard := m.pick(remaining)
+		remaining = slices.DeleteFunc(remaining, func(s string) bool { return s == shard })
 		r, kind := m.submitTo(ctx, shard, spec)
 		if kind == outcome.Unknown {
 			return Status{ID: spec.ID, Shard: shard}, outcome.Unknown, ReasonAnswerLost
@@ -46,13 +46,13 @@
 	return Status{}, outcome.NotRun, reason
 }
 
-// verdict turns a shard's answer into the final one, unless another shard is
-// to be asked.
+// verdict converts a shard's reply to the result of Submit; false if another
+// shard is to be tried.
 func (m *Manager) verdict(ctx context.Context, shard string, r submitReply, kind outcome.Kind) (bool, Status, outcome.Kind, string) {
 	if kind == outcome.NotRun {
 		return false, Status{}, kind, ""
 	}
-	m.heard(shard, r.Load)
+	m.setLoad(shard, r.Load)
 	switch r.Code {
 	case submitAccepted:
 		return true, r.Status, outcome.Answered, ""
@@ -69,7 +69,7 @@
 	}
 }
 
-// existing fills in what is known of a job that was there before.
+// existing returns the full status of an existing job.
 func (m *Manager) existing(ctx context.Context, s Status) Status {
 	if full, kind, _ := m.Show(ctx, s.ID); kind == outcome.Answered {
 		s = full
@@ -78,19 +78,20 @@
 	return s
 }
 
-// heard keeps a shard's load.
-func (m *Manager) heard(shard string, load int) {
+// setLoad records a shard's number of pending jobs.
+func (m *Manager) setLoad(shard string, load int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.loads[shard] = load
 }
 
-// candidates returns the worker shards of the zones that have an owner.
+// candidates returns the worker shards of the zones that have an owner; of all
+// zones if none are given.
 func (m *Manager) candidates(zones []string) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
-	for shard, owner := range m.view.Owners {
+	for shard, owner := range m.snapshot.Owners {
 		if owner == "" || !strings.HasPrefix(shard, workerShards) {
 			continue
 		}
@@ -102,7 +103,7 @@
 	return out
 }
 
-// pick returns the less loaded of two shards chosen at random.
+// pick returns the less loaded of two randomly chosen shards.
 func (m *Manager) pick(shards []string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,19 +115,19 @@
 	return a
 }
 
-// submitTo asks the shard's owner to hold the job.
+// submitTo submits the job to the shard's owner.
 func (m *Manager) submitTo(ctx context.Context, shard string, spec task.Spec) (submitReply, outcome.Kind) {
 	request := submitRequest{Shard: shard, Spec: spec}
 	return call[submitReply](ctx, m, shard, methodSubmit, request, func(ctx context.Context) (submitReply, bool) {
-		return m.submitHere(ctx, request)
+		return m.submitLocal(ctx, request)
 	})
 }
 
-// submitHere has the local shard hold the job; false when ctx ended first.
-func (m *Manager) submitHere(ctx context.Context, r submitRequest) (submitReply, bool) {
+// submitLocal submits the job to a local shard; false if ctx ended first.
+func (m *Manager) submitLocal(ctx context.Context, r submitRequest) (submitReply, bool) {
 	return await(ctx, m, func(now time.Time, reply func(submitReply)) {
 		o := m.shards[r.Shard]
-		if o == nil || !o.live(now) {
+		if o == nil || !o.grantValid(now) {
 			reply(submitReply{Code: submitNotReady})
 			return
 		}
--- a/batch/worker.go
+++ b/batch/worker.go
@@ -7,48 +7,50 @@
 	"github.com/fireflygate/fireflygate/placement"
 )
 
-// worker is a shard's view of one worker host.
+// worker is a shard's state of one worker.
 type worker struct {
 	name   string
 	member infra.Member
-	// listed is set while the membership list has the worker.
+	// listed is set while the worker is on the membership list.
 	listed bool
-	// jobs are the jobs whose active run is here.
+	// jobs are the jobs with an active run on the worker, by ID.
 	jobs map[string]*job
-	// answered is when the last exchange was answered, or when this owner took
-	// over: no lease was renewed by anyone after it, but for exchanges that
-	// carry what is left of the lease as of then.
-	answered time.Time
-	// incarnation is the worker's life as of the last reply, clockMS its own
-	// clock then, and heard when that was read.
+	// lastAnswered is when the last exchange was answered, or when this owner
+	// took over. Leases expire at the latest taskLease after it: unanswered
+	// exchanges since then extend no lease beyond that time.
+	lastAnswered time.Time
+	// incarnation is the worker's incarnation in the last reply, clockMS its
+	// clock in that reply, and clockReadAt when the reply arrived.
 	incarnation string
 	clockMS     int64
-	heard       time.Time
-	// since is the sequence number of the last reply that was read.
-	since uint64
-	// reconciled is set once the whole list was compared with the records.
+	clockReadAt time.Time
+	// lastSeq is the sequence number of the last handled reply.
+	lastSeq uint64
+	// reconciled is set once the full list of runs was compared with the
+	// records.
 	reconciled bool
-	// lost is set once the leases here have surely lapsed unanswered.
-	lost bool
-	// busy is set while an exchange is under way; soon asks for one at once.
-	busy, soon bool
-	next       time.Time
-	// extra are orders for runs that no record stands for.
-	extra map[infra.RunID]infra.OrderKind
-	// health quarantines a worker that fails everything.
+	// leasesExpired is set once the leases have certainly expired.
+	leasesExpired bool
+	// exchangeInFlight is set while an exchange is in flight; exchangeNow
+	// requests one immediately.
+	exchangeInFlight, exchangeNow bool
+	nextExchange                  time.Time
+	// extraOrders are orders for runs that match no active record.
+	extraOrders map[infra.RunID]infra.OrderKind
+	// health tracks failures and the quarantine of the worker.
 	health health
-	// shown is what the planner was last told.
-	shown placement.Host
-	known bool
+	// plannerHost is the host last passed to the planner.
+	plannerHost    placement.Host
+	knownToPlanner bool
 }
 
-// newWorker returns a worker that was not reconciled yet.
+// newWorker returns a worker that is not yet reconciled.
 func newWorker(name string, now time.Time) *worker {
 	return &worker{
-		name:     name,
-		jobs:     map[string]*job{},
-		answered: now,
-		extra:    map[infra.RunID]infra.OrderKind{},
-		next:     now,
+		name:         name,
+		jobs:         map[string]*job{},
+		lastAnswered: now,
+		extraOrders:  map[infra.RunID]infra.OrderKind{},
+		nextExchange: now,
 	}
 }
