--- a/batch/workers_test.go
+++ b/batch/workers_test.go
@@ -11,8 +11,8 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// interval is one run as its worker lived it.
-type interval struct {
+// runInterval is one run as recorded by its worker.
+type runInterval struct {
 	run        infra.RunID
 	worker     string
 	from, to   time.Time
@@ -29,34 +29,34 @@
 
 // fakeWorker is one worker host.
 type fakeWorker struct {
-	name   string
-	born   time.Time
-	owner  uint64
-	lease  time.Time
-	seq    uint64
-	runs   map[infra.RunID]*fakeRun
-	newest map[string]uint64
-	tombs  map[infra.RunID]bool
+	name        string
+	startedAt   time.Time
+	owner       uint64
+	lease       time.Time
+	seq         uint64
+	runs        map[infra.RunID]*fakeRun
+	newestEpoch map[string]uint64
+	tombstones  map[infra.RunID]bool
 
 	// Faults.
-	cut         bool // does not get exchanges
-	loseReplies int  // exchanges that take effect without a reply
-	paused      bool // neither runs' ends nor the lease are looked at
-	failAll     bool
-	killAll     bool          // its guard kills everything
-	noSave      bool          // checkpoints are lost
-	cutAfter    bool          // is cut off with the next lost reply
-	lag         time.Duration // of an exchange on its way
-	slowStop    time.Duration // from the end of the lease to the run's
+	cut               bool // is unreachable
+	loseReplies       int  // number of exchanges to apply without a reply
+	paused            bool // does not reply, end runs or check its lease
+	failAll           bool
+	killAll           bool          // all its runs are killed by its guard
+	loseCheckpoints   bool          // checkpoints are lost
+	cutAfterLostReply bool          // becomes unreachable with the next lost reply
+	lag               time.Duration // delay of an exchange in flight
+	slowStop          time.Duration // from lease expiry to the end of the run
 }
 
-// fakeWorkers are all worker hosts, by address.
+// fakeWorkers implements infra.Workers with fake workers by address.
 type fakeWorkers struct {
 	mu      sync.Mutex
 	hosts   map[string]*fakeWorker
-	history []interval
+	history []runInterval
 	refused int
-	// hook is called with each exchange before it takes effect.
+	// hook is called with each exchange before it is applied.
 	hook func(address string, x infra.Exchange)
 }
 
@@ -64,7 +64,7 @@
 	f := &fakeWorkers{hosts: map[string]*fakeWorker{}}
 	for _, n := range names {
 		f.hosts[n] = &fakeWorker{
-			name: n, born: time.Now(), runs: map[infra.RunID]*fakeRun{}, newest: map[string]uint64{}, tombs: map[infra.RunID]bool{},
+			name: n, startedAt: time.Now(), runs: map[infra.RunID]*fakeRun{}, newestEpoch: map[string]uint64{}, tombstones: map[infra.RunID]bool{},
 		}
 	}
 	return f
@@ -100,16 +100,16 @@
 	reply := f.apply(w, x)
 	if w.loseReplies > 0 {
 		w.loseReplies--
-		w.cut = w.cut || w.cutAfter
+		w.cut = w.cut || w.cutAfterLostReply
 		return infra.ExchangeReply{}, infra.ErrUnavailable
 	}
 	return reply, nil
 }
 
-// apply carries out an exchange that arrived.
+// apply applies an exchange.
 func (f *fakeWorkers) apply(w *fakeWorker, x infra.Exchange) infra.ExchangeReply {
 	now := time.Now()
-	clockMS := now.Sub(w.born).Milliseconds()
+	clockMS := now.Sub(w.startedAt).Milliseconds()
 	if x.Incarnation == "" && x.Starts() || x.Incarnation != "" && clockMS > x.ValidUntilMS {
 		return infra.ExchangeReply{Stale: true, Incarnation: w.name, ClockMS: clockMS}
 	}
@@ -134,7 +134,7 @@
 	return reply
 }
 
-// advance ends the runs that are over by now.
+// advance ends the runs that have finished or whose lease has expired by now.
 func (f *fakeWorkers) advance(w *fakeWorker, now time.Time) {
 	if w.paused {
 		return
@@ -152,7 +152,7 @@
 	}
 }
 
-// end ends a run at a time.
+// end ends a run at the given time.
 func (f *fakeWorkers) end(w *fakeWorker, r *fakeRun, state infra.RunState, at time.Time) {
 	w.seq++
 	r.seq = w.seq
@@ -160,7 +160,7 @@
 	f.history[r.at].to = at
 }
 
-// order carries out one order.
+// order applies one order.
 func (f *fakeWorkers) order(w *fakeWorker, o infra.Order, now time.Time) {
 	r := w.runs[o.Run]
 	running := r != nil && r.report.State == infra.RunRunning
@@ -170,23 +170,23 @@
 	case infra.OrderCheckpoint:
 		if running {
 			r.report.DoneMS = now.Sub(f.history[r.at].from).Milliseconds()
-			if !w.noSave {
+			if !w.loseCheckpoints {
 				r.report.Checkpoint = o.Run.Job + "@" + now.Format("05.000")
 			}
 			f.end(w, r, infra.RunStopped, now)
 		}
 	case infra.OrderStop:
-		w.tombs[o.Run] = true
+		w.tombstones[o.Run] = true
 		if running {
 			f.end(w, r, infra.RunStopped, now)
 		}
 	case infra.OrderForget:
-		w.tombs[o.Run] = true
+		w.tombstones[o.Run] = true
 		delete(w.runs, o.Run)
 	}
 }
 
-// start begins a run unless it is a repeat or superseded.
+// start starts a run unless the order is a repeat or superseded.
 func (f *fakeWorkers) start(w *fakeWorker, r *fakeRun, o infra.Order, now time.Time) {
 	if r != nil {
 		return
@@ -194,13 +194,13 @@
 	w.seq++
 	r = &fakeRun{seq: w.seq, report: infra.RunReport{Run: o.Run, State: infra.RunRunning, Resources: o.Resources}}
 	w.runs[o.Run] = r
-	if w.tombs[o.Run] || w.newest[o.Run.Job] > o.Run.Epoch {
+	if w.tombstones[o.Run] || w.newestEpoch[o.Run.Job] > o.Run.Epoch {
 		r.report.State = infra.RunRefused
 		return
 	}
-	w.newest[o.Run.Job] = o.Run.Epoch
+	w.newestEpoch[o.Run.Job] = o.Run.Epoch
 	r.at = len(f.history)
-	f.history = append(f.history, interval{run: o.Run, worker: w.name, from: now, checkpoint: o.Checkpoint})
+	f.history = append(f.history, runInterval{run: o.Run, worker: w.name, from: now, checkpoint: o.Checkpoint})
 	if o.WorkMS > 0 {
 		r.ends = now.Add(time.Duration(o.WorkMS) * time.Millisecond)
 	}
@@ -212,8 +212,8 @@
 	}
 }
 
-// pass has all workers look at their clocks.
-func (f *fakeWorkers) pass() {
+// advanceAll advances all workers to the current time.
+func (f *fakeWorkers) advanceAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, w := range f.hosts {
@@ -221,12 +221,12 @@
 	}
 }
 
-// runsOf returns the intervals of a job.
-func (f *fakeWorkers) runsOf(job string) []interval {
-	f.pass()
+// runsOf returns the runs of a job.
+func (f *fakeWorkers) runsOf(job string) []runInterval {
+	f.advanceAll()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []interval
+	var out []runInterval
 	for _, i := range f.history {
 		if i.run.Job == job {
 			out = append(out, i)
@@ -235,13 +235,13 @@
 	return out
 }
 
-// overlap returns what is wrong with the history: a job that ran in two places
-// at once, or an epoch that ran twice; empty if nothing is.
+// overlap returns a violation in the history, empty for none: a job that ran on
+// two workers at once, or an epoch that ran twice.
 func (f *fakeWorkers) overlap() string {
-	f.pass()
+	f.advanceAll()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	byJob := map[string][]interval{}
+	byJob := map[string][]runInterval{}
 	for _, i := range f.history {
 		byJob[i.run.Job] = append(byJob[i.run.Job], i)
 	}
