--- a/batch/shard_rescan.go
+++ b/batch/shard_rescan.go
@@ -16,7 +16,7 @@
 
 // rescan starts a scan of the shard's rows if one is due.
 func (m *Manager) rescan(now time.Time, o *ownedShard) {
-	if !o.Shard.acceptsWork() || o.rescanning || now.Before(o.nextRescan) {
+	if !o.acceptsWork() || o.rescanning || now.Before(o.nextRescan) {
 		return
 	}
 	first := o.nextRescan.IsZero()
