--- a/control/boottime.go
+++ b/control/boottime.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// boottime returns a steady time that, unlike the runtime's, goes on while
-// the host is suspended. An owner judges by it whether it still may order.
+// boottime returns a monotonic time that, unlike Go's, also advances while the
+// host is suspended. Owners use it to check that they may still issue orders.
 func boottime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/control/rig_test.go
+++ b/control/cluster_test.go
@@ -17,7 +17,7 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// host is one entry host of a test.
+// host is an entry host under test.
 type host struct {
 	name    string
 	address string
@@ -25,60 +25,60 @@
 	kill    context.CancelFunc
 }
 
-// cluster is a set of entry hosts around one table and one fleet.
+// cluster is a set of entry hosts that share a table and a fleet.
 type cluster struct {
-	t     *testing.T
-	table infra.Table
-	fleet *fleet
-	hosts []*host
-	lives int
-	log   *slog.Logger
-	// cores are the processors of the hosts started from now on.
+	t            *testing.T
+	table        infra.Table
+	fleet        *fleet
+	hosts        []*host
+	incarnations int
+	log          *slog.Logger
+	// cores is the number of processors of hosts started from now on.
 	cores float64
-	// leads, if set, is told by the hosts started from now on.
-	leads func(owner bool)
-	// carried counts the orders that each host gave to workers.
-	carried map[string]*countingClient
+	// ownershipChanged, if set, is the callback of hosts started from now on.
+	ownershipChanged func(owner bool)
+	// clients are the worker clients by host name.
+	clients map[string]*countingClient
 }
 
-// testQueue is the queue of these tests.
+// testQueue is the queue of all test jobs.
 var testQueue = workload.Queue{
 	Name: "q", Pool: "pool", MaxAttempts: 2, Stretch: 2, Target: time.Second,
 }
 
-// newCluster starts n hosts.
+// newCluster starts n hosts with the given number of workers.
 func newCluster(t *testing.T, n, workers int) *cluster {
 	return newLoggingCluster(t, n, workers, slog.New(slog.DiscardHandler))
 }
 
-// newLoggingCluster starts n hosts that log to log.
+// newLoggingCluster is newCluster with a logger for the hosts.
 func newLoggingCluster(t *testing.T, n, workers int, log *slog.Logger) *cluster {
-	c := &cluster{t: t, table: memtable.New(), fleet: newFleet(workers), log: log, carried: map[string]*countingClient{}}
+	c := &cluster{t: t, table: memtable.New(), fleet: newFleet(workers), log: log, clients: map[string]*countingClient{}}
 	for i := range n {
 		c.start(fmt.Sprintf("h%d", i), c.table)
 	}
 	return c
 }
 
-// start starts a host that reaches the store through the given table.
+// start starts a host that uses the given table.
 func (c *cluster) start(name string, table infra.Table) *host {
 	c.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.lives++
+	c.incarnations++
 	var seeds []string
 	for _, h := range c.hosts {
 		seeds = append(seeds, h.address)
 	}
 	h := &host{name: name, address: ln.Addr().String()}
-	c.carried[name] = &countingClient{Client: c.fleet}
+	c.clients[name] = &countingClient{Client: c.fleet}
 	h.node = control.NewNode(control.Options{
-		Host: name, Address: h.address, Incarnation: fmt.Sprintf("%s-%d", name, c.lives), Seeds: seeds, Cores: c.cores,
-		Table: table, Workers: c.carried[name], Zone: testZone, Members: c.fleet, Log: c.log,
+		Host: name, Address: h.address, Incarnation: fmt.Sprintf("%s-%d", name, c.incarnations), Seeds: seeds, Cores: c.cores,
+		Table: table, Workers: c.clients[name], Zone: testZone, Members: c.fleet, Log: c.log,
 		Metrics:          control.NewMetrics(prometheus.NewRegistry()),
-		OwnershipChanged: c.leads,
+		OwnershipChanged: c.ownershipChanged,
 		Retention:        time.Minute, MaxLease: 10 * time.Second, TailBound: 4 * time.Second,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -94,33 +94,33 @@
 	return h
 }
 
-// job is a job of one step.
+// job returns a job of one step.
 func job(id string, tasks int) *workload.Job {
 	return &workload.Job{ID: id, Queue: testQueue.Name, Steps: []workload.Step{{
 		Tasks: tasks, Needs: infra.Resources{MilliCPU: 1000, MemoryMB: 100}, Estimate: time.Second, DisruptionBudget: -1,
 	}}}
 }
 
-// limit bounds one request of a test; it only ends a test that hangs.
-const limit = 30 * time.Second
+// requestTimeout bounds one request of a test; it only stops tests that hang.
+const requestTimeout = 30 * time.Second
 
-// submit hands a job in until it is accepted.
+// submit submits a job repeatedly until it is accepted.
 func (c *cluster) submit(h *host, j *workload.Job) {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if out := h.node.Submit(ctx, j, testQueue); out.Result == control.ResultDone {
 			return
 		}
 	}
-	c.t.Fatalf("job %s isn't accepted", j.ID)
+	c.t.Fatalf("job %s wasn't accepted", j.ID)
 }
 
-// await waits until a host says that a job is in a state.
-func (c *cluster) await(h *host, id string, want workload.State) {
+// awaitState waits until a host reports a job in the given state.
+func (c *cluster) awaitState(h *host, id string, want workload.State) {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	var last control.Outcome
 	for ctx.Err() == nil {
@@ -132,10 +132,10 @@
 	c.t.Fatalf("job %s is %v (%v), want %v", id, last.State, last.Result, want)
 }
 
-// leader returns the host that owns the domain.
+// leader waits until one of the hosts owns the domain and returns it.
 func (c *cluster) leader(among ...*host) *host {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		for _, h := range among {
@@ -149,10 +149,10 @@
 	return nil
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds.
 func (c *cluster) eventually(what string, holds func() bool) {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if holds() {
@@ -160,5 +160,5 @@
 		}
 		pause.For(ctx, time.Millisecond)
 	}
-	c.t.Fatalf("never seen: %s", what)
+	c.t.Fatalf("condition not met: %s", what)
 }
--- a/control/commit.go
+++ b/control/commit.go
@@ -10,9 +10,9 @@
 	"github.com/fireflygate/fireflygate/event"
 )
 
-// flush commits what has changed, one batch at a time: what somebody waits for
-// at once, what is urgent otherwise after flushDelay, the rest after longer if
-// workers report late anyway, and at least something every heartbeat.
+// flush commits changed state, one batch at a time: immediately if a caller
+// waits, urgent changes after flushDelay, all others after up to half a poll
+// interval more. The owner's row is committed at least every heartbeatInterval.
 func (o *Owner) flush(now time.Time) {
 	if o.committing || o.resigning {
 		return
@@ -22,21 +22,21 @@
 	} else if o.dirtySince.IsZero() {
 		o.dirtySince = now
 	}
-	beat := now.Sub(o.lastCommit) >= heartbeat
-	all := !o.dirtySince.IsZero() && now.Sub(o.dirtySince) >= flushDelay+o.traffic.PollInterval(now)/2
-	urgent := now.Sub(o.lastCommit) >= flushDelay && o.state.HasUrgentChanges()
-	if !beat && !all && !urgent && len(o.waiters) == 0 {
+	heartbeatDue := now.Sub(o.lastCommit) >= heartbeatInterval
+	flushAll := !o.dirtySince.IsZero() && now.Sub(o.dirtySince) >= flushDelay+o.traffic.PollInterval(now)/2
+	flushUrgent := now.Sub(o.lastCommit) >= flushDelay && o.state.HasUrgentChanges()
+	if !heartbeatDue && !flushAll && !flushUrgent && len(o.waiters) == 0 {
 		return
 	}
 	collect := o.state.FlushUrgent
-	if all {
+	if flushAll {
 		collect, o.dirtySince = o.state.Flush, time.Time{}
 	}
-	b, err := collect(now, batchWrites)
+	b, err := collect(now, maxBatchWrites)
 	if err != nil {
-		panic("control: state can't be encoded: " + err.Error())
+		panic("control: can't encode state: " + err.Error())
 	}
-	if len(b.Writes) == 0 && !beat {
+	if len(b.Writes) == 0 && !heartbeatDue {
 		o.state.MarkFlushed(b)
 		return
 	}
@@ -45,23 +45,23 @@
 	go o.commit(b)
 }
 
-// commit writes a batch and posts the outcome. An owner whose commit can't be
-// applied any more has been deposed.
+// commit writes a batch and posts the outcome to the loop. If the batch can't
+// be applied any more, the owner has been deposed and quits.
 func (o *Owner) commit(b *dispatch.Batch) {
-	begun := boottime()
-	best, _ := o.rivals.Strongest(begun)
+	start := boottime()
+	best, _ := o.candidates.Strongest(start)
 	o.committer.SetCores(max(best, o.opts.Cores))
 	err := o.committer.Commit(o.ctx, b.Writes)
-	o.opts.Metrics.commit(err, boottime()-begun)
+	o.opts.Metrics.commit(err, boottime()-start)
 	if err != nil {
 		o.quit(errors.Wrap(err, "commit"))
 		return
 	}
-	o.prove(begun)
+	o.recordCommit(start)
 	o.post(func() {
 		o.committing = false
 		o.state.MarkFlushed(b)
-		o.settle()
+		o.notifyDurable()
 		if f := o.afterCommit; f != nil {
 			o.afterCommit = nil
 			f()
@@ -69,24 +69,25 @@
 	})
 }
 
-// prove notes that a commit that was begun then is applied.
-func (o *Owner) prove(begun time.Duration) {
-	o.provenVersion.Store(o.committer.Version())
-	o.provenAt.Store(int64(begun))
+// recordCommit records an applied commit that was started at the boottime
+// start.
+func (o *Owner) recordCommit(start time.Duration) {
+	o.committedVersion.Store(o.committer.Version())
+	o.committedAt.Store(int64(start))
 }
 
-// settle answers those whose change is durable.
-func (o *Owner) settle() {
+// notifyDurable responds to the waiters of jobs whose changes are durable.
+func (o *Owner) notifyDurable() {
 	for id := range o.waiters {
 		if o.state.JobFlushed(id) {
 			event.JobDurable.Log(o.opts.Log, slog.Any("job", id), slog.Any("epoch", o.epoch))
-			o.tell(id, reply{Result: ResultDone})
+			o.notifyWaiters(id, reply{Result: ResultDone})
 		}
 	}
 }
 
-// tell answers everybody who waits for a job.
-func (o *Owner) tell(id string, r reply) {
+// notifyWaiters responds to all waiters of a job.
+func (o *Owner) notifyWaiters(id string, r reply) {
 	for _, c := range o.waiters[id] {
 		c <- r
 	}
--- a/control/config.go
+++ b/control/config.go
@@ -2,9 +2,9 @@
 
 import "github.com/fireflygate/fireflygate/workload"
 
-// Config is the part of the configuration that scheduling depends on.
+// Config is the configuration of scheduling.
 type Config struct {
-	// Version rises with each change.
+	// Version increases with each change.
 	Version uint64
 	Queues  []workload.Queue
 }
--- a/control/counting_test.go
+++ b/control/counting_test.go
@@ -7,13 +7,13 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// testZone is the availability zone of all hosts and workers.
+// testZone is the availability zone of all hosts and workers in the tests.
 const testZone = "zone"
 
-// countingClient counts the starts and looks that a host gives to workers.
+// countingClient counts the starts and polls that a host sends to workers.
 type countingClient struct {
 	runner.Client
-	starts, looks atomic.Int64
+	starts, polls atomic.Int64
 }
 
 // Start implements runner.Client.
@@ -24,6 +24,6 @@
 
 // Renew implements runner.Client.
 func (c *countingClient) Renew(ctx context.Context, w runner.Worker, o runner.Renewal) (runner.Answer, runner.Report) {
-	c.looks.Add(1)
+	c.polls.Add(1)
 	return c.Client.Renew(ctx, w, o)
 }
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,5 +1,6 @@
 // Package control runs a scheduling domain on a set of equal entry hosts. One
-// of them owns the domain and drives its workers; the others forward what
-// callers ask to it and take over when it is gone. All decisions are made by
-// package dispatch, all that must last is in the table service.
+// host owns the domain and drives its workers. The others forward callers'
+// requests to the owner and take the domain over when it fails. Scheduling
+// decisions are made by package dispatch; durable state is kept in the table
+// service.
 package control
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// HaveRelays has the owner use so many relays in each zone, whatever its load,
-// once it owns the domain.
-func (n *Node) HaveRelays(perZone int) {
+// SetMinRelays makes the owner use at least perZone relays in each zone. The
+// host must own the domain.
+func (n *Node) SetMinRelays(perZone int) {
 	o, _, _ := n.current()
 	done := make(chan struct{})
 	o.post(func() {
-		o.demand.Min = perZone
-		o.adaptRelays(time.Now(), 0)
+		o.relayScaler.Min = perZone
+		o.scaleRelays(time.Now(), 0)
 		close(done)
 	})
 	<-done
 }
 
-// ForgetPayloads has a host know no job's payload, as after it was replaced.
-func (n *Node) ForgetPayloads() {
-	n.payloads.mu.Lock()
-	defer n.payloads.mu.Unlock()
-	n.payloads.byJob, n.payloads.order = nil, nil
+// ClearPayloads discards all cached payloads, as a restart does.
+func (n *Node) ClearPayloads() {
+	n.payloadCache.mu.Lock()
+	defer n.payloadCache.mu.Unlock()
+	n.payloadCache.byJob, n.payloadCache.byAge = nil, nil
 }
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -11,34 +11,35 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// fleet is a set of workers in memory: a small stand-in for what runs tasks.
+// fleet is a set of in-memory workers. It implements control.Members and
+// runner.Client.
 type fleet struct {
-	mu      sync.Mutex
-	began   time.Time
-	workers map[string]*fakeWorker
-	// hang, if set, has starts at that worker wait until it is closed.
+	mu        sync.Mutex
+	startedAt time.Time
+	workers   map[string]*fakeWorker
+	// hang, if set for a worker, blocks its starts until the channel is closed.
 	hang map[string]chan struct{}
-	// hanging is told of each start that hangs.
+	// hanging receives a value for each blocked start.
 	hanging chan struct{}
-	// started is told of each start that a worker took.
+	// started receives each start that a worker accepted.
 	started chan runner.Start
-	// twice holds tasks that were started while they ran.
-	twice []workload.TaskID
+	// duplicates holds tasks that were started while they were running.
+	duplicates []workload.TaskID
 }
 
-// fakeWorker is one worker of a fleet.
+// fakeWorker is a worker of a fleet.
 type fakeWorker struct {
 	token   uint64
 	ends    []runner.RunEnd
-	number  uint64
+	lastEnd uint64
 	active  map[workload.TaskID]runner.ActiveRun
 	stopped map[workload.TaskID]uint64
 }
 
-// newFleet returns n workers.
+// newFleet returns a fleet of n workers.
 func newFleet(n int) *fleet {
 	f := &fleet{
-		began: time.Now(), workers: map[string]*fakeWorker{}, hang: map[string]chan struct{}{},
+		startedAt: time.Now(), workers: map[string]*fakeWorker{}, hang: map[string]chan struct{}{},
 		started: make(chan runner.Start, 1000), hanging: make(chan struct{}, 1000),
 	}
 	for i := range n {
@@ -62,10 +63,11 @@
 	return all, nil
 }
 
-// clock is the workers' clock.
-func (f *fleet) clock() int64 { return 1 + time.Since(f.began).Milliseconds() }
+// clock returns the time of the workers' clock in milliseconds.
+func (f *fleet) clock() int64 { return 1 + time.Since(f.startedAt).Milliseconds() }
 
-// fence takes in a token; false if it is too low.
+// fence checks and records a fencing token; it returns false if the token is
+// outdated.
 func (w *fakeWorker) fence(token uint64) bool {
 	if token < w.token {
 		return false
@@ -98,7 +100,7 @@
 	}
 	for _, other := range f.workers {
 		if _, runs := other.active[o.Task]; runs {
-			f.twice = append(f.twice, o.Task)
+			f.duplicates = append(f.duplicates, o.Task)
 		}
 	}
 	w.active[o.Task] = runner.ActiveRun{Task: o.Task, Run: o.Run, Percent: 100}
@@ -119,12 +121,12 @@
 	return runner.Answer{Status: runner.Done, ClockMS: f.clock()}
 }
 
-// Pace implements runner.Client.
+// SetCPULimit implements runner.Client.
 func (f *fleet) SetCPULimit(context.Context, runner.Worker, runner.CPULimit) runner.Answer {
 	return runner.Answer{Status: runner.Done, ClockMS: f.clock()}
 }
 
-// Renew implements runner.Client; it never waits for an end.
+// Renew implements runner.Client; it returns early from waits for ended runs.
 func (f *fleet) Renew(ctx context.Context, at runner.Worker, o runner.Renewal) (runner.Answer, runner.Report) {
 	f.mu.Lock()
 	w := f.workers[at.ID]
@@ -144,7 +146,7 @@
 		return runner.Answer{Status: runner.Fenced, ClockMS: rep.ClockMS}, runner.Report{}
 	}
 	if o.WaitMS > 0 && len(rep.Ends) == 0 {
-		// Answer soon, so that the test's ends are seen soon.
+		// Keep the wait short so that ended runs are reported soon.
 		t := time.NewTimer(5 * time.Millisecond)
 		defer t.Stop()
 		select {
@@ -155,18 +157,18 @@
 	return runner.Answer{Status: runner.Done, ClockMS: rep.ClockMS}, rep
 }
 
-// end ends a run.
+// end ends the active run of a task.
 func (w *fakeWorker) end(id workload.TaskID, how runner.EndKind) {
 	a, runs := w.active[id]
 	if !runs {
 		return
 	}
 	delete(w.active, id)
-	w.number++
-	w.ends = append(w.ends, runner.RunEnd{Number: w.number, Task: id, Run: a.Run, Kind: how})
+	w.lastEnd++
+	w.ends = append(w.ends, runner.RunEnd{Number: w.lastEnd, Task: id, Run: a.Run, Kind: how})
 }
 
-// finish has a task end as done wherever it runs.
+// finish makes a task complete on every worker that runs it.
 func (f *fleet) finish(id workload.TaskID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/control/follow.go
+++ b/control/follow.go
@@ -11,11 +11,11 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// follow watches the owner until it fails, and then takes part in replacing
-// it. It returns after each change.
+// follow monitors the owner until it is suspected, and then takes part in
+// replacing it. It returns after each change of owner.
 func (n *Node) follow(ctx context.Context) {
 	_, leader, _ := n.current()
-	d := doubt{why: "no owner is known", gone: true}
+	d := suspicion{reason: "no owner is known", terminated: true}
 	if leader.Host != "" && !leader.Resigned {
 		d = n.watchLeader(ctx, leader)
 	}
@@ -23,45 +23,45 @@
 		return
 	}
 	event.OwnerSuspected.Log(n.opts.Log, slog.String("host", leader.Host), slog.Uint64("epoch", leader.Epoch),
-		slog.String("why", d.why), slog.Uint64("version", d.version))
+		slog.String("why", d.reason), slog.Uint64("version", d.version))
 	n.replace(ctx, d)
 }
 
-// doubt is why a host takes part in replacing the owner.
-type doubt struct {
-	why string
-	// gone is set if the owner's process seems to be gone.
-	gone bool
-	// version is that of the owner's row by the owner's last answer, and since
-	// when it was so.
+// suspicion is the reason for replacing the owner, and what is known of its
+// row.
+type suspicion struct {
+	reason string
+	// terminated is set if the owner's process seems to have terminated.
+	terminated bool
+	// version is the version of the owner's row in the owner's last answer, and
+	// since the time from which it is known to be unchanged.
 	version uint64
 	since   time.Time
 }
 
-// watchLeader pings the owner until there is a reason to doubt it. It says
-// why, and whether its process seems to be gone.
-func (n *Node) watchLeader(ctx context.Context, leader election.Record) (d doubt) {
+// watchLeader pings the owner until there is a reason to suspect it.
+func (n *Node) watchLeader(ctx context.Context, leader election.Record) (d suspicion) {
 	t := time.NewTicker(pingInterval)
 	defer t.Stop()
 	for {
 		r, res := n.ping(ctx, leader)
 		switch res {
 		case outcome.NotRun:
-			d.why, d.gone = "unreachable", true
+			d.reason, d.terminated = "unreachable", true
 			return d
 		case outcome.Unknown:
-			d.why = "no answer"
+			d.reason = "no answer"
 			return d
 		}
-		a := r.answer()
-		d.why, d.gone = a.SuspectReason(&leader)
+		a := r.status()
+		d.reason, d.terminated = a.SuspectReason(&leader)
 		if a.Owns(&leader) {
 			d.version, d.since = r.Version, time.Now().Add(-a.CommitAge)
 		}
-		if d.why != "" {
+		if d.reason != "" {
 			return d
 		}
-		n.seen()
+		n.recordLeaderAnswer()
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -70,34 +70,34 @@
 	}
 }
 
-// ping asks the owner how it is.
+// ping asks the owner for its status.
 func (n *Node) ping(ctx context.Context, leader election.Record) (pingReply, outcome.Kind) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	var r pingReply
-	q := pingRequest{Epoch: leader.Epoch, Address: n.opts.Address, Hosts: n.hostCount(), Cores: n.offer(), Zone: n.opts.Zone}
+	q := pingRequest{Epoch: leader.Epoch, Address: n.opts.Address, Hosts: n.hostCount(), Cores: n.offeredCores(), Zone: n.opts.Zone}
 	res := n.client.Call(ctx, leader.Host, methodPing, q, &r)
-	n.meet(r.Hosts)
+	n.setHosts(r.Hosts)
 	if r.Owner {
 		n.relays.Store(int64(r.Relays))
 	}
 	return r, res.Kind
 }
 
-// hostCount returns how many hosts this one knows.
+// hostCount returns the number of known hosts.
 func (n *Node) hostCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.hosts)
 }
 
-// replace reads the owner's row until it names another owner, or is left
-// unchanged for so long that this host takes it.
-func (n *Node) replace(ctx context.Context, d doubt) {
+// replace polls the owner's row until it names another owner or this host has
+// taken the domain over.
+func (n *Node) replace(ctx context.Context, d suspicion) {
 	_, old, _ := n.current()
-	t := time.NewTicker(rowPoll)
+	t := time.NewTicker(rowPollInterval)
 	defer t.Stop()
-	for !n.contest(ctx, old, &d) {
+	for !n.tryReplace(ctx, old, &d) {
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -106,16 +106,17 @@
 	}
 }
 
-// contest makes one try to find the owner or to become it, and keeps in d since
-// when the row is unchanged. It reports whether anything came of it.
-func (n *Node) contest(ctx context.Context, old election.Record, d *doubt) bool {
-	if hint, ok := n.hinted(old); ok {
+// tryReplace makes one attempt to find a new owner or to take the domain over.
+// It records in d since when the row is unchanged, and reports whether it
+// succeeded.
+func (n *Node) tryReplace(ctx context.Context, old election.Record, d *suspicion) bool {
+	if hint, ok := n.newerHint(old); ok {
 		n.followOwner(hint)
 		return true
 	}
-	begun := time.Now()
+	start := time.Now()
 	record, version, err := n.readOwner(ctx)
-	slowness := slowReads * time.Since(begun)
+	readDelay := slowReadFactor * time.Since(start)
 	switch {
 	case err != nil:
 		event.OwnerUnread.Log(n.opts.Log, slog.Any("err", err))
@@ -126,31 +127,31 @@
 		n.followOwner(record)
 		return true
 	case d.since.IsZero() || version != d.version:
-		if !d.since.IsZero() && n.alive(ctx, record) {
+		if !d.since.IsZero() && n.ownerAlive(ctx, record) {
 			n.setLeader(record, nil)
 			return true
 		}
 		d.version, d.since = version, time.Now()
 		if record.Host == "" {
-			d.since = d.since.Add(-unchangedFor) // nobody to wait for
+			d.since = d.since.Add(-suspectTimeout) // no owner to wait for
 		}
 	}
-	wait := election.AcquireWait(&record, n.opts.Cores, n.patience(d.gone)+slowness)
-	return time.Since(d.since) >= wait && n.take(ctx, record, version)
+	wait := election.AcquireWait(&record, n.opts.Cores, n.takeoverTimeout(d.terminated)+readDelay)
+	return time.Since(d.since) >= wait && n.takeOver(ctx, record, version)
 }
 
-// followOwner takes in another owner.
+// followOwner makes the host follow another owner.
 func (n *Node) followOwner(r election.Record) {
 	n.setLeader(r, nil)
 	event.OwnerFollowed.Log(n.opts.Log, slog.String("host", r.Host), slog.Uint64("epoch", r.Epoch))
 }
 
-// alive reports whether the owner answers and commits.
-func (n *Node) alive(ctx context.Context, leader election.Record) bool {
+// ownerAlive reports whether the owner answers and its commits succeed.
+func (n *Node) ownerAlive(ctx context.Context, leader election.Record) bool {
 	r, res := n.ping(ctx, leader)
-	a := r.answer()
-	why, _ := a.SuspectReason(&leader)
-	return res == outcome.Answered && why == ""
+	a := r.status()
+	reason, _ := a.SuspectReason(&leader)
+	return res == outcome.Answered && reason == ""
 }
 
 // readOwner reads the owner's row.
@@ -160,75 +161,76 @@
 	return election.Read(ctx, n.opts.Table)
 }
 
-// patience returns how long this host waits with the row unchanged; hosts
-// differ, so that mostly one of them tries.
-func (n *Node) patience(gone bool) time.Duration {
+// takeoverTimeout returns how long the owner's row must stay unchanged before
+// this host takes the domain over. A per-host jitter keeps attempts apart.
+func (n *Node) takeoverTimeout(terminated bool) time.Duration {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(n.opts.Host)) // never fails
-	spread := time.Duration(h.Sum32()%spreadSteps) * spreadStep
-	if gone {
-		return unchangedRefused + spread
+	jitter := time.Duration(h.Sum32()%jitterSteps) * jitterStep
+	if terminated {
+		return terminatedTimeout + jitter
 	}
-	return unchangedFor + spread
+	return suspectTimeout + jitter
 }
 
-// slowReads is how many times the duration of a read is added to a host's
-// patience: where the table service is slow, the owner's commits are as well. A
-// commit takes a little over two reads, and the next follows at once.
-const slowReads = 3
+// slowReadFactor is the multiple of a row read's duration that is added to the
+// takeover timeout, since the owner's commits take longer as well when the
+// table service is slow.
+const slowReadFactor = 3
 
-// The spread of hosts' patience; a step is longer than a commit takes.
+// Jitter of the takeover timeout; a step exceeds the usual duration of a
+// commit.
 const (
-	spreadSteps = 8
-	spreadStep  = 25 * time.Millisecond
+	jitterSteps = 8
+	jitterStep  = 25 * time.Millisecond
 )
 
-// take tries to become the owner, and leads until that is over. It reports
-// whether anything changed.
-func (n *Node) take(ctx context.Context, seen election.Record, version uint64) bool {
+// takeOver tries to acquire the domain, and leads it until the ownership ends.
+// It reports whether the domain was acquired.
+func (n *Node) takeOver(ctx context.Context, previous election.Record, version uint64) bool {
 	if n.stopping() {
 		return false
 	}
 	self := election.Record{Host: n.opts.Host, Address: n.opts.Address, Incarnation: n.opts.Incarnation, Cores: n.opts.Cores}
-	try, cancel := context.WithTimeout(ctx, rowTimeout)
-	c, err := election.Acquire(try, n.opts.Table, self, seen, version)
+	attempt, cancel := context.WithTimeout(ctx, rowTimeout)
+	c, err := election.Acquire(attempt, n.opts.Table, self, previous, version)
 	cancel()
 	if err != nil {
-		event.OwnershipMissed.Log(n.opts.Log, slog.Any("epoch", seen.Epoch+1), slog.Any("err", err))
+		event.OwnershipMissed.Log(n.opts.Log, slog.Any("epoch", previous.Epoch+1), slog.Any("err", err))
 		return false
 	}
-	event.OwnershipTaken.Log(n.opts.Log, slog.Any("epoch", c.Record().Epoch), slog.Any("before", seen.Host),
-		slog.Float64("cores", self.Cores), slog.Float64("best", seen.Cores))
-	n.lead(ctx, c, seen)
+	event.OwnershipTaken.Log(n.opts.Log, slog.Any("epoch", c.Record().Epoch), slog.Any("before", previous.Host),
+		slog.Float64("cores", self.Cores), slog.Float64("best", previous.Cores))
+	n.lead(ctx, c, previous)
 	return true
 }
 
-// lead runs the owner until it is deposed or has resigned.
-func (n *Node) lead(ctx context.Context, c *election.Committer, before election.Record) {
+// lead runs an owner until it is deposed or has resigned.
+func (n *Node) lead(ctx context.Context, c *election.Committer, previous election.Record) {
 	n.mu.Lock()
 	opts := n.opts
 	n.mu.Unlock()
 	o := newOwner(ctx, opts, c, *n.config.Load())
 	defer o.relays.close()
-	o.rivals = &n.rivals
-	// The load that the owner before was pressed by is still there.
-	o.demand.Restore(int(n.relays.Load()))
-	o.missed = before.Resigned && before.HandedOver && before.Cores > opts.Cores
-	go n.announce(ctx, before, c.Record(), func() {
+	o.candidates = &n.candidates
+	// The load that made the previous owner use relays persists.
+	o.relayScaler.Restore(int(n.relays.Load()))
+	o.predecessorHandedOver = previous.Resigned && previous.HandedOver && previous.Cores > opts.Cores
+	go n.announceOwnership(ctx, previous, c.Record(), func() {
 		o.post(func() { o.state.PredecessorStopped(time.Now()) })
 	})
 	opts.lead(true)
 	defer opts.lead(false)
-	go o.keepRow()
-	// Requests that come while the state is read wait for the loop.
+	go o.keepRowFresh()
+	// Requests that arrive while the state is loaded wait for the loop.
 	n.setLeader(c.Record(), o)
 	if n.stopping() {
-		go o.resign(ctx) // the stop began before this owner was known
+		go o.resign(ctx) // Resign was called before this owner was set
 	}
 	if err := o.load(); err != nil {
 		event.LoadFailed.Log(n.opts.Log, slog.Any("epoch", o.epoch), slog.Any("err", err))
 		o.quit(err)
-		close(o.stopped) // a stop of this host waits for it
+		close(o.stopped) // Resign waits for it
 		n.setLeader(election.Record{}, nil)
 		return
 	}
--- a/control/forward.go
+++ b/control/forward.go
@@ -12,32 +12,31 @@
 )
 
 const (
-	// ownerWait is how long a request waits for an owner: as long as most
-	// take-overs last. After it the caller is told when to come back.
-	ownerWait = 2 * time.Second
-	// retryAfterTakeover is when a caller should come back that met a domain
-	// without an owner.
+	// ownerTimeout is how long a request waits for an owner, long enough for most
+	// takeovers.
+	ownerTimeout = 2 * time.Second
+	// retryAfterTakeover is the retry delay for callers while no owner is known.
 	retryAfterTakeover = time.Second
-	// forwardPause is the wait before a request is forwarded again.
-	forwardPause = 100 * time.Millisecond
+	// forwardRetryDelay is the delay before a request is forwarded again.
+	forwardRetryDelay = 100 * time.Millisecond
 )
 
-// Outcome is what callers of a Node are told.
+// Outcome is the outcome of a caller's request.
 type Outcome struct {
 	Result Result
 	State  workload.State
 	Count  int
-	// RetryAfter says, for a refusal, when to come back.
+	// RetryAfter is the time after which to retry a refused request.
 	RetryAfter time.Duration
 }
 
-// Submit hands a job in.
+// Submit submits a job to a queue.
 func (n *Node) Submit(ctx context.Context, job *workload.Job, q workload.Queue) Outcome {
 	return n.route(ctx, job.ID, methodSubmit, submitRequest{Job: *job, Queue: q},
 		func(o *Owner) reply { return o.submit(ctx, job, q) })
 }
 
-// State asks for a job's state.
+// State returns the state of a job.
 func (n *Node) State(ctx context.Context, id string) Outcome {
 	return n.route(ctx, id, methodState, jobRequest{ID: id}, func(o *Owner) reply { return o.jobState(ctx, id) })
 }
@@ -47,38 +46,38 @@
 	return n.route(ctx, id, methodCancel, jobRequest{ID: id}, func(o *Owner) reply { return o.cancel(ctx, id) })
 }
 
-// Pending counts the jobs of a queue that haven't begun.
+// Pending counts the jobs of a queue that haven't started.
 func (n *Node) Pending(ctx context.Context, queue string) Outcome {
 	return n.route(ctx, queue, methodPending, pendingRequest{Queue: queue},
 		func(o *Owner) reply { return o.pending(ctx, queue) })
 }
 
-// route gives a request to the owner, wherever that is, until it is answered
-// or the context ends. All requests are idempotent, so one whose outcome is
-// open is given again, also to the next owner. A request is refused only if
-// no owner can have seen it.
+// route passes a request to the owner until it is answered or the context ends.
+// All requests are idempotent: one with an unknown outcome is sent again, if
+// need be to the next owner. A request is refused only if no owner can have
+// executed it.
 func (n *Node) route(ctx context.Context, id string, m peer.Method, request any, local func(*Owner) reply) (out Outcome) {
-	var v verdict
-	begun := time.Now()
-	defer func() { n.opts.Metrics.request(string(m), out.Result, time.Since(begun)) }()
+	var tracker outcomeTracker
+	start := time.Now()
+	defer func() { n.opts.Metrics.request(string(m), out.Result, time.Since(start)) }()
 	for {
 		owner, leader, changed := n.current()
-		r, maybe := reply{Result: ResultNotOwner}, false
+		r, mayHaveRun := reply{Result: ResultNotOwner}, false
 		switch {
 		case owner != nil:
 			r = local(owner)
-			maybe = r.Result == ResultUnknown
+			mayHaveRun = r.Result == ResultUnknown
 		case leader.Host != "":
-			r, maybe = n.forward(ctx, leader.Host, m, request)
+			r, mayHaveRun = n.forward(ctx, leader.Host, m, request)
 		}
-		if v.take(r, maybe) {
+		if tracker.add(r, mayHaveRun) {
 			return Outcome{r.Result, r.State, r.Count, time.Duration(r.RetryAfterMS) * time.Millisecond}
 		}
-		if waited := max(time.Since(begun), n.ownerlessFor()); !v.open && waited > ownerWait {
-			event.NoOwner.Log(n.opts.Log, slog.Any("id", id), slog.Any("method", m), slog.Any("waited_ms", time.Since(begun).Milliseconds()))
+		if waited := max(time.Since(start), n.ownerlessFor()); !tracker.uncertain && waited > ownerTimeout {
+			event.NoOwner.Log(n.opts.Log, slog.Any("id", id), slog.Any("method", m), slog.Any("waited_ms", time.Since(start).Milliseconds()))
 			return Outcome{Result: ResultRefused, RetryAfter: retryAfterTakeover}
 		}
-		t := time.NewTimer(forwardPause)
+		t := time.NewTimer(forwardRetryDelay)
 		select {
 		case <-changed:
 		case <-t.C:
@@ -86,8 +85,8 @@
 		}
 		t.Stop()
 		if ctx.Err() != nil {
-			event.OutcomeOpen.Log(n.opts.Log, slog.Any("id", id), slog.Any("method", m), slog.Any("sent", v.open), slog.Any("waited_ms", time.Since(begun).Milliseconds()))
-			if v.open {
+			event.OutcomeOpen.Log(n.opts.Log, slog.Any("id", id), slog.Any("method", m), slog.Any("sent", tracker.uncertain), slog.Any("waited_ms", time.Since(start).Milliseconds()))
+			if tracker.uncertain {
 				return Outcome{Result: ResultUnknown}
 			}
 			return Outcome{Result: ResultRefused, RetryAfter: retryAfterTakeover}
@@ -95,9 +94,9 @@
 	}
 }
 
-// forward sends a request to the owner. Maybe is set if it may have been
-// carried out.
-func (n *Node) forward(ctx context.Context, host string, m peer.Method, request any) (r reply, maybe bool) {
+// forward sends a request to the owner's host. It reports whether the owner may
+// have executed the request without confirming it.
+func (n *Node) forward(ctx context.Context, host string, m peer.Method, request any) (r reply, mayHaveRun bool) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	res := n.client.Call(ctx, host, m, request, &r)
@@ -111,6 +110,6 @@
 	}
 }
 
-// forwardTimeout bounds one forwarding, so that a request isn't lost with a
-// connection that went silent.
+// forwardTimeout bounds one attempt, so that an unresponsive connection doesn't
+// use up the request's time.
 const forwardTimeout = 1200 * time.Millisecond
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -16,54 +16,54 @@
 	"github.com/fireflygate/fireflygate/peer"
 )
 
-// The methods by which hosts learn of an owner that they can't read of, since
-// the table service turns them away.
+// Methods by which hosts learn of a new owner if they can't read the owner's
+// row.
 const (
-	methodLeader peer.Method = "control.leader"
-	methodTaken  peer.Method = "control.taken"
+	methodLeader   peer.Method = "control.leader"
+	methodNewOwner peer.Method = "control.taken"
 )
 
-// leaderNews tells who owns the domain.
-type leaderNews struct {
+// leaderInfo is a host's knowledge of the domain's owner.
+type leaderInfo struct {
 	Record election.Record `msgpack:"r"`
-	// Fresh is set if the teller is the owner, or had its answer lately.
+	// Fresh is set if the sender is the owner or recently had an answer from it.
 	Fresh bool `msgpack:"f"`
 }
 
-// nothing is an empty message.
-type nothing struct{}
+// emptyMessage is a message without content.
+type emptyMessage struct{}
 
-// handleGossip registers the answers to these methods.
+// handleGossip registers the handlers of methodLeader and methodNewOwner.
 func (n *Node) handleGossip() {
 	n.server.Handle(methodLeader, func(_ context.Context, _ string, decode func(any) error) (any, error) {
-		if err := decode(&nothing{}); err != nil {
+		if err := decode(&emptyMessage{}); err != nil {
 			return nil, err
 		}
-		return n.leaderNews(), nil
+		return n.leaderInfo(), nil
 	})
-	n.server.Handle(methodTaken, func(_ context.Context, _ string, decode func(any) error) (any, error) {
+	n.server.Handle(methodNewOwner, func(_ context.Context, _ string, decode func(any) error) (any, error) {
 		var r election.Record
 		if err := decode(&r); err != nil {
 			return nil, err
 		}
-		n.learn(r)
-		return nothing{}, nil
+		n.handleNewOwner(r)
+		return emptyMessage{}, nil
 	})
 }
 
-// leaderNews returns what this host knows of the owner.
-func (n *Node) leaderNews() leaderNews {
+// leaderInfo returns what this host knows of the owner.
+func (n *Node) leaderInfo() leaderInfo {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.owner != nil {
-		return leaderNews{Record: n.leader, Fresh: n.owner.commitAge() < election.StaleAfter}
+		return leaderInfo{Record: n.leader, Fresh: n.owner.commitAge() < election.StaleAfter}
 	}
-	return leaderNews{Record: n.leader, Fresh: n.leaderSeen > 0 && boottime()-n.leaderSeen < election.StaleAfter}
+	return leaderInfo{Record: n.leader, Fresh: n.leaderSeen > 0 && boottime()-n.leaderSeen < election.StaleAfter}
 }
 
-// learn takes in that a host owns the domain. An owner with a lower epoch has
-// been deposed and stops.
-func (n *Node) learn(r election.Record) {
+// handleNewOwner records that a host claims ownership. An owner with a lower
+// epoch has been deposed and quits.
+func (n *Node) handleNewOwner(r election.Record) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if r.Epoch <= n.hint.Epoch || r.Epoch <= n.leader.Epoch {
@@ -71,43 +71,41 @@
 	}
 	n.hint = r
 	if n.owner != nil {
-		n.owner.quit(errors.Wrapf(election.ErrDeposed, "%s says that it owns epoch %d", r.Host, r.Epoch))
+		n.owner.quit(errors.Wrapf(election.ErrDeposed, "%s claims ownership in epoch %d", r.Host, r.Epoch))
 	}
 }
 
-// hinted returns an owner that peers told of and that is newer than the one
-// given, and not older than any that this host knew.
-func (n *Node) hinted(than election.Record) (election.Record, bool) {
+// newerHint returns the owner reported by peers, and whether it is newer than
+// current and not older than any owner known to this host.
+func (n *Node) newerHint(current election.Record) (election.Record, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.hint, n.hint.Epoch > than.Epoch && n.hint.Epoch >= n.newest
+	return n.hint, n.hint.Epoch > current.Epoch && n.hint.Epoch >= n.maxEpoch
 }
 
-// askPeers asks other hosts who owns the domain: the seeds of the settings and
-// some of those that the last owner knew.
+// askPeers asks some of the seeds and known hosts who owns the domain.
 func (n *Node) askPeers(ctx context.Context) {
-	for _, address := range n.acquaintances(maxAsked) {
-		try, cancel := context.WithTimeout(ctx, pingTimeout)
-		var news leaderNews
-		res := n.client.Call(try, seedName(address), methodLeader, nothing{}, &news)
+	for _, address := range n.otherHosts(maxPeersAsked) {
+		attempt, cancel := context.WithTimeout(ctx, pingTimeout)
+		var info leaderInfo
+		res := n.client.Call(attempt, seedName(address), methodLeader, emptyMessage{}, &info)
 		cancel()
-		if res.Kind == outcome.Answered && news.Fresh {
-			n.learn(news.Record)
+		if res.Kind == outcome.Answered && info.Fresh {
+			n.handleNewOwner(info.Record)
 			return
 		}
 	}
 }
 
-// maxAsked bounds the hosts asked in one round, and maxTold those that a new
-// owner tells; the rest find the owner's row.
+// maxPeersAsked bounds the hosts asked in one round; maxPeersNotified bounds
+// the hosts that a new owner notifies, the others find its row.
 const (
-	maxAsked = 4
-	maxTold  = 64
+	maxPeersAsked    = 4
+	maxPeersNotified = 64
 )
 
-// acquaintances returns addresses of other hosts, at most limit, in random
-// order.
-func (n *Node) acquaintances(limit int) []string {
+// otherHosts returns up to limit addresses of other hosts, in random order.
+func (n *Node) otherHosts(limit int) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var all []string
@@ -120,20 +118,20 @@
 	return all[:min(limit, len(all))]
 }
 
-// met keeps the address of a host that asked after this one.
-func (n *Node) met(address string) {
+// addHost records the address of a host that pinged this one.
+func (n *Node) addHost(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if address != "" && !slices.Contains(n.hosts, address) {
 		n.hosts = append(n.hosts, address)
-		if len(n.hosts) > maxTold {
+		if len(n.hosts) > maxPeersNotified {
 			n.hosts = n.hosts[1:]
 		}
 	}
 }
 
-// meet takes in the hosts that the owner knows.
-func (n *Node) meet(hosts []string) {
+// setHosts records the hosts known to the owner.
+func (n *Node) setHosts(hosts []string) {
 	if len(hosts) == 0 {
 		return
 	}
@@ -145,24 +143,24 @@
 	}
 }
 
-// seedName is the name under which the peers' client knows a seed.
+// seedName returns the name under which the peer client knows a seed.
 func seedName(address string) string { return "seed " + address }
 
 const (
-	// tellTries and tellPause bound how long a new owner tries to tell a host;
-	// one that hears nothing finds out by the owner's row.
-	tellTries = 10
-	tellPause = 300 * time.Millisecond
+	// notifyAttempts and notifyInterval bound the attempts to notify a host of a
+	// new owner; hosts that miss the notification read the owner's row.
+	notifyAttempts = 10
+	notifyInterval = 300 * time.Millisecond
 )
 
-// announce tells the owner before and the hosts that are known who owns the
-// domain now. Without it, an owner that the table service turned away went on
-// answering callers for 5 s, and hosts in the same position had no owner. Stopped
-// is called once the owner before has heard: it gives no more orders then.
-func (n *Node) announce(ctx context.Context, before, now election.Record, stopped func()) {
-	addresses := n.acquaintances(maxTold)
-	if before.Address != "" && before.Address != n.opts.Address && !slices.Contains(addresses, before.Address) {
-		addresses = append(addresses, before.Address)
+// announceOwnership notifies the previous owner and the known hosts of the new
+// owner, for those that can't reach the table service. It calls previousStopped
+// when the previous owner has answered, after which that one issues no more
+// orders.
+func (n *Node) announceOwnership(ctx context.Context, previous, current election.Record, previousStopped func()) {
+	addresses := n.otherHosts(maxPeersNotified)
+	if previous.Address != "" && previous.Address != n.opts.Address && !slices.Contains(addresses, previous.Address) {
+		addresses = append(addresses, previous.Address)
 	}
 	client := peer.NewClient(peer.Options{Host: n.opts.Host, UserTimeout: peerUserTimeout, Handshake: pingTimeout, AnyName: true}, newRand())
 	defer client.Close()
@@ -171,25 +169,25 @@
 		names[seedName(address)] = address
 	}
 	client.SetPeers(names)
-	var told sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, address := range addresses {
-		told.Go(func() {
-			if tell(ctx, client, address, now) && address == before.Address {
-				stopped()
+		pending.Go(func() {
+			if notifyHost(ctx, client, address, current) && address == previous.Address {
+				previousStopped()
 			}
 		})
 	}
-	told.Wait()
-	event.OwnershipTold.Log(n.opts.Log, slog.Uint64("epoch", now.Epoch), slog.Int("hosts", len(addresses)))
+	pending.Wait()
+	event.OwnershipTold.Log(n.opts.Log, slog.Uint64("epoch", current.Epoch), slog.Int("hosts", len(addresses)))
 }
 
-// tell tells one host, several times if need be, and reports whether it heard.
-func tell(ctx context.Context, client *peer.Client, address string, now election.Record) bool {
-	t := time.NewTicker(tellPause)
+// notifyHost notifies a host of the new owner and reports whether it answered.
+func notifyHost(ctx context.Context, client *peer.Client, address string, current election.Record) bool {
+	t := time.NewTicker(notifyInterval)
 	defer t.Stop()
-	for range tellTries {
-		try, cancel := context.WithTimeout(ctx, pingTimeout)
-		res := client.Call(try, seedName(address), methodTaken, now, &nothing{})
+	for range notifyAttempts {
+		attempt, cancel := context.WithTimeout(ctx, pingTimeout)
+		res := client.Call(attempt, seedName(address), methodNewOwner, current, &emptyMessage{})
 		cancel()
 		if res.Kind == outcome.Answered {
 			return true
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -6,8 +6,8 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// TestWeakOwnerHandsOver has a strong host join a weak owner: the domain moves
-// there, and what runs goes on.
+// TestWeakOwnerHandsOver checks that the domain moves to a stronger host that
+// joins, without restarting running tasks.
 func TestWeakOwnerHandsOver(t *testing.T) {
 	c := newCluster(t, 0, 1)
 	c.cores = 0.2
@@ -18,11 +18,11 @@
 	strong := c.start("strong", c.table)
 	c.leader(strong)
 	c.fleet.finish(task)
-	c.await(weak, "job", workload.Complete)
-	c.await(strong, "job", workload.Complete)
+	c.awaitState(weak, "job", workload.Complete)
+	c.awaitState(strong, "job", workload.Complete)
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
-	if len(c.fleet.twice) > 0 || len(c.fleet.started) > 0 {
-		t.Errorf("started while at work: %v; started again: %d", c.fleet.twice, len(c.fleet.started))
+	if len(c.fleet.duplicates) > 0 || len(c.fleet.started) > 0 {
+		t.Errorf("started while running: %v; %d tasks started again", c.fleet.duplicates, len(c.fleet.started))
 	}
 }
--- a/control/load.go
+++ b/control/load.go
@@ -15,16 +15,15 @@
 )
 
 const (
-	// scanRows is how many rows one read returns, the table service's most.
-	scanRows = 500
-	// loadTimeout bounds the reads of a new owner. The rows are some hundred
-	// kilobytes; a service that answers 60 times slower takes a few seconds.
+	// scanPageSize is the number of rows per scan, the table service's maximum.
+	scanPageSize = 500
+	// loadTimeout bounds loading the state; it allows for a slow table service.
 	loadTimeout = 8 * time.Second
 )
 
-// load takes in what earlier owners left.
+// load loads the durable state of earlier owners.
 func (o *Owner) load() error {
-	begun := time.Now()
+	start := time.Now()
 	ctx, cancel := context.WithTimeout(o.ctx, loadTimeout)
 	defer cancel()
 	progress, err := o.scan(ctx, dispatch.ProgressPrefix)
@@ -40,21 +39,22 @@
 		return err
 	}
 	for _, row := range jobs {
-		o.restore(row, byJob)
+		o.restoreJob(row, byJob)
 	}
-	if err := o.loadLessons(ctx); err != nil {
+	if err := o.loadEstimates(ctx); err != nil {
 		return err
 	}
 	workers, err := o.loadRoster(ctx)
 	if err != nil {
 		return err
 	}
-	event.StateLoaded.Log(o.opts.Log, slog.Any("epoch", o.epoch), slog.Any("jobs", len(jobs)), slog.Any("workers", workers), slog.Any("ms", time.Since(begun).Milliseconds()))
+	event.StateLoaded.Log(o.opts.Log, slog.Any("epoch", o.epoch), slog.Any("jobs", len(jobs)), slog.Any("workers", workers), slog.Any("ms", time.Since(start).Milliseconds()))
 	return nil
 }
 
-// restore takes in one job. A row that can't be read is left alone.
-func (o *Owner) restore(row infra.Row, progress map[string]infra.Row) {
+// restoreJob restores a job from its rows. Jobs whose rows can't be decoded are
+// skipped.
+func (o *Owner) restoreJob(row infra.Row, progress map[string]infra.Row) {
 	job, err := dispatch.DecodeJobRow(row.Value)
 	var p *dispatch.ProgressRow
 	if found, ok := progress[strings.TrimPrefix(row.Key, dispatch.JobPrefix)]; ok && err == nil {
@@ -68,7 +68,8 @@
 	o.state.RestoreJob(now, now.UnixMilli(), job, p)
 }
 
-// loadRoster takes in the workers where runs may be alive.
+// loadRoster loads the workers on which runs may be alive, and returns their
+// number.
 func (o *Owner) loadRoster(ctx context.Context) (int, error) {
 	rows, err := o.scan(ctx, dispatch.RosterPrefix)
 	if err != nil {
@@ -88,12 +89,12 @@
 	return workers, nil
 }
 
-// loadLessons takes in what was learned of pairs of images. A row that can't be
-// read costs only the time to learn it again.
-func (o *Owner) loadLessons(ctx context.Context) error {
+// loadEstimates loads the interference estimates. A row that can't be decoded
+// is skipped; the estimates are then learned again.
+func (o *Owner) loadEstimates(ctx context.Context) error {
 	rows, err := o.opts.Table.Get(ctx, dispatch.EstimatesKey)
 	if err != nil {
-		return errors.Wrap(err, "read lessons")
+		return errors.Wrap(err, "read estimates")
 	}
 	if len(rows) == 0 || rows[0].Version == 0 {
 		return nil
@@ -104,17 +105,17 @@
 	return nil
 }
 
-// scan reads all rows whose key begins so.
+// scan reads all rows with the key prefix.
 func (o *Owner) scan(ctx context.Context, prefix string) ([]infra.Row, error) {
 	var all []infra.Row
 	after := ""
 	for {
-		rows, err := o.opts.Table.Scan(ctx, prefix, after, scanRows)
+		rows, err := o.opts.Table.Scan(ctx, prefix, after, scanPageSize)
 		if err != nil {
 			return nil, errors.Wrapf(err, "scan %s", prefix)
 		}
 		all = append(all, rows...)
-		if len(rows) < scanRows {
+		if len(rows) < scanPageSize {
 			return all, nil
 		}
 		after = rows[len(rows)-1].Key
--- a/control/log_test.go
+++ b/control/log_test.go
@@ -10,19 +10,19 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// stuckOutput is a log output that nobody drains.
-type stuckOutput struct{ release chan struct{} }
+// blockedOutput is a log output whose writes block until release is closed.
+type blockedOutput struct{ release chan struct{} }
 
 // Write implements io.Writer.
-func (s stuckOutput) Write(p []byte) (int, error) {
+func (s blockedOutput) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// TestStuckLogOutput has hosts whose log output never drains serve a job and
-// replace a dead owner all the same.
-func TestStuckLogOutput(t *testing.T) {
-	out := stuckOutput{release: make(chan struct{})}
+// TestBlockedLogOutput checks that hosts with a blocked log output serve jobs
+// and replace a failed owner.
+func TestBlockedLogOutput(t *testing.T) {
+	out := blockedOutput{release: make(chan struct{})}
 	sink := logsink.New(out, logsink.Options{Routine: event.IsRoutine})
 	t.Cleanup(func() {
 		close(out.release)
@@ -34,15 +34,15 @@
 	for range 2 {
 		c.fleet.finish((<-c.fleet.started).Task)
 	}
-	c.await(old, "first", workload.Complete)
+	c.awaitState(old, "first", workload.Complete)
 	old.kill()
 	next := c.leader(without(c.hosts, old)...)
 	c.submit(next, job("second", 2))
 	for range 2 {
 		c.fleet.finish((<-c.fleet.started).Task)
 	}
-	c.await(next, "second", workload.Complete)
+	c.awaitState(next, "second", workload.Complete)
 	if sink.Stats().Written.Load() != 0 {
-		t.Error("a line was written to an output that is stuck")
+		t.Error("a line was written to a blocked output")
 	}
 }
--- a/control/members.go
+++ b/control/members.go
@@ -6,8 +6,8 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// Members is the lagging list of workers.
+// Members returns the workers of the domain. The list may lag behind changes.
 type Members interface {
-	// List returns all workers that are live or leaving.
+	// List returns all live and leaving workers.
 	List(ctx context.Context) ([]runner.Worker, error)
 }
--- a/control/messages.go
+++ b/control/messages.go
@@ -8,7 +8,7 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// The methods between entry hosts.
+// Methods between entry hosts.
 const (
 	methodPing    peer.Method = "control.ping"
 	methodSubmit  peer.Method = "control.submit"
@@ -17,64 +17,65 @@
 	methodPending peer.Method = "control.pending"
 )
 
-// pingRequest asks the owner how it is.
+// pingRequest asks the owner for its status.
 type pingRequest struct {
 	Epoch uint64 `msgpack:"e"`
-	// Address is where the asking host serves its peers.
+	// Address is the peer address of the pinging host.
 	Address string `msgpack:"a"`
-	// Hosts is how many hosts it knows.
+	// Hosts is the number of hosts known to the pinging host.
 	Hosts int `msgpack:"h"`
-	// Cores are its processors, 0 if it neither takes the domain nor carries
-	// orders: it stops.
+	// Cores is the number of processors that the pinging host offers, 0 if it is
+	// stopping and neither accepts the domain nor relays orders.
 	Cores float64 `msgpack:"c"`
 	Zone  string  `msgpack:"z"`
 }
 
-// pingReply is the owner's answer.
+// pingReply is the status of the pinged host.
 type pingReply struct {
-	// Owner is false if the host doesn't own the domain.
+	// Owner is set if the host owns the domain.
 	Owner       bool   `msgpack:"o"`
 	Epoch       uint64 `msgpack:"e"`
 	Incarnation string `msgpack:"i"`
-	// CommitAgeMS is the age of its last commit.
+	// CommitAgeMS is the age of the owner's last commit in milliseconds.
 	CommitAgeMS int64 `msgpack:"a"`
 	// Version is the version of the owner's row after that commit.
 	Version uint64 `msgpack:"v"`
-	// Relays is how many hosts of each zone carry the owner's orders.
+	// Relays is the number of relays per availability zone.
 	Relays int `msgpack:"r"`
-	// Hosts are the addresses of all hosts that the owner knows, sent if the
-	// asking host knows fewer.
+	// Hosts are the addresses of all hosts known to the owner, sent only if the
+	// pinging host knows fewer.
 	Hosts []string `msgpack:"h,omitempty"`
 }
 
-// answer returns what it says of the ownership.
-func (r *pingReply) answer() election.Status {
+// status returns the host's ownership status.
+func (r *pingReply) status() election.Status {
 	return election.Status{
 		Incarnation: r.Incarnation, Owner: r.Owner, Epoch: r.Epoch, CommitAge: time.Duration(r.CommitAgeMS) * time.Millisecond,
 	}
 }
 
-// submitRequest hands a job in.
+// submitRequest submits a job.
 type submitRequest struct {
 	Job   workload.Job   `msgpack:"j"`
 	Queue workload.Queue `msgpack:"q"`
 }
 
-// jobRequest asks about, or cancels, one job.
+// jobRequest queries or cancels a job.
 type jobRequest struct {
 	ID string `msgpack:"i"`
 }
 
-// pendingRequest asks for the jobs of a queue that haven't begun.
+// pendingRequest asks for the number of a queue's jobs that haven't started.
 type pendingRequest struct {
 	Queue string `msgpack:"q"`
 }
 
-// reply is the owner's answer to the requests above.
+// reply is the owner's answer to a request about jobs.
 type reply struct {
 	Result Result         `msgpack:"r"`
 	State  workload.State `msgpack:"s"`
 	Count  int            `msgpack:"n"`
-	// RetryAfterMS says, for a refusal, when to come back.
+	// RetryAfterMS is the time in milliseconds after which to retry a refused
+	// request.
 	RetryAfterMS int64 `msgpack:"w"`
 }
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -10,29 +10,29 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// Metrics counts what control does. All labels are bounded by the program.
+// Metrics holds the metrics of package control. Label values are bounded.
 type Metrics struct {
-	requests  *prometheus.CounterVec
-	duration  *prometheus.HistogramVec
-	orders    *prometheus.CounterVec
-	ends      *prometheus.CounterVec
-	commits   *prometheus.HistogramVec
-	owner     prometheus.Gauge
-	waiting   *prometheus.GaugeVec
-	open      prometheus.Gauge
-	workers   *prometheus.GaugeVec
-	over      prometheus.Gauge
-	cycle     prometheus.Histogram
-	takeovers prometheus.Counter
-	loop      *prometheus.CounterVec
-	late      prometheus.Gauge
-	traffic   *prometheus.GaugeVec
+	requests        *prometheus.CounterVec
+	duration        *prometheus.HistogramVec
+	orders          *prometheus.CounterVec
+	ends            *prometheus.CounterVec
+	commits         *prometheus.HistogramVec
+	owner           prometheus.Gauge
+	waiting         *prometheus.GaugeVec
+	openJobs        prometheus.Gauge
+	workers         *prometheus.GaugeVec
+	tailsOverTarget prometheus.Gauge
+	planDuration    prometheus.Histogram
+	takeovers       prometheus.Counter
+	loopSeconds     *prometheus.CounterVec
+	tickDelay       prometheus.Gauge
+	traffic         *prometheus.GaugeVec
 }
 
-// shortBuckets are for what takes from a millisecond to some seconds.
-var shortBuckets = prometheus.ExponentialBuckets(0.001, 2, 13)
+// latencyBuckets range from a millisecond to a few seconds.
+var latencyBuckets = prometheus.ExponentialBuckets(0.001, 2, 13)
 
-// NewMetrics returns metrics that are registered with r.
+// NewMetrics returns metrics registered with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -40,7 +40,7 @@
 		}, []string{"method", "result"}),
 		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "fireflygate_job_request_seconds", Help: "Time from a request about a job to its outcome.",
-			Buckets: shortBuckets,
+			Buckets: latencyBuckets,
 		}, []string{"method"}),
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "fireflygate_orders_total", Help: "Orders to workers, by kind and answer.",
@@ -50,7 +50,7 @@
 		}, []string{"how"}),
 		commits: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "fireflygate_domain_commit_seconds", Help: "Time that a commit of the owner took, with its tries.",
-			Buckets: shortBuckets,
+			Buckets: latencyBuckets,
 		}, []string{"result"}),
 		owner: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "fireflygate_domain_owner", Help: "1 while this host owns the domain.",
@@ -58,62 +58,62 @@
 		waiting: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "fireflygate_tasks_waiting", Help: "Tasks that wait for a worker, by cause; 0 unless this host is the owner.",
 		}, []string{"cause"}),
-		open: prometheus.NewGauge(prometheus.GaugeOpts{
+		openJobs: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "fireflygate_jobs_open", Help: "Accepted jobs that aren't over.",
 		}),
 		workers: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "fireflygate_domain_workers", Help: "Workers of the domain, by state.",
 		}, []string{"state"}),
-		over: prometheus.NewGauge(prometheus.GaugeOpts{
+		tailsOverTarget: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "fireflygate_tails_over_target", Help: "Serving tasks whose tail is over its target.",
 		}),
-		cycle: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "fireflygate_plan_seconds", Help: "Time that a planning cycle took.", Buckets: shortBuckets,
+		planDuration: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Name: "fireflygate_plan_seconds", Help: "Time that a planning cycle took.", Buckets: latencyBuckets,
 		}),
 		takeovers: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "fireflygate_takeovers_total", Help: "Times that this host took the domain over.",
 		}),
 	}
-	m.loop = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.loopSeconds = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "fireflygate_loop_seconds_total", Help: "Time that the owner's loop spent, by activity.",
 	}, []string{"activity"})
-	m.late = prometheus.NewGauge(prometheus.GaugeOpts{
+	m.tickDelay = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "fireflygate_loop_late_seconds", Help: "Longest that a tick waited for the owner's loop in the last second.",
 	})
 	m.traffic = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "fireflygate_worker_traffic", Help: "What the owner measures of its orders and allows: seconds to wait for an answer, " +
 			"of the smoothed round trip and between a report and the next look; starts under way and allowed.",
 	}, []string{"what"})
-	r.MustRegister(m.loop, m.late, m.traffic)
-	r.MustRegister(m.requests, m.duration, m.orders, m.ends, m.commits, m.owner, m.waiting, m.open, m.workers, m.over,
-		m.cycle, m.takeovers)
+	r.MustRegister(m.loopSeconds, m.tickDelay, m.traffic)
+	r.MustRegister(m.requests, m.duration, m.orders, m.ends, m.commits, m.owner, m.waiting, m.openJobs, m.workers, m.tailsOverTarget,
+		m.planDuration, m.takeovers)
 	return m
 }
 
-// request counts a request that is over.
-func (m *Metrics) request(method string, r Result, took time.Duration) {
+// request counts a completed request.
+func (m *Metrics) request(method string, r Result, elapsed time.Duration) {
 	m.requests.WithLabelValues(method, r.String()).Inc()
-	m.duration.WithLabelValues(method).Observe(took.Seconds())
+	m.duration.WithLabelValues(method).Observe(elapsed.Seconds())
 }
 
-// order counts an order that was answered.
+// order counts an answered order.
 func (m *Metrics) order(kind string, s runner.Status) {
 	m.orders.WithLabelValues(kind, s.String()).Inc()
 }
 
-// commit counts a commit of the owner.
-func (m *Metrics) commit(err error, took time.Duration) {
+// commit observes the duration of an owner's commit, including retries.
+func (m *Metrics) commit(err error, elapsed time.Duration) {
 	result := "applied"
 	if err != nil {
 		result = "failed"
 	}
-	m.commits.WithLabelValues(result).Observe(took.Seconds())
+	m.commits.WithLabelValues(result).Observe(elapsed.Seconds())
 }
 
-// state sets the gauges of a domain.
+// state sets the gauges of the domain's state.
 func (m *Metrics) state(s *dispatch.Summary) {
-	m.open.Set(float64(s.OpenJobs))
-	m.over.Set(float64(s.OverTarget))
+	m.openJobs.Set(float64(s.OpenJobs))
+	m.tailsOverTarget.Set(float64(s.OverTarget))
 	m.workers.WithLabelValues("usable").Set(float64(s.Usable))
 	m.workers.WithLabelValues("silent").Set(float64(s.Suspected))
 	m.workers.WithLabelValues("awaited").Set(float64(s.AwaitingReport))
@@ -122,12 +122,12 @@
 	}
 }
 
-// load sets what an owner measures of itself.
-func (m *Metrics) load(t flow.State, l *loopTime) {
+// load sets the metrics of the owner's traffic and loop.
+func (m *Metrics) load(t flow.State, l *loopStats) {
 	for a, d := range l.spent {
-		m.loop.WithLabelValues(activity(a).String()).Add(d.Seconds()) //nolint:gosec // a few activities
+		m.loopSeconds.WithLabelValues(activity(a).String()).Add(d.Seconds()) //nolint:gosec // a few activities
 	}
-	m.late.Set(l.latest.Seconds())
+	m.tickDelay.Set(l.maxTickDelay.Seconds())
 	for what, v := range map[string]float64{
 		"wait": t.Timeout.Seconds(), "round_trip": t.SmoothedRTT.Seconds(), "look_gap": t.PollInterval.Seconds(),
 		"starts": float64(t.StartsInFlight), "start_limit": float64(t.StartLimit),
@@ -136,7 +136,7 @@
 	}
 }
 
-// lead marks the beginning or the end of an ownership.
+// lead records that the ownership of the domain began or ended.
 func (m *Metrics) lead(owner bool) {
 	if owner {
 		m.owner.Set(1)
--- a/control/metrics_test.go
+++ b/control/metrics_test.go
@@ -11,13 +11,13 @@
 	"github.com/fireflygate/fireflygate/logsink"
 )
 
-// described is the name in a metric's description.
-var described = regexp.MustCompile(`fqName: "([^"]+)"`)
+// descName matches the metric name in a descriptor's text.
+var descName = regexp.MustCompile(`fqName: "([^"]+)"`)
 
-// listed is the name in a row of the page.
-var listed = regexp.MustCompile("(?m)^\\| `(fireflygate_[a-z_]+)")
+// pageName matches the metric name in a table row of the documentation page.
+var pageName = regexp.MustCompile("(?m)^\\| `(fireflygate_[a-z_]+)")
 
-// collectors keeps what is registered.
+// collectors is a registerer that records the names of registered metrics.
 type collectors struct {
 	prometheus.Registerer
 	names map[string]bool
@@ -28,11 +28,12 @@
 	for _, one := range all {
 		d := make(chan *prometheus.Desc, 1)
 		one.Describe(d)
-		c.names[described.FindStringSubmatch((<-d).String())[1]] = true
+		c.names[descName.FindStringSubmatch((<-d).String())[1]] = true
 	}
 }
 
-// TestMetricsPage compares the page with the code, both ways.
+// TestMetricsPage checks that the documentation lists exactly the existing
+// metrics.
 func TestMetricsPage(t *testing.T) {
 	c := &collectors{names: map[string]bool{}}
 	control.NewMetrics(c)
@@ -42,15 +43,15 @@
 		t.Fatal(err)
 	}
 	onPage := map[string]bool{}
-	for _, m := range listed.FindAllStringSubmatch(string(page), -1) {
+	for _, m := range pageName.FindAllStringSubmatch(string(page), -1) {
 		onPage[m[1]] = true
 		if !c.names[m[1]] {
-			t.Errorf("%s is on the page and not in the code", m[1])
+			t.Errorf("%s is documented but doesn't exist", m[1])
 		}
 	}
 	for name := range c.names {
 		if !onPage[name] {
-			t.Errorf("%s is in the code and not on the page", name)
+			t.Errorf("%s isn't documented", name)
 		}
 	}
 }
--- a/control/node.go
+++ b/control/node.go
@@ -13,44 +13,44 @@
 	"github.com/fireflygate/fireflygate/peer"
 )
 
-// Node is this host's part in control: owner of the domain, or a forwarder to
-// its owner.
+// Node is an entry host's part in the control of a domain: it either owns the
+// domain or forwards requests to the owner.
 type Node struct {
 	opts   Options
 	client *peer.Client
 	server *peer.Server
 	config atomic.Pointer[Config]
-	// configSet is closed when the first configuration has come.
+	// configSet is closed when the first configuration is set.
 	configSet  chan struct{}
 	configOnce sync.Once
 
 	mu sync.Mutex
 	// owner is set while this host owns the domain.
 	owner *Owner
-	// leader is the owner's row as last seen; changed is closed when it or
+	// leader is the owner's row as last read; changed is closed when leader or
 	// owner changes.
 	leader  election.Record
 	changed chan struct{}
-	// leaderSeen is when, in boottime, the leader last answered.
+	// leaderSeen is the boottime of the leader's last answer.
 	leaderSeen time.Duration
 	resigned   bool
-	// ownerlessSince is since when no owner is known, zero while one is.
+	// ownerlessSince is when the owner became unknown, zero while it is known.
 	ownerlessSince time.Time
-	// hosts are addresses of other hosts, oldest first.
+	// hosts are the addresses of other hosts, oldest first.
 	hosts []string
-	// newest is the highest epoch of an owner that this host knew.
-	newest uint64
-	// hint is the newest owner that peers told of.
+	// maxEpoch is the highest epoch of the owners known so far.
+	maxEpoch uint64
+	// hint is the newest owner reported by peers.
 	hint election.Record
-	// rivals are the hosts that ask after this one as the owner.
-	rivals election.Candidates
-	// payloads are those of jobs whose starts this host carries for an owner.
-	payloads payloads
-	// relays is how many relays each zone had under the owner that answered last.
+	// candidates are the hosts that ping this host as the owner.
+	candidates election.Candidates
+	// payloadCache holds the payloads of jobs whose starts this host relays.
+	payloadCache payloadCache
+	// relays is the number of relays per zone reported by the last owner.
 	relays atomic.Int64
 }
 
-// NewNode returns a node; its peer server must be served, and Run called.
+// NewNode returns a Node. The caller serves its peer server and calls Run.
 func NewNode(opts Options) *Node {
 	po := peer.Options{
 		Host: opts.Host, Log: opts.Log, UserTimeout: peerUserTimeout, Handshake: pingTimeout,
@@ -63,17 +63,17 @@
 	}
 	n.handle()
 	n.handleGossip()
-	n.handleCarry()
+	n.handleRelayedOrders()
 	n.client.SetPeers(n.peers(election.Record{}))
 	return n
 }
 
-// newRand returns a source that spreads reconnections.
+// newRand returns a random source for reconnection delays.
 func newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) //nolint:gosec // nothing secret
 }
 
-// peers returns the addresses of the seeds and the leader, by name.
+// peers returns the addresses of the seeds, known hosts and the leader by name.
 func (n *Node) peers(leader election.Record) map[string]string {
 	all := map[string]string{}
 	for _, address := range append(slices.Clone(n.opts.Seeds), n.hosts...) {
@@ -86,17 +86,17 @@
 }
 
 const (
-	// peerUserTimeout gives up connections to peers whose bytes stay
-	// unacknowledged; shorter than the time to a take-over.
+	// peerUserTimeout is the time after which connections with unacknowledged data
+	// are closed. It is shorter than the time to a takeover.
 	peerUserTimeout = time.Second
-	// peerMaxBackoff bounds the wait between dials to a peer.
+	// peerMaxBackoff bounds the delay between dials to a peer.
 	peerMaxBackoff = 300 * time.Millisecond
 )
 
-// Server returns the server of requests from peers.
+// Server returns the server of peers' requests.
 func (n *Node) Server() *peer.Server { return n.server }
 
-// SetConfig puts a configuration in force; an older one is ignored.
+// SetConfig applies a configuration unless a newer one is already in use.
 func (n *Node) SetConfig(c Config) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,17 +110,17 @@
 	}
 }
 
-// setConfig puts a configuration in force at the owner.
+// setConfig applies a configuration at the owner.
 func (o *Owner) setConfig(c Config) {
 	if c.Version <= o.config.Version {
 		return
 	}
 	o.config = c
 	o.state.SetQueues(c.Queues)
-	o.notePermits(c)
+	o.updateNeedsPermits(c)
 }
 
-// SetBounds puts changed bounds in force, here and at later owners.
+// SetBounds changes the retention and the tail bound of this and later owners.
 func (n *Node) SetBounds(retention, tailBound time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -130,8 +130,8 @@
 	}
 }
 
-// Ready reports whether callers can be served: a configuration is in force
-// and the owner has answered lately.
+// Ready reports whether the host can serve callers: it has a configuration and
+// the owner has answered recently.
 func (n *Node) Ready() bool {
 	if n.config.Load() == nil {
 		return false
@@ -141,27 +141,27 @@
 	if n.owner != nil {
 		return n.owner.commitAge() < ownerValidity
 	}
-	return n.leaderSeen > 0 && boottime()-n.leaderSeen < leaderFresh
+	return n.leaderSeen > 0 && boottime()-n.leaderSeen < leaderFreshness
 }
 
-// leaderFresh is how old the owner's last answer may be for this host to
-// count as ready: a take-over lies within it.
-const leaderFresh = 3 * time.Second
+// leaderFreshness is the age of the owner's last answer up to which the host is
+// ready. It spans a takeover.
+const leaderFreshness = 3 * time.Second
 
-// current returns the owner if it is this host, the leader otherwise, and a
-// channel that closes when either changes.
+// current returns the owner if this host owns the domain, the leader's row, and
+// a channel that is closed when either changes.
 func (n *Node) current() (*Owner, election.Record, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.owner, n.leader, n.changed
 }
 
-// setLeader takes in who owns the domain.
+// setLeader records the domain's owner; o is nil unless it is this host.
 func (n *Node) setLeader(r election.Record, o *Owner) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.leader, n.owner = r, o
-	n.newest = max(n.newest, r.Epoch)
+	n.maxEpoch = max(n.maxEpoch, r.Epoch)
 	if o != nil || r.Host != "" {
 		n.ownerlessSince = time.Time{}
 	} else if n.ownerlessSince.IsZero() {
@@ -174,7 +174,7 @@
 	n.changed = make(chan struct{})
 }
 
-// ownerlessFor returns for how long no owner has been known.
+// ownerlessFor returns how long no owner has been known.
 func (n *Node) ownerlessFor() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -184,14 +184,14 @@
 	return time.Since(n.ownerlessSince)
 }
 
-// seen notes that the leader answered.
-func (n *Node) seen() {
+// recordLeaderAnswer records the time of an answer from the leader.
+func (n *Node) recordLeaderAnswer() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.leaderSeen = boottime()
 }
 
-// Run follows or leads until the context ends.
+// Run follows the owner or leads the domain until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	select {
 	case <-n.configSet:
@@ -203,8 +203,8 @@
 	}
 }
 
-// Resign gives the domain up for a planned stop, and keeps this host from
-// owning it again.
+// Resign gives the domain up for a planned stop and keeps this host from
+// acquiring it again.
 func (n *Node) Resign(ctx context.Context) {
 	n.mu.Lock()
 	n.resigned = true
@@ -215,7 +215,7 @@
 	}
 }
 
-// stopping reports whether the host is to own the domain no more.
+// stopping reports whether the host must not own the domain any more.
 func (n *Node) stopping() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/control/options.go
+++ b/control/options.go
@@ -9,42 +9,42 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// Options is what a Node is built from.
+// Options configures a Node.
 type Options struct {
-	// Host names this entry host; Address is where peers reach it.
+	// Host is the name of this entry host, Address its address for peers.
 	Host    string
 	Address string
-	// Incarnation names this life of the process; it never repeats.
+	// Incarnation uniquely identifies this process.
 	Incarnation string
 	// Zone is the availability zone of this host.
 	Zone string
-	// Cores are the processors that this host has; the owner needs most.
+	// Cores is the number of processors of this host.
 	Cores float64
-	// Seeds are addresses of other hosts, some of which may be gone.
+	// Seeds are addresses of other hosts; some may be unreachable.
 	Seeds   []string
 	Table   infra.Table
 	Workers runner.Client
 	Members Members
-	// Policy decides which workers may run a step of a queue that needs
-	// permits; nil if there is no such service.
+	// Policy issues permits for steps of queues that need them; nil if there is no
+	// policy service.
 	Policy  runner.Policy
 	Log     *slog.Logger
 	Metrics *Metrics
-	// Retention is how long a job that is over can be asked for.
+	// Retention is how long an ended job can be queried.
 	Retention time.Duration
 	// MaxLease bounds the leases that workers grant.
 	MaxLease time.Duration
-	// TailBound is how long a serving task's tail may be over its target
-	// because of its neighbours.
+	// TailBound is how long a serving task's tail may exceed its target because of
+	// interference.
 	TailBound time.Duration
-	// Leads, if set, is told when this host begins to own the domain and when
-	// that is over.
+	// OwnershipChanged, if set, is called when this host's ownership of the domain
+	// begins or ends.
 	OwnershipChanged func(owner bool)
-	// Without names what the scheduling policy leaves out, for experiments.
+	// Without is the set of scheduling mechanisms to disable in experiments.
 	Without mechanism.Set
 }
 
-// lead marks the beginning or the end of an ownership.
+// lead records that the ownership of the domain began or ended.
 func (o *Options) lead(owner bool) {
 	o.Metrics.lead(owner)
 	if o.OwnershipChanged != nil {
@@ -52,58 +52,57 @@
 	}
 }
 
-// The times of control. Sums matter: a host that can't see the owner suspects
-// it after pingInterval + pingTimeout and takes over after a further
-// unchangedFor, 1.7 s in all; by then a lease that was renewed at least every
-// longest look (2 s) still has more than 2 s to go.
+// Intervals and timeouts. A host suspects an unresponsive owner after
+// pingInterval + pingTimeout and takes over after a further suspectTimeout, 1.7
+// s in all. Leases renewed at least every 2 s, the longest poll, then have more
+// than 2 s left.
 const (
-	// lease is how far renewals extend the leases of workers. Long enough for
-	// a take-over, short enough that what ran at a lost worker is soon free
-	// to run elsewhere.
+	// lease is the duration of workers' leases: long enough for a takeover, short
+	// enough to start the tasks of a failed worker elsewhere soon.
 	lease = 6 * time.Second
-	// ownerValidity is how long after its last commit an owner goes on giving
-	// orders: through an outage of the table service, in which nobody can
-	// replace it. An owner that was replaced is told, or finds its orders void;
-	// the bound is for workers that only it can reach.
+	// ownerValidity is how long after its last commit an owner issues orders. It
+	// spans an outage of the table service, during which nobody can replace the
+	// owner. A replaced owner is notified or its orders are fenced; the bound
+	// covers workers that only it can reach.
 	ownerValidity = 20 * time.Second
-	// heartbeat is the longest time between two commits of an owner.
-	heartbeat = 400 * time.Millisecond
-	// pingInterval is how often other hosts ask the owner how it is.
+	// heartbeatInterval is the longest time between two commits of an owner.
+	heartbeatInterval = 400 * time.Millisecond
+	// pingInterval is the interval at which other hosts ping the owner.
 	pingInterval = 300 * time.Millisecond
-	// pingTimeout bounds the wait for its answer.
+	// pingTimeout bounds the wait for the answer to a ping.
 	pingTimeout = 500 * time.Millisecond
-	// unchangedFor is how long the row must stay as it is before somebody
-	// takes over: twice the heartbeat and a slow commit.
-	unchangedFor = 900 * time.Millisecond
-	// unchangedRefused is the same when the owner's host refuses connections,
-	// so that its process is most likely gone.
-	unchangedRefused = 150 * time.Millisecond
-	// rowPoll is how often a suspicious host reads the row.
-	rowPoll = 150 * time.Millisecond
-	// rowTimeout bounds one read of it.
+	// suspectTimeout is how long the owner's row must stay unchanged before a
+	// takeover: two heartbeat intervals and a slow commit.
+	suspectTimeout = 900 * time.Millisecond
+	// terminatedTimeout replaces suspectTimeout if the owner's process seems to
+	// have terminated.
+	terminatedTimeout = 150 * time.Millisecond
+	// rowPollInterval is the interval at which a suspecting host reads the row.
+	rowPollInterval = 150 * time.Millisecond
+	// rowTimeout bounds one read of the row.
 	rowTimeout = 1500 * time.Millisecond
-	// memberPoll is the time between two reads of the membership list, a
-	// quarter of the two seconds after which a leaving worker must get no
-	// more work.
-	memberPoll = 400 * time.Millisecond
-	// flushDelay gathers ends for one commit. Starting what depends on them
+	// membersPollInterval is the interval of reads of the membership list. It is
+	// well below the two seconds within which a leaving worker must stop getting
+	// work.
+	membersPollInterval = 400 * time.Millisecond
+	// flushDelay collects ended runs for one commit; the start of dependent tasks
 	// doesn't wait for it.
 	flushDelay = 30 * time.Millisecond
-	// batchWrites bounds one commit; the table service takes 100 rows, one of
-	// which is the owner's.
-	batchWrites = 98
-	// tick is the longest time between two planning cycles.
-	tick = 100 * time.Millisecond
-	// planGap is the least time between two planning cycles: events that come
-	// within it share one. Short beside any task, and a cycle over some hundred
-	// waiting tasks takes about a tenth of it.
-	planGap = 4 * time.Millisecond
-	// planShare is how many times its own duration passes between two cycles,
-	// so that planning leaves most of the processor to orders and reports.
-	planShare = 4
-	// lookRetry is the least time between two looks at a worker that doesn't
-	// answer.
-	lookRetry = 300 * time.Millisecond
-	// roomPause keeps starts from a worker that refused one for want of room.
-	roomPause = 250 * time.Millisecond
+	// maxBatchWrites bounds one commit. The table service accepts 100 rows per
+	// transaction, including the owner's.
+	maxBatchWrites = 98
+	// maxPlanInterval is the longest time between two planning cycles.
+	maxPlanInterval = 100 * time.Millisecond
+	// minPlanInterval is the least time between two planning cycles, within which
+	// events are collected for one cycle.
+	minPlanInterval = 4 * time.Millisecond
+	// planIdleFactor is the pause between two cycles as a multiple of the last
+	// one's duration. It leaves most of the processor to orders and reports.
+	planIdleFactor = 4
+	// pollRetryInterval is the least time between two polls of an unresponsive
+	// worker.
+	pollRetryInterval = 300 * time.Millisecond
+	// noCapacityPause is how long no start is sent to a worker after it refused
+	// one for lack of capacity.
+	noCapacityPause = 250 * time.Millisecond
 )
--- a/control/owner.go
+++ b/control/owner.go
@@ -14,8 +14,8 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// Owner drives a domain while this host owns it. All of its state belongs to
-// one goroutine, the loop; others post functions to it.
+// Owner drives a domain while this host owns it. Its state is confined to one
+// goroutine, the loop; other goroutines post functions to it.
 type Owner struct {
 	opts      Options
 	ctx       context.Context
@@ -24,82 +24,84 @@
 	state     *dispatch.State
 	sessions  map[string]*session
 	traffic   *traffic
-	// relays is the way to the workers, demand how many relays there should be.
-	relays *relays
-	demand relay.Scaler
-	// perZone is how many relays each zone has, for hosts that ask.
-	perZone atomic.Int64
-	// waiters are told when a job's newest change is durable.
+	// relays sends orders to workers; relayScaler decides how many relays to use.
+	relays      *relays
+	relayScaler relay.Scaler
+	// relaysPerZone is the number of relays per zone, as reported to other hosts.
+	relaysPerZone atomic.Int64
+	// waiters are, by job, the callers that wait for its changes to be durable.
 	waiters map[string][]chan reply
 	config  Config
-	// committing is set while a batch is on its way to the store.
-	committing bool
-	lastCommit time.Time
-	summarized time.Time
-	stepped    time.Time
-	// backlog says how long starts wait for those before them; starts counts those
-	// until the last summary.
-	backlog flow.Backlog
-	starts  uint64
-	// planned is when the last plan was made, heldBack whether its starts were cut
-	// short by those under way.
-	planned  time.Time
-	heldBack bool
-	// loop is what the loop spends its time on.
-	loop loopTime
-	// stepTook is how long the last cycle took.
-	stepTook   time.Duration
-	dirtySince time.Time
-	// provenAt is when, in boottime, the last applied commit was begun.
-	provenAt atomic.Int64
-	// turnedAt is when, in boottime, the loop last began a cycle.
-	turnedAt atomic.Int64
-	// provenVersion is the version of the owner's row after it.
-	provenVersion atomic.Uint64
-	// asking is set while a question to the policy service is under way,
-	// needsPermits if any queue has to ask.
-	asking, needsPermits bool
-	// resigning owners give no more orders, closed ones take nothing more in.
+	// committing is set while a commit is in flight.
+	committing   bool
+	lastCommit   time.Time
+	summarizedAt time.Time
+	steppedAt    time.Time
+	// backlog estimates how long starts are queued; startsCounted is the number of
+	// starts at the last summary.
+	backlog       flow.Backlog
+	startsCounted uint64
+	// planned is when the last plan was made; startLimitReached is set if the
+	// limit on starts in flight cut it short.
+	planned           time.Time
+	startLimitReached bool
+	// loop holds the loop's statistics since the last summary.
+	loop loopStats
+	// stepDuration is the duration of the last step.
+	stepDuration time.Duration
+	dirtySince   time.Time
+	// committedAt is the boottime at which the last applied commit began.
+	committedAt atomic.Int64
+	// cycleAt is the boottime at which the last cycle of the loop began.
+	cycleAt atomic.Int64
+	// committedVersion is the version of the owner's row after the last applied
+	// commit.
+	committedVersion atomic.Uint64
+	// requestingPermits is set while a request to the policy service is in flight,
+	// needsPermits if any queue needs permits.
+	requestingPermits, needsPermits bool
+	// A resigning owner issues no more orders; a closed one accepts no requests.
 	resigning, closed bool
-	// afterCommit, if set, runs on the loop once the commit under way is durable.
+	// afterCommit, if set, runs on the loop after the commit in flight.
 	afterCommit func()
-	// rivals are the hosts that ask after this owner, begun is since when, in
-	// boottime, it owns the domain.
-	rivals *election.Candidates
-	begun  time.Duration
-	// missed is set if the owner before handed the domain over for a stronger
-	// host than this, handedOver once this one does.
-	missed, handedOver bool
-	stopped            chan struct{}
-	quit               context.CancelCauseFunc
-	epoch              uint64
+	// candidates are the hosts that ping this owner; ownedSince is the boottime at
+	// which the ownership began.
+	candidates *election.Candidates
+	ownedSince time.Duration
+	// predecessorHandedOver is set if the previous owner handed the domain over
+	// for a stronger host than this one, handingOver once this owner does.
+	predecessorHandedOver, handingOver bool
+	stopped                            chan struct{}
+	quit                               context.CancelCauseFunc
+	epoch                              uint64
 }
 
-// eventBuffer bounds what waits for the loop; posting blocks beyond it.
-const eventBuffer = 1024
+// maxQueuedFuncs bounds the functions queued for the loop; post blocks beyond
+// it.
+const maxQueuedFuncs = 1024
 
-// newOwner returns an owner that doesn't run yet.
+// newOwner returns an owner whose loop isn't running.
 func newOwner(ctx context.Context, opts Options, c *election.Committer, cfg Config) *Owner {
 	ctx, quit := context.WithCancelCause(ctx)
 	o := &Owner{
 		opts: opts, ctx: ctx, quit: quit, committer: c, config: cfg, epoch: c.Record().Epoch,
-		events: make(chan func(), eventBuffer), sessions: map[string]*session{}, traffic: newTraffic(),
-		waiters: map[string][]chan reply{}, stopped: make(chan struct{}), begun: boottime(), rivals: new(election.Candidates),
+		events: make(chan func(), maxQueuedFuncs), sessions: map[string]*session{}, traffic: newTraffic(),
+		waiters: map[string][]chan reply{}, stopped: make(chan struct{}), ownedSince: boottime(), candidates: new(election.Candidates),
 	}
 	o.relays = newRelays(&o.opts)
 	o.state = dispatch.New(dispatch.Config{
 		Epoch: o.epoch, Lease: min(lease, opts.MaxLease), InheritedLease: min(lease, opts.MaxLease) + ownerValidity,
-		Retention: opts.Retention, NoCapacityPause: roomPause, TailBound: opts.TailBound, Disabled: opts.Without,
+		Retention: opts.Retention, NoCapacityPause: noCapacityPause, TailBound: opts.TailBound, Disabled: opts.Without,
 	})
 	o.state.SetQueues(cfg.Queues)
-	o.notePermits(cfg)
-	o.provenAt.Store(int64(o.begun))
-	o.turnedAt.Store(int64(o.begun))
-	o.provenVersion.Store(c.Version())
+	o.updateNeedsPermits(cfg)
+	o.committedAt.Store(int64(o.ownedSince))
+	o.cycleAt.Store(int64(o.ownedSince))
+	o.committedVersion.Store(c.Version())
 	return o
 }
 
-// post runs f on the loop; after the owner has stopped it does nothing.
+// post runs f on the loop, unless the owner has ended.
 func (o *Owner) post(f func()) {
 	select {
 	case o.events <- f:
@@ -107,43 +109,44 @@
 	}
 }
 
-// proven reports whether the last commit is young enough to go on ordering.
-func (o *Owner) proven() bool {
-	return boottime()-time.Duration(o.provenAt.Load()) < ownerValidity
+// ownershipValid reports whether the last commit is recent enough to issue
+// orders.
+func (o *Owner) ownershipValid() bool {
+	return boottime()-time.Duration(o.committedAt.Load()) < ownerValidity
 }
 
-// commitAge returns the age of the last applied commit.
+// commitAge returns the time since the last applied commit began.
 func (o *Owner) commitAge() time.Duration {
-	return boottime() - time.Duration(o.provenAt.Load())
+	return boottime() - time.Duration(o.committedAt.Load())
 }
 
-// run is the loop. It returns when the host no longer owns the domain.
+// run runs the loop until the ownership ends.
 func (o *Owner) run() {
 	defer close(o.stopped)
-	defer o.abandon()
+	defer o.abandonWaiters()
 	go o.watchMembers()
-	t := time.NewTicker(tick)
+	t := time.NewTicker(maxPlanInterval)
 	defer t.Stop()
-	gather := time.NewTimer(planGap)
-	defer gather.Stop()
-	armed := true
+	planTimer := time.NewTimer(minPlanInterval)
+	defer planTimer.Stop()
+	planScheduled := true
 	for {
 		select {
 		case f := <-o.events:
-			begun := time.Now()
-			o.loop.waited = max(o.loop.waited, len(o.events))
+			start := time.Now()
+			o.loop.maxQueuedEvents = max(o.loop.maxQueuedEvents, len(o.events))
 			f()
 			o.drainEvents()
-			o.loop.add(hearing, begun)
-			if !armed {
-				armed = true
-				gather.Reset(max(planGap, planShare*o.stepTook) - time.Since(o.stepped))
+			o.loop.add(handlingEvents, start)
+			if !planScheduled {
+				planScheduled = true
+				planTimer.Reset(max(minPlanInterval, planIdleFactor*o.stepDuration) - time.Since(o.steppedAt))
 			}
 			continue
-		case <-gather.C:
-			armed = false
+		case <-planTimer.C:
+			planScheduled = false
 		case due := <-t.C:
-			o.loop.ticked(due)
+			o.loop.recordTick(due)
 		case <-o.ctx.Done():
 			return
 		}
@@ -151,9 +154,9 @@
 	}
 }
 
-// drainEvents runs what else has been posted, so that one cycle serves all.
+// drainEvents runs all queued functions, so that one cycle covers them.
 func (o *Owner) drainEvents() {
-	for range eventBuffer {
+	for range maxQueuedFuncs {
 		select {
 		case f := <-o.events:
 			f()
@@ -163,49 +166,49 @@
 	}
 }
 
-// step makes durable what has changed, plans, and looks at workers.
+// step runs one cycle: it commits changes, plans, and polls workers.
 func (o *Owner) step() {
 	now := time.Now()
 	if o.handOver() {
-		o.look(now) // what runs keeps its leases, also where the store is slow
+		o.pollWorkers(now) // renews the leases of running tasks until the handover is committed
 		return
 	}
-	o.stepped = now
-	o.turnedAt.Store(int64(boottime()))
+	o.steppedAt = now
+	o.cycleAt.Store(int64(boottime()))
 	o.flush(now)
 	at := o.loop.add(flushing, now)
-	if o.proven() && !o.resigning && o.planDue(now) {
+	if o.ownershipValid() && !o.resigning && o.planDue(now) {
 		p := o.state.PlanAtMost(now, o.traffic.AvailableStarts())
 		at = o.loop.add(planning, at)
 		o.loop.planned(p.StartLimitReached)
-		o.planned, o.heldBack = now, p.StartLimitReached
-		o.order(p)
-		o.askPermits(now)
+		o.planned, o.startLimitReached = now, p.StartLimitReached
+		o.issueOrders(p)
+		o.requestPermits(now)
 		at = o.loop.add(ordering, at)
 	}
-	o.look(now)
-	at = o.loop.add(looking, at)
+	o.pollWorkers(now)
+	at = o.loop.add(polling, at)
 	o.summarize(now)
-	o.stepTook = o.loop.add(summing, at).Sub(now)
-	o.opts.Metrics.cycle.Observe(o.stepTook.Seconds())
+	o.stepDuration = o.loop.add(summarizing, at).Sub(now)
+	o.opts.Metrics.planDuration.Observe(o.stepDuration.Seconds())
 }
 
-// planDue reports whether to plan now: at once, but where starts wait for those
-// under way only once some of these are answered, or after a tick.
+// planDue reports whether to plan now. After a plan was cut short by the limit
+// on starts in flight, it waits for answers, or for maxPlanInterval.
 func (o *Owner) planDue(now time.Time) bool {
-	return !o.heldBack || o.traffic.CanPlanStarts() || now.Sub(o.planned) >= tick
+	return !o.startLimitReached || o.traffic.CanPlanStarts() || now.Sub(o.planned) >= maxPlanInterval
 }
 
-// abandon tells everybody who waits that the outcome is open.
-func (o *Owner) abandon() {
+// abandonWaiters responds to all waiters that the outcome is unknown.
+func (o *Owner) abandonWaiters() {
 	for id := range o.waiters {
-		o.tell(id, reply{Result: ResultUnknown})
+		o.notifyWaiters(id, reply{Result: ResultUnknown})
 	}
 }
 
-// watchMembers reads the membership list at intervals.
+// watchMembers reads the membership list periodically.
 func (o *Owner) watchMembers() {
-	t := time.NewTicker(memberPoll)
+	t := time.NewTicker(membersPollInterval)
 	defer t.Stop()
 	for {
 		list, err := o.opts.Members.List(o.ctx)
@@ -225,7 +228,7 @@
 	}
 }
 
-// setMembers takes the list in.
+// setMembers applies a membership list.
 func (o *Owner) setMembers(list []runner.Worker) {
 	o.state.SetMembers(time.Now(), list)
 }
--- a/control/permits.go
+++ b/control/permits.go
@@ -8,26 +8,26 @@
 	"github.com/fireflygate/fireflygate/event"
 )
 
-// permitTimeout bounds one question to the policy service, which takes some
-// milliseconds for each worker named and waits for its turn.
+// permitTimeout bounds one request to the policy service, whose duration grows
+// with the number of workers.
 const permitTimeout = 3 * time.Second
 
-// askPermits asks the policy service its next question, one at a time.
-func (o *Owner) askPermits(now time.Time) {
-	if o.asking || o.opts.Policy == nil || !o.needsPermits {
+// requestPermits sends the next permit request, one at a time.
+func (o *Owner) requestPermits(now time.Time) {
+	if o.requestingPermits || o.opts.Policy == nil || !o.needsPermits {
 		return
 	}
 	q, ok := o.state.NextPermitRequest(now)
 	if !ok {
 		return
 	}
-	o.asking = true
+	o.requestingPermits = true
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, permitTimeout)
 		p, err := o.opts.Policy.Permits(ctx, q.Step, q.Workers)
 		cancel()
 		o.post(func() {
-			o.asking = false
+			o.requestingPermits = false
 			event.PermitsAnswered.Log(o.opts.Log, slog.Any("step", q.Step), slog.Int("asked", len(q.Workers)),
 				slog.Int("permitted", len(p.Tickets)), slog.Any("err", err))
 			o.state.HandlePermits(time.Now(), q, p, err)
@@ -35,8 +35,8 @@
 	}()
 }
 
-// notePermits keeps whether any queue needs permits.
-func (o *Owner) notePermits(c Config) {
+// updateNeedsPermits records whether any queue needs permits.
+func (o *Owner) updateNeedsPermits(c Config) {
 	o.needsPermits = false
 	for i := range c.Queues {
 		o.needsPermits = o.needsPermits || c.Queues[i].NeedsPermit
--- a/control/carry.go
+++ b/control/relayorder.go
@@ -12,32 +12,31 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// methodCarry has a host carry an order to a worker.
-const methodCarry peer.Method = "c"
+// methodRelay asks a host to relay an order to a worker.
+const methodRelay peer.Method = "c"
 
-// orderKind says what a carried order is.
+// orderKind is the kind of a relayed order.
 type orderKind uint8
 
-// The kinds of orders.
+// Kinds of relayed orders.
 const (
-	carryStart orderKind = iota + 1
-	carryStop
-	carryPace
-	carryRenewal
+	relayStart orderKind = iota + 1
+	relayStop
+	relayCPULimit
+	relayRenewal
 )
 
-// carryRequest is an order for a worker, by whichever host can reach it. It is
-// written as an array: there are some thousand a second. Fields that a kind
-// doesn't use are zero.
-type carryRequest struct {
+// relayRequest is an order to a worker, sent to a relay. It is encoded as an
+// array to keep it small. Fields that a kind doesn't use are zero.
+type relayRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Kind            orderKind
 	Worker, Address string
 	Task            taskName
 	Run             uint64
-	// Payload is the job's. If the host was told it with an earlier start of the
-	// job, it is left out, and PayloadSum is its sum.
+	// Payload is the payload of the task's job. It is empty if the relay received
+	// it with an earlier start of the job; PayloadSum is then its checksum.
 	Payload    string
 	PayloadSum uint64
 	LeaseUntil int64
@@ -45,12 +44,12 @@
 	Checkpoint string
 	Permit     string
 	Percent    int
-	// Acknowledged and WaitMS are a renewal's.
+	// Acknowledged and WaitMS belong to renewals.
 	Acknowledged uint64
 	WaitMS       int64
 }
 
-// taskName is a task's name as an array.
+// taskName is a task's ID, encoded as an array.
 type taskName struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -58,21 +57,21 @@
 	Occurrence, Step, Index int
 }
 
-// nameOf returns a task's name for a message.
-func nameOf(t workload.TaskID) taskName {
+// newTaskName returns the encoded form of a task's ID.
+func newTaskName(t workload.TaskID) taskName {
 	return taskName{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step, Index: t.Index}
 }
 
-// id returns the task that a message names.
+// id returns the task's ID.
 func (t taskName) id() workload.TaskID {
 	return workload.TaskID{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step, Index: t.Index}
 }
 
-// carryReply is the worker's answer.
-type carryReply struct {
+// relayReply is the worker's answer to a relayed order.
+type relayReply struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
-	// NoPayload is set if the host doesn't know the payload; nothing was done.
+	// NoPayload is set if the relay doesn't have the payload; nothing was done.
 	NoPayload bool
 	Status    runner.Status
 	ClockMS   int64
@@ -81,7 +80,7 @@
 	Ends      []endRow
 }
 
-// activeRow is a run at work, endRow one that is over.
+// activeRow is an active run and endRow an ended run in a worker's report.
 type (
 	activeRow struct {
 		_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
@@ -103,25 +102,25 @@
 	}
 )
 
-// replyOf returns the message for a worker's answer.
-func replyOf(a runner.Answer, rep *runner.Report) *carryReply {
-	r := &carryReply{Status: a.Status, ClockMS: a.ClockMS}
+// newRelayReply returns the reply that carries a worker's answer and report.
+func newRelayReply(a runner.Answer, rep *runner.Report) *relayReply {
+	r := &relayReply{Status: a.Status, ClockMS: a.ClockMS}
 	if a.Err != nil {
 		r.Err = a.Err.Error()
 	}
 	for i := range rep.Active {
 		x := &rep.Active[i]
-		r.Active = append(r.Active, activeRow{Task: nameOf(x.Task), Run: x.Run, Saved: x.Checkpoint, Percent: x.Percent, Usage: x.Usage})
+		r.Active = append(r.Active, activeRow{Task: newTaskName(x.Task), Run: x.Run, Saved: x.Checkpoint, Percent: x.Percent, Usage: x.Usage})
 	}
 	for i := range rep.Ends {
 		x := &rep.Ends[i]
-		r.Ends = append(r.Ends, endRow{Number: x.Number, Task: nameOf(x.Task), Run: x.Run, Kind: x.Kind, Saved: x.Checkpoint})
+		r.Ends = append(r.Ends, endRow{Number: x.Number, Task: newTaskName(x.Task), Run: x.Run, Kind: x.Kind, Saved: x.Checkpoint})
 	}
 	return r
 }
 
-// answer returns the worker's answer that a message holds.
-func (r *carryReply) answer() runner.Answer {
+// answer returns the worker's answer.
+func (r *relayReply) answer() runner.Answer {
 	a := runner.Answer{Status: r.Status, ClockMS: r.ClockMS}
 	if r.Err != "" {
 		a.Err = errors.New(r.Err)
@@ -129,8 +128,8 @@
 	return a
 }
 
-// report returns the worker's report that a message holds.
-func (r *carryReply) report() runner.Report {
+// report returns the worker's report.
+func (r *relayReply) report() runner.Report {
 	rep := runner.Report{ClockMS: r.ClockMS}
 	for i := range r.Active {
 		x := &r.Active[i]
@@ -143,46 +142,47 @@
 	return rep
 }
 
-// carry gives an order to a worker for the owner.
-func (n *Node) carry(ctx context.Context, q *carryRequest) *carryReply {
+// executeRelayed sends a relayed order to its worker.
+func (n *Node) executeRelayed(ctx context.Context, q *relayRequest) *relayReply {
 	w := runner.Worker{ID: q.Worker, Address: q.Address, Capacity: infra.Resources{}}
 	var rep runner.Report
 	var a runner.Answer
 	switch q.Kind {
-	case carryStart:
-		payload, ok := n.payloads.of(q.Task.Job, q.Payload, q.PayloadSum)
+	case relayStart:
+		payload, ok := n.payloadCache.lookup(q.Task.Job, q.Payload, q.PayloadSum)
 		if !ok {
-			return &carryReply{NoPayload: true}
+			return &relayReply{NoPayload: true}
 		}
 		a = n.opts.Workers.Start(ctx, w, runner.Start{
 			Task: q.Task.id(), Run: q.Run, Payload: payload, LeaseUntil: q.LeaseUntil, Token: q.Token,
 			Checkpoint: q.Checkpoint, Permit: q.Permit,
 		})
-	case carryStop:
+	case relayStop:
 		a = n.opts.Workers.Stop(ctx, w, runner.Stop{Task: q.Task.id(), Run: q.Run, Token: q.Token})
-	case carryPace:
+	case relayCPULimit:
 		a = n.opts.Workers.SetCPULimit(ctx, w, runner.CPULimit{Task: q.Task.id(), Run: q.Run, Percent: q.Percent, Token: q.Token})
-	case carryRenewal:
+	case relayRenewal:
 		a, rep = n.opts.Workers.Renew(ctx, w, runner.Renewal{
 			Token: q.Token, Acknowledged: q.Acknowledged, LeaseUntil: q.LeaseUntil, WaitMS: q.WaitMS,
 		})
 	default:
-		a = runner.Answer{Status: runner.Invalid, Err: errors.Newf("order of kind %d", q.Kind)}
+		a = runner.Answer{Status: runner.Invalid, Err: errors.Newf("unknown kind of relayed order: %d", q.Kind)}
 	}
-	return replyOf(a, &rep)
+	return newRelayReply(a, &rep)
 }
 
-// handleCarry registers the answer to carried orders.
-func (n *Node) handleCarry() {
-	n.server.Handle(methodCarry, func(ctx context.Context, _ string, decode func(any) error) (any, error) {
-		var q carryRequest
+// handleRelayedOrders registers the handler of relayed orders.
+func (n *Node) handleRelayedOrders() {
+	n.server.Handle(methodRelay, func(ctx context.Context, _ string, decode func(any) error) (any, error) {
+		var q relayRequest
 		if err := decode(&q); err != nil {
 			return nil, err
 		}
-		return n.carry(ctx, &q), nil
+		return n.executeRelayed(ctx, &q), nil
 	})
 }
 
-// carryHandshake bounds a new connection to a relay: less than an order waits,
-// so that the owner can still give the order itself.
-const carryHandshake = 200 * time.Millisecond
+// relayHandshakeTimeout bounds the handshake of a new connection to a relay. It
+// is below the order timeout, so that the owner can still send the order
+// directly.
+const relayHandshakeTimeout = 200 * time.Millisecond
--- a/control/relays.go
+++ b/control/relays.go
@@ -17,61 +17,61 @@
 )
 
 const (
-	// strikes is how many orders in a row a relay loses until it is avoided for a
-	// while: avoidFor. One may have been lost by the worker.
-	strikes  = 3
-	avoidFor = time.Second
-	// relayUserTimeout gives a connection to a relay up whose bytes stay
-	// unacknowledged, longer than any order waits.
+	// maxLostOrders is the number of consecutive lost orders after which a relay
+	// is avoided for avoidDuration. A single one may have been lost by the worker.
+	maxLostOrders = 3
+	avoidDuration = time.Second
+	// relayUserTimeout is the time after which a connection to a relay with
+	// unacknowledged data is closed. It exceeds all order timeouts.
 	relayUserTimeout = 3 * time.Second
-	// maxToldJobs bounds the jobs whose payload a relay is remembered to know.
-	maxToldJobs = maxPayloads / 2
+	// maxSentJobs bounds the jobs per relay that are recorded as sent.
+	maxSentJobs = maxPayloads / 2
 )
 
-// relays gives an owner's orders to workers: through the relay that carries a
-// worker's orders, or itself where there is none. It implements runner.Client.
+// relays sends an owner's orders to workers, through the worker's relay if
+// there is one and directly otherwise. It implements runner.Client.
 type relays struct {
 	direct runner.Client
 	client *peer.Client
 	log    *slog.Logger
 	table  atomic.Pointer[relay.Table]
-	// orders counts what was given since it was last asked for.
+	// orders counts the orders since the last summary.
 	orders atomic.Int64
 
 	mu    sync.Mutex // guards the field below
 	known map[string]*relayState
 }
 
-// relayState is what an owner knows of a relay.
+// relayState is an owner's knowledge of a relay.
 type relayState struct {
-	// lost counts orders in a row that got no answer from it.
+	// lost counts consecutive orders without an answer.
 	lost int
-	// avoidUntil is until when it carries nothing.
+	// avoidUntil is the time until which the relay isn't used.
 	avoidUntil time.Time
-	// told holds the jobs whose payload it was sent.
-	told map[string]bool
+	// payloadSent holds the jobs whose payload was sent to the relay.
+	payloadSent map[string]bool
 }
 
-// errNoRelayAnswer means that a relay may have given an order.
-var errNoRelayAnswer = errors.New("no answer from the relay")
+// errNoRelayAnswer is returned for an order that the relay may have sent.
+var errNoRelayAnswer = errors.New("no answer from relay")
 
-// newRelays returns the way to the workers of an owner without relays.
+// newRelays returns a client that sends all orders directly.
 func newRelays(opts *Options) *relays {
 	r := &relays{
 		direct: opts.Workers, log: opts.Log, known: map[string]*relayState{},
 		client: peer.NewClient(peer.Options{
-			Host: opts.Host, UserTimeout: relayUserTimeout, Handshake: carryHandshake, MaxBackoff: peerMaxBackoff, AnyName: true,
+			Host: opts.Host, UserTimeout: relayUserTimeout, Handshake: relayHandshakeTimeout, MaxBackoff: peerMaxBackoff, AnyName: true,
 		}, newRand()),
 	}
 	r.table.Store(relay.NewTable(nil, 0))
 	return r
 }
 
-// use puts a table in force.
-func (r *relays) use(t *relay.Table) {
-	before, now := r.table.Swap(t).Addresses(), t.Addresses()
+// setTable replaces the relay table.
+func (r *relays) setTable(t *relay.Table) {
+	previous, current := r.table.Swap(t).Addresses(), t.Addresses()
 	addresses := map[string]string{}
-	for _, a := range now {
+	for _, a := range current {
 		addresses[a] = a
 	}
 	r.client.SetPeers(addresses)
@@ -82,25 +82,25 @@
 			delete(r.known, a)
 		}
 	}
-	if len(before) != len(now) {
-		event.RelaysChanged.Log(r.log, slog.Int("relays", len(now)), slog.Int("before", len(before)))
+	if len(previous) != len(current) {
+		event.RelaysChanged.Log(r.log, slog.Int("relays", len(current)), slog.Int("before", len(previous)))
 	}
 }
 
-// close ends the connections to relays.
+// close closes the connections to relays.
 func (r *relays) close() { r.client.Close() }
 
-// state returns what is known of a relay; r.mu must be held.
+// state returns the state of a relay; r.mu must be held.
 func (r *relays) state(address string) *relayState {
 	s := r.known[address]
 	if s == nil {
-		s = &relayState{told: map[string]bool{}}
+		s = &relayState{payloadSent: map[string]bool{}}
 		r.known[address] = s
 	}
 	return s
 }
 
-// relayOf returns the relay of a worker, empty for none.
+// relayOf returns the address of a worker's relay, empty if there is none.
 func (r *relays) relayOf(w *runner.Worker) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,8 +108,8 @@
 	return r.table.Load().RelayFor(w.ID, w.Zone, func(address string) bool { return !now.Before(r.state(address).avoidUntil) })
 }
 
-// heard notes whether a relay answered.
-func (r *relays) heard(address string, answered bool) {
+// recordAnswer records whether a relay answered an order.
+func (r *relays) recordAnswer(address string, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.state(address)
@@ -117,40 +117,41 @@
 		s.lost = 0
 		return
 	}
-	if s.lost++; s.lost >= strikes {
-		s.lost, s.avoidUntil = 0, time.Now().Add(avoidFor)
-		s.told = map[string]bool{} // it may come back as another process
+	if s.lost++; s.lost >= maxLostOrders {
+		s.lost, s.avoidUntil = 0, time.Now().Add(avoidDuration)
+		s.payloadSent = map[string]bool{} // the relay may restart meanwhile
 		event.RelayAvoided.Log(r.log, slog.String("relay", address))
 	}
 }
 
-// tell reports whether a relay was sent a job's payload before, and notes that
-// it is now.
-func (r *relays) tell(address, job string) bool {
+// markPayloadSent records that a job's payload is sent to a relay, and reports
+// whether it was sent before.
+func (r *relays) markPayloadSent(address, job string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.state(address)
-	if s.told[job] {
+	if s.payloadSent[job] {
 		return true
 	}
-	if len(s.told) >= maxToldJobs {
-		s.told = map[string]bool{}
+	if len(s.payloadSent) >= maxSentJobs {
+		s.payloadSent = map[string]bool{}
 	}
-	s.told[job] = true
+	s.payloadSent[job] = true
 	return false
 }
 
-// carry gives an order through the worker's relay. False if there is none or it
-// wasn't sent: the owner then gives it itself.
-func (r *relays) carry(ctx context.Context, w *runner.Worker, q *carryRequest) (*carryReply, bool) {
+// relayOrder sends an order through the worker's relay. It returns false if
+// there is none or the order wasn't sent; the caller then sends it directly. A
+// nil reply means that the outcome is unknown.
+func (r *relays) relayOrder(ctx context.Context, w *runner.Worker, q *relayRequest) (*relayReply, bool) {
 	r.orders.Add(1)
 	address := r.relayOf(w)
 	if address == "" {
 		return nil, false
 	}
 	payload := q.Payload
-	if q.Kind == carryStart && r.tell(address, q.Task.Job) {
-		q.PayloadSum, q.Payload = sumOf(payload), ""
+	if q.Kind == relayStart && r.markPayloadSent(address, q.Task.Job) {
+		q.PayloadSum, q.Payload = payloadSum(payload), ""
 	}
 	q.Worker, q.Address = w.ID, w.Address
 	rep, sent := r.call(ctx, address, q)
@@ -164,12 +165,13 @@
 	return rep, true
 }
 
-// call makes one call of a relay; a nil reply is an unknown outcome.
-func (r *relays) call(ctx context.Context, address string, q *carryRequest) (rep *carryReply, sent bool) {
-	rep = new(carryReply)
-	res := r.client.Call(ctx, address, methodCarry, q, rep)
-	// One that reaches the owner but no worker is of no use either.
-	r.heard(address, res.Kind == outcome.Answered && (rep.NoPayload || rep.Status != runner.Unknown))
+// call makes one call to a relay; a nil reply means that the outcome is
+// unknown.
+func (r *relays) call(ctx context.Context, address string, q *relayRequest) (rep *relayReply, sent bool) {
+	rep = new(relayReply)
+	res := r.client.Call(ctx, address, methodRelay, q, rep)
+	// A relay that can't reach workers counts as unresponsive.
+	r.recordAnswer(address, res.Kind == outcome.Answered && (rep.NoPayload || rep.Status != runner.Unknown))
 	switch res.Kind {
 	case outcome.Answered:
 		return rep, true
@@ -180,11 +182,11 @@
 	}
 }
 
-// order gives an order through the relay, or directly.
-func (r *relays) order(ctx context.Context, w *runner.Worker, q *carryRequest, direct func() runner.Answer) runner.Answer {
-	rep, carried := r.carry(ctx, w, q)
+// sendOrder sends an order through the worker's relay or directly.
+func (r *relays) sendOrder(ctx context.Context, w *runner.Worker, q *relayRequest, direct func() runner.Answer) runner.Answer {
+	rep, relayed := r.relayOrder(ctx, w, q)
 	switch {
-	case !carried:
+	case !relayed:
 		return direct()
 	case rep == nil:
 		return runner.Answer{Status: runner.Unknown, Err: errNoRelayAnswer}
@@ -195,31 +197,31 @@
 
 // Start implements runner.Client.
 func (r *relays) Start(ctx context.Context, w runner.Worker, o runner.Start) runner.Answer {
-	return r.order(ctx, &w, &carryRequest{
-		Kind: carryStart, Task: nameOf(o.Task), Run: o.Run, Payload: o.Payload, LeaseUntil: o.LeaseUntil, Token: o.Token,
+	return r.sendOrder(ctx, &w, &relayRequest{
+		Kind: relayStart, Task: newTaskName(o.Task), Run: o.Run, Payload: o.Payload, LeaseUntil: o.LeaseUntil, Token: o.Token,
 		Checkpoint: o.Checkpoint, Permit: o.Permit,
 	}, func() runner.Answer { return r.direct.Start(ctx, w, o) })
 }
 
 // Stop implements runner.Client.
 func (r *relays) Stop(ctx context.Context, w runner.Worker, o runner.Stop) runner.Answer {
-	return r.order(ctx, &w, &carryRequest{Kind: carryStop, Task: nameOf(o.Task), Run: o.Run, Token: o.Token},
+	return r.sendOrder(ctx, &w, &relayRequest{Kind: relayStop, Task: newTaskName(o.Task), Run: o.Run, Token: o.Token},
 		func() runner.Answer { return r.direct.Stop(ctx, w, o) })
 }
 
-// Pace implements runner.Client.
+// SetCPULimit implements runner.Client.
 func (r *relays) SetCPULimit(ctx context.Context, w runner.Worker, o runner.CPULimit) runner.Answer {
-	return r.order(ctx, &w, &carryRequest{Kind: carryPace, Task: nameOf(o.Task), Run: o.Run, Percent: o.Percent, Token: o.Token},
+	return r.sendOrder(ctx, &w, &relayRequest{Kind: relayCPULimit, Task: newTaskName(o.Task), Run: o.Run, Percent: o.Percent, Token: o.Token},
 		func() runner.Answer { return r.direct.SetCPULimit(ctx, w, o) })
 }
 
 // Renew implements runner.Client.
 func (r *relays) Renew(ctx context.Context, w runner.Worker, o runner.Renewal) (runner.Answer, runner.Report) {
-	rep, carried := r.carry(ctx, &w, &carryRequest{
-		Kind: carryRenewal, Token: o.Token, Acknowledged: o.Acknowledged, LeaseUntil: o.LeaseUntil, WaitMS: o.WaitMS,
+	rep, relayed := r.relayOrder(ctx, &w, &relayRequest{
+		Kind: relayRenewal, Token: o.Token, Acknowledged: o.Acknowledged, LeaseUntil: o.LeaseUntil, WaitMS: o.WaitMS,
 	})
 	switch {
-	case !carried:
+	case !relayed:
 		return r.direct.Renew(ctx, w, o)
 	case rep == nil:
 		return runner.Answer{Status: runner.Unknown, Err: errNoRelayAnswer}, runner.Report{}
--- a/control/relays_test.go
+++ b/control/relays_test.go
@@ -7,8 +7,8 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// newRelayCluster starts hosts with four workers, and waits until the owner looks
-// at them through another host.
+// newRelayCluster starts n hosts with four workers, and waits until the owner
+// polls workers through another host.
 func newRelayCluster(t *testing.T, n int) (*cluster, *host) {
 	t.Helper()
 	c := newCluster(t, 0, 4)
@@ -17,30 +17,30 @@
 		c.start(fmt.Sprintf("h%d", i), c.table)
 	}
 	owner := c.leader(c.hosts...)
-	c.eventually("another host looks at workers", func() bool {
-		owner.node.HaveRelays(1)
-		return c.looksOfOthers(owner) > 0
+	c.eventually("a host other than the owner polls workers", func() bool {
+		owner.node.SetMinRelays(1)
+		return c.pollsByOthers(owner) > 0
 	})
 	return c, owner
 }
 
-// looksOfOthers counts the looks that hosts but one gave.
-func (c *cluster) looksOfOthers(but *host) int64 {
+// pollsByOthers counts the polls sent by all hosts except one.
+func (c *cluster) pollsByOthers(except *host) int64 {
 	n := int64(0)
-	for name, client := range c.carried {
-		if name != but.name {
-			n += client.looks.Load()
+	for name, client := range c.clients {
+		if name != except.name {
+			n += client.polls.Load()
 		}
 	}
 	return n
 }
 
-// TestRelayCarriesOrders has the owner's orders go through another host: jobs of
-// several steps, so that a payload is sent once and known from then on, end as
-// they do otherwise, and the owner gives no start itself.
-func TestRelayCarriesOrders(t *testing.T) {
+// TestOrdersGoThroughRelay checks that jobs complete with the owner's orders
+// sent through another host, and that tasks get their payload though it is sent
+// once.
+func TestOrdersGoThroughRelay(t *testing.T) {
 	c, owner := newRelayCluster(t, 3)
-	own := c.carried[owner.name].starts.Load()
+	startsBefore := c.clients[owner.name].starts.Load()
 	for i := range 4 {
 		id := fmt.Sprintf("job%d", i)
 		j := job(id, 6)
@@ -53,16 +53,16 @@
 			}
 			c.fleet.finish(o.Task)
 		}
-		c.await(c.hosts[0], id, workload.Complete)
+		c.awaitState(c.hosts[0], id, workload.Complete)
 	}
-	if n := c.carried[owner.name].starts.Load() - own; n > 0 {
-		t.Errorf("the owner gave %d starts itself", n)
+	if n := c.clients[owner.name].starts.Load() - startsBefore; n > 0 {
+		t.Errorf("the owner sent %d starts itself, want 0", n)
 	}
 }
 
-// TestRelayDies kills the host that carries the orders while tasks run and
-// others start. All jobs end, and no task runs in two places.
-func TestRelayDies(t *testing.T) {
+// TestRelayCrash checks that jobs complete without duplicate runs after the
+// host that relays orders has failed.
+func TestRelayCrash(t *testing.T) {
 	c, owner := newRelayCluster(t, 4)
 	c.submit(owner, job("before", 8))
 	var tasks []workload.TaskID
@@ -70,7 +70,7 @@
 		tasks = append(tasks, (<-c.fleet.started).Task)
 	}
 	for _, h := range without(c.hosts, owner) {
-		if c.carried[h.name].starts.Load() > 0 {
+		if c.clients[h.name].starts.Load() > 0 {
 			h.kill()
 		}
 	}
@@ -81,19 +81,18 @@
 	for _, id := range tasks {
 		c.fleet.finish(id)
 	}
-	c.await(owner, "before", workload.Complete)
-	c.await(owner, "after", workload.Complete)
+	c.awaitState(owner, "before", workload.Complete)
+	c.awaitState(owner, "after", workload.Complete)
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
-	if len(c.fleet.twice) > 0 {
-		t.Errorf("started while they ran: %v", c.fleet.twice)
+	if len(c.fleet.duplicates) > 0 {
+		t.Errorf("started while running: %v", c.fleet.duplicates)
 	}
 }
 
-// TestRelayIsToldAgain has the host that carries the orders be replaced by a
-// process that knows no payloads: the owner, which took it to know the job's,
-// sends it again.
-func TestRelayIsToldAgain(t *testing.T) {
+// TestPayloadResentToRestartedRelay checks that the owner sends a payload again
+// to a relay that has lost it.
+func TestPayloadResentToRestartedRelay(t *testing.T) {
 	c, owner := newRelayCluster(t, 2)
 	j := job("job", 3)
 	j.Payload = "payload"
@@ -103,7 +102,7 @@
 	for range 3 {
 		c.fleet.finish((<-c.fleet.started).Task)
 		for _, h := range c.hosts {
-			h.node.ForgetPayloads()
+			h.node.ClearPayloads()
 		}
 	}
 	for range 3 {
@@ -113,5 +112,5 @@
 		}
 		c.fleet.finish(o.Task)
 	}
-	c.await(owner, "job", workload.Complete)
+	c.awaitState(owner, "job", workload.Complete)
 }
--- a/control/resign.go
+++ b/control/resign.go
@@ -10,12 +10,12 @@
 	"github.com/fireflygate/fireflygate/event"
 )
 
-// errResigned ends an owner that was asked to stop.
+// errResigned is the cause of the end of an owner that resigned.
 var errResigned = errors.New("resigned for a planned stop")
 
-// resign stops giving orders, makes durable what isn't, and gives the domain
-// up, so that another host takes over at once. It returns when the owner has
-// ended, and with the context at the latest.
+// resign stops issuing orders, commits all changes and gives the domain up, so
+// that another host can take over at once. It returns when the owner has ended,
+// which it forces when the context ends.
 func (o *Owner) resign(ctx context.Context) {
 	o.post(func() { o.beginResign(ctx) })
 	select {
@@ -26,10 +26,9 @@
 	}
 }
 
-// beginResign runs on the loop. A commit that is under way is followed by the
-// last one when its outcome comes. Nothing asks for that outcome meanwhile: a
-// loop that asked itself kept one processor busy, 211,377 turns in 1.7 s, and
-// neither callers nor the commit itself got an answer.
+// beginResign starts the resignation; it runs on the loop. If a commit is in
+// flight, the last commit follows it through afterCommit, without polling the
+// loop.
 func (o *Owner) beginResign(ctx context.Context) {
 	if o.resigning {
 		return
@@ -37,18 +36,18 @@
 	o.resigning = true
 	event.ResignBegun.Log(o.opts.Log, slog.Uint64("epoch", o.epoch), slog.Bool("commit_under_way", o.committing))
 	if o.committing {
-		o.afterCommit = func() { o.commitRest(ctx) }
+		o.afterCommit = func() { o.commitRemaining(ctx) }
 		return
 	}
-	o.commitRest(ctx)
+	o.commitRemaining(ctx)
 }
 
-// commitRest makes durable what isn't and then gives the domain up. What comes
-// after it is not taken in any more.
-func (o *Owner) commitRest(ctx context.Context) {
-	b, err := o.state.Flush(time.Now(), batchWrites)
+// commitRemaining commits all remaining changes and then gives the domain up.
+// The owner accepts no more requests.
+func (o *Owner) commitRemaining(ctx context.Context) {
+	b, err := o.state.Flush(time.Now(), maxBatchWrites)
 	if err != nil {
-		panic("control: state can't be encoded: " + err.Error())
+		panic("control: can't encode state: " + err.Error())
 	}
 	o.committing, o.closed = true, true
 	go func() {
@@ -59,14 +58,14 @@
 		}
 		o.post(func() {
 			o.state.MarkFlushed(b)
-			o.settle()
-			go o.giveUp(ctx)
+			o.notifyDurable()
+			go o.releaseDomain(ctx)
 		})
 	}()
 }
 
-// giveUp writes that the domain has no owner, and ends this one.
-func (o *Owner) giveUp(ctx context.Context) {
+// releaseDomain marks the owner's row as resigned and ends this owner.
+func (o *Owner) releaseDomain(ctx context.Context) {
 	if err := o.committer.Resign(ctx); err != nil {
 		event.ResignFailed.Log(o.opts.Log, slog.Any("err", err))
 	}
--- a/control/result.go
+++ b/control/result.go
@@ -2,25 +2,24 @@
 
 import "log/slog"
 
-// Result says what became of a request for the owner. The zero value claims
-// nothing.
+// Result is the result of a request to the owner.
 type Result uint8
 
-// The results.
+// Results of requests.
 const (
-	// ResultUnknown: it may have been carried out, or may be yet.
+	// ResultUnknown means that the request may have been executed or may yet be.
 	ResultUnknown Result = iota
-	// ResultDone: it was carried out and is durable.
+	// ResultDone means that the request was executed and is durable.
 	ResultDone
-	// ResultNotFound: no such job.
+	// ResultNotFound means that the job doesn't exist.
 	ResultNotFound
-	// ResultRefused: it wasn't carried out and never will be.
+	// ResultRefused means that the request wasn't and won't be executed.
 	ResultRefused
-	// ResultNotOwner: the host asked doesn't own the domain; nothing was done.
+	// ResultNotOwner means that the host doesn't own the domain; nothing was done.
 	ResultNotOwner
 )
 
-// String returns the result as logs show it.
+// String returns the result's name in logs and metrics.
 func (r Result) String() string {
 	switch r {
 	case ResultDone:
--- a/control/serve.go
+++ b/control/serve.go
@@ -7,16 +7,16 @@
 	"github.com/fireflygate/fireflygate/peer"
 )
 
-// handle registers the answers to peers.
+// handle registers the handlers of peers' requests.
 func (n *Node) handle() {
 	n.server.Handle(methodPing, func(_ context.Context, _ string, decode func(any) error) (any, error) {
 		var q pingRequest
 		if err := decode(&q); err != nil {
 			return nil, err
 		}
-		n.met(q.Address)
-		n.rivals.Observe(q.Address, q.Zone, q.Cores, boottime())
-		return n.pong(q.Hosts), nil
+		n.addHost(q.Address)
+		n.candidates.Observe(q.Address, q.Zone, q.Cores, boottime())
+		return n.newPingReply(q.Hosts), nil
 	})
 	serve(n.server, methodSubmit, n, func(ctx context.Context, o *Owner, q *submitRequest) reply {
 		return o.submit(ctx, &q.Job, q.Queue)
@@ -32,7 +32,8 @@
 	})
 }
 
-// serve answers a method at the owner; a host that isn't the owner says so.
+// serve registers a handler that passes requests to the owner, or answers that
+// this host isn't the owner.
 func serve[Q any](mux peer.Mux, m peer.Method, n *Node, f func(context.Context, *Owner, *Q) reply) {
 	mux.Handle(m, func(ctx context.Context, _ string, decode func(any) error) (any, error) {
 		q := new(Q)
@@ -47,14 +48,15 @@
 	})
 }
 
-// pong says how this host's ownership is.
-func (n *Node) pong(hosts int) pingReply {
+// newPingReply returns this host's status for a host that knows the given
+// number of hosts.
+func (n *Node) newPingReply(hosts int) pingReply {
 	o, _, _ := n.current()
 	r := pingReply{Incarnation: n.opts.Incarnation}
 	if o != nil && o.ctx.Err() == nil {
-		r.Owner, r.Epoch, r.Version = true, o.epoch, o.provenVersion.Load()
+		r.Owner, r.Epoch, r.Version = true, o.epoch, o.committedVersion.Load()
 		r.CommitAgeMS = o.commitAge().Milliseconds()
-		r.Relays = int(o.perZone.Load())
+		r.Relays = int(o.relaysPerZone.Load())
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/control/session.go
+++ b/control/session.go
@@ -9,43 +9,43 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// session talks to one worker: one goroutine gives orders one after another,
-// one renews leases and waits for ends. Each keeps one connection.
+// session exchanges messages with one worker. One goroutine sends orders in
+// sequence, another polls for reports; each uses its own connection.
 type session struct {
 	id     string
 	orders chan func(context.Context)
-	looks  chan look
+	polls  chan poll
 	cancel context.CancelFunc
-	// token is the newest fencing token; orders with an older one aren't sent.
+	// token is the newest fencing token; starts with an older one aren't sent.
 	token atomic.Uint64
-	// looking is set while a look is under way; only the owner's loop uses it
-	// and nextLook.
-	looking  bool
-	nextLook time.Time
+	// polling is set while a poll is in flight. It and nextPoll are confined to
+	// the owner's loop.
+	polling  bool
+	nextPoll time.Time
 }
 
-// look is one renewal to make.
-type look struct {
+// poll is a request for a worker's report, which renews its lease.
+type poll struct {
 	worker  runner.Worker
 	renewal runner.Renewal
 }
 
-// maxQueuedOrders bounds the orders that wait for one worker.
+// maxQueuedOrders bounds the orders queued for one worker.
 const maxQueuedOrders = 256
 
 // startSession starts the goroutines of a session.
 func (o *Owner) startSession(id string) *session {
 	ctx, cancel := context.WithCancel(o.ctx)
 	s := &session{
-		id: id, orders: make(chan func(context.Context), maxQueuedOrders), looks: make(chan look, 1), cancel: cancel,
+		id: id, orders: make(chan func(context.Context), maxQueuedOrders), polls: make(chan poll, 1), cancel: cancel,
 	}
-	go s.giveOrders(ctx)
-	go o.renewLeases(ctx, s)
+	go s.runOrders(ctx)
+	go o.runPolls(ctx, s)
 	return s
 }
 
-// giveOrders runs the orders in turn.
-func (s *session) giveOrders(ctx context.Context) {
+// runOrders runs queued orders in sequence.
+func (s *session) runOrders(ctx context.Context) {
 	for {
 		select {
 		case f := <-s.orders:
@@ -56,15 +56,15 @@
 	}
 }
 
-// renewLeases makes the looks that the owner's loop asks for.
-func (o *Owner) renewLeases(ctx context.Context, s *session) {
+// runPolls sends the polls that the owner's loop requests.
+func (o *Owner) runPolls(ctx context.Context, s *session) {
 	for {
 		select {
-		case l := <-s.looks:
-			a, rep, way := o.renew(ctx, l)
+		case p := <-s.polls:
+			a, rep, rt := o.sendPoll(ctx, p)
 			o.post(func() {
-				s.looking = false
-				o.looked(s, l, a, rep, way)
+				s.polling = false
+				o.handlePoll(s, p, a, rep, rt)
 			})
 		case <-ctx.Done():
 			return
@@ -72,12 +72,12 @@
 	}
 }
 
-// renew makes one look.
-func (o *Owner) renew(ctx context.Context, l look) (a runner.Answer, rep runner.Report, way flow.RoundTrip) {
-	held := time.Duration(l.renewal.WaitMS) * time.Millisecond
-	a, way = o.traffic.send(ctx, held, func(ctx context.Context) (a runner.Answer) {
-		a, rep = o.relays.Renew(ctx, l.worker, l.renewal)
+// sendPoll sends a poll and returns the answer and the report.
+func (o *Owner) sendPoll(ctx context.Context, p poll) (a runner.Answer, rep runner.Report, rt flow.RoundTrip) {
+	hold := time.Duration(p.renewal.WaitMS) * time.Millisecond
+	a, rt = o.traffic.send(ctx, hold, func(ctx context.Context) (a runner.Answer) {
+		a, rep = o.relays.Renew(ctx, p.worker, p.renewal)
 		return a
 	})
-	return a, rep, way
+	return a, rep, rt
 }
--- a/control/summary.go
+++ b/control/summary.go
@@ -8,25 +8,25 @@
 	"github.com/fireflygate/fireflygate/relay"
 )
 
-// summaryEvery is the time between two log lines on the state of the domain.
-const summaryEvery = time.Second
+// summaryInterval is the interval of log lines on the state of the domain.
+const summaryInterval = time.Second
 
-// summarize logs the state of the domain at intervals.
+// summarize periodically logs the state of the domain and updates metrics.
 func (o *Owner) summarize(now time.Time) {
-	if now.Sub(o.summarized) < summaryEvery {
+	if now.Sub(o.summarizedAt) < summaryInterval {
 		return
 	}
-	o.summarized = now
+	o.summarizedAt = now
 	sum := o.state.AttributeTime(now)
 	o.opts.Metrics.state(&sum)
 	traffic := o.traffic.State(now)
 	event.DomainState.Log(o.opts.Log, slog.Uint64("epoch", o.epoch), slog.Any("state", sum),
 		slog.Any("traffic", traffic), slog.Any("loop", o.loop), slog.Int64("commit_age_ms", o.commitAge().Milliseconds()))
 	o.opts.Metrics.load(traffic, &o.loop)
-	o.backlog.Observe(int(sum.Stats.Starts-o.starts), o.loop.pressed()) //nolint:gosec // of a second
-	o.starts = sum.Stats.Starts
-	o.adaptRelays(now, sum.Workers)
-	o.loop = loopTime{}
+	o.backlog.Observe(int(sum.Stats.Starts-o.startsCounted), o.loop.overloaded()) //nolint:gosec // of a second
+	o.startsCounted = sum.Stats.Starts
+	o.scaleRelays(now, sum.Workers)
+	o.loop = loopStats{}
 	for _, j := range o.state.TakeJobOutcomes() {
 		event.JobOver.Log(o.opts.Log, slog.String("job", j.Job), slog.String("queue", j.Queue),
 			slog.String("state", j.State.String()), slog.String("reached", j.Timeliness.String()),
@@ -35,12 +35,11 @@
 	}
 }
 
-// adaptRelays has as many hosts carry orders as the load of the last second
-// needs.
-func (o *Owner) adaptRelays(now time.Time, workers int) {
-	perZone := o.demand.Observe(relay.Load{
-		Workers: workers, Orders: int(o.relays.orders.Swap(0)), RoundTrip: o.traffic.RoundTrip(now), HeldBack: o.loop.pressed(),
+// scaleRelays adapts the number of relays to the load of the last interval.
+func (o *Owner) scaleRelays(now time.Time, workers int) {
+	relaysPerZone := o.relayScaler.Observe(relay.Load{
+		Workers: workers, Orders: int(o.relays.orders.Swap(0)), RoundTrip: o.traffic.RoundTrip(now), HeldBack: o.loop.overloaded(),
 	})
-	o.perZone.Store(int64(perZone))
-	o.relays.use(relay.NewTable(o.rivals.RelayHosts(boottime()), perZone))
+	o.relaysPerZone.Store(int64(relaysPerZone))
+	o.relays.setTable(relay.NewTable(o.candidates.RelayHosts(boottime()), relaysPerZone))
 }
--- a/control/takeover_test.go
+++ b/control/takeover_test.go
@@ -16,31 +16,30 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// TestStopDuringTakeOver stops a host whose take-over is on its way to the
-// store: it gives the domain up as soon as it owns it. Otherwise it would lead
-// until its process ends, and the others would learn of that by its silence.
-func TestStopDuringTakeOver(t *testing.T) {
+// TestResignDuringTakeover checks that a host stopped while its takeover commit
+// is in flight gives the domain up as soon as it owns it.
+func TestResignDuringTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memtable.New()
 		n := newTestNode(table)
-		taken := takeDomain(t, table)
+		committer := acquireDomain(t, table)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		n.Resign(ctx) // knows of no owner here
-		n.lead(ctx, taken, election.Record{})
+		n.Resign(ctx) // no owner is set yet
+		n.lead(ctx, committer, election.Record{})
 		expectResigned(t, table)
 	})
 }
 
-// TestStopWhileStateIsRead stops a host that has taken the domain and then
-// can't read its state: the stop ends, though that owner's loop never ran.
-func TestStopWhileStateIsRead(t *testing.T) {
+// TestResignDuringLoad checks that a stop completes if the owner fails to load
+// its state and its loop never runs.
+func TestResignDuringLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &unreadableTable{Table: memtable.New(), fail: make(chan struct{})}
 		n := newTestNode(table)
-		taken := takeDomain(t, table)
-		go n.lead(t.Context(), taken, election.Record{})
-		synctest.Wait() // the state is being read
+		committer := acquireDomain(t, table)
+		go n.lead(t.Context(), committer, election.Record{})
+		synctest.Wait() // the state is being loaded
 		stopped := make(chan struct{})
 		go func() {
 			defer close(stopped)
@@ -52,12 +51,12 @@
 		select {
 		case <-stopped:
 		default:
-			t.Error("the stop waits for an owner that never began")
+			t.Error("the stop still waits for an owner whose loop never ran")
 		}
 	})
 }
 
-// newTestNode returns a node that doesn't run, with a configuration.
+// newTestNode returns a configured node that isn't running.
 func newTestNode(table infra.Table) *Node {
 	n := NewNode(Options{
 		Host: "a", Incarnation: "a", Table: table, Members: noMembers{}, Log: slog.New(slog.DiscardHandler),
@@ -67,21 +66,22 @@
 	return n
 }
 
-// takeDomain takes an empty domain for host a.
-func takeDomain(t *testing.T, table infra.Table) *election.Committer {
+// acquireDomain acquires an empty domain for host a.
+func acquireDomain(t *testing.T, table infra.Table) *election.Committer {
 	t.Helper()
-	seen, version, err := election.Read(t.Context(), table)
+	previous, version, err := election.Read(t.Context(), table)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := election.Acquire(t.Context(), table, election.Record{Host: "a", Incarnation: "a"}, seen, version)
+	c, err := election.Acquire(t.Context(), table, election.Record{Host: "a", Incarnation: "a"}, previous, version)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// unreadableTable is a table whose scans fail once fail is closed.
+// unreadableTable is a table whose scans block until fail is closed and then
+// fail.
 type unreadableTable struct {
 	infra.Table
 	fail chan struct{}
@@ -93,5 +93,5 @@
 	case <-u.fail:
 	case <-ctx.Done():
 	}
-	return nil, errors.New("table can't be read")
+	return nil, errors.New("scan failed")
 }
