--- a/control/commit.go
+++ b/control/commit.go
@@ -11,8 +11,8 @@
 )
 
 // flush commits changed state, one batch at a time: immediately if a caller
-// waits, urgent changes after flushDelay, all others after up to half a poll
-// interval more. The owner's row is committed at least every heartbeatInterval.
+// waits, urgent changes after flushDelay, all others after a further half of the
+// poll interval. The owner's row is committed at least every heartbeatInterval.
 func (o *Owner) flush(now time.Time) {
 	if o.committing || o.resigning {
 		return
--- a/control/options.go
+++ b/control/options.go
@@ -53,9 +53,9 @@
 }
 
 // Intervals and timeouts. A host suspects an unresponsive owner after
-// pingInterval + pingTimeout and takes over after a further suspectTimeout, 1.7
-// s in all. Leases renewed at least every 2 s, the longest poll, then have more
-// than 2 s left.
+// pingInterval + pingTimeout and takes over after a further suspectTimeout,
+// 1.7 s in all. Leases are renewed at least every 2 s, the longest poll, and so
+// have more than 2 s left at a takeover.
 const (
 	// lease is the duration of workers' leases: long enough for a takeover, short
 	// enough to start the tasks of a failed worker elsewhere soon.
