--- a/quota/divide.go
+++ b/quota/divide.go
@@ -2,9 +2,9 @@
 
 import "math/bits"
 
-// deadBand is the divisor of the quota that gives the largest deviation of a
-// bound from its target at which it is not lowered. It keeps bounds stable
-// under small changes of demand.
+// deadBand determines by how much a bound may exceed its target without being
+// lowered: by quota/deadBand. It keeps bounds stable under small changes of
+// demand.
 const deadBand = 64
 
 // Divide returns the new bound of each shard, computed from one consistent set
@@ -22,13 +22,13 @@
 		raises += max(targets[i]-s.Held, 0)
 	}
 	pool = max(pool, 0)
-	tight := isContended(quota, pool, shards)
+	contended := isContended(quota, pool, shards)
 	bounds := make([]int64, len(shards))
 	for i, s := range shards {
 		raise := targets[i] - s.Held
 		switch {
 		case raise <= 0:
-			bounds[i] = reduceBound(s, targets[i], quota, band(quota, len(shards), tight), tight)
+			bounds[i] = reduceBound(s, targets[i], quota, band(quota, len(shards), contended), contended)
 		case raises <= pool:
 			bounds[i] = targets[i]
 		default:
@@ -48,11 +48,11 @@
 	return unmet > quota/deadBand
 }
 
-// band returns the largest deviation from its target at which a bound is not
-// lowered. Under contention all shards share one dead band, because those of
-// many idle shards could add up to the whole quota.
-func band(quota int64, shards int, tight bool) int64 {
-	if tight {
+// band returns by how much a bound may exceed its target without being lowered.
+// Under contention all shards share one dead band, because those of many idle
+// shards could add up to the whole quota.
+func band(quota int64, shards int, contended bool) int64 {
+	if contended {
 		return quota / deadBand / int64(shards)
 	}
 	return quota / deadBand
@@ -62,12 +62,12 @@
 // more than the quota. It removes half of the surplus, or under contention all
 // of a surplus within the dead band. A surplus within band stays, unless the
 // shard is idle under contention.
-func reduceBound(s Shard, target, quota, band int64, tight bool) int64 {
+func reduceBound(s Shard, target, quota, band int64, contended bool) int64 {
 	surplus := s.Held - target
 	switch {
-	case surplus <= band && (!tight || s.wanted() > 0):
+	case surplus <= band && (!contended || s.wanted() > 0):
 		surplus = 0
-	case !tight || surplus > quota/deadBand:
+	case !contended || surplus > quota/deadBand:
 		surplus = surplus / 2
 	}
 	return min(s.Held-surplus, quota)
