--- a/control/options.go
+++ b/control/options.go
@@ -41,7 +41,7 @@
 	// begins or ends.
 	OwnershipChanged func(owner bool)
 	// Without is the set of scheduling mechanisms to disable in experiments.
-	Without mechanism.Set
+	Disabled mechanism.Set
 }
 
 // lead records that the ownership of the domain began or ended.
--- a/control/owner.go
+++ b/control/owner.go
@@ -91,7 +91,7 @@
 	o.relays = newRelays(&o.opts)
 	o.state = dispatch.New(dispatch.Config{
 		Epoch: o.epoch, Lease: min(lease, opts.MaxLease), InheritedLease: min(lease, opts.MaxLease) + ownerValidity,
-		Retention: opts.Retention, NoCapacityPause: noCapacityPause, TailBound: opts.TailBound, Disabled: opts.Without,
+		Retention: opts.Retention, NoCapacityPause: noCapacityPause, TailBound: opts.TailBound, Disabled: opts.Disabled,
 	})
 	o.state.SetQueues(cfg.Queues)
 	o.updateNeedsPermits(cfg)
--- a/control/summary.go
+++ b/control/summary.go
@@ -38,7 +38,7 @@
 // scaleRelays adapts the number of relays to the load of the last interval.
 func (o *Owner) scaleRelays(now time.Time, workers int) {
 	relaysPerZone := o.relayScaler.Observe(relay.Load{
-		Workers: workers, Orders: int(o.relays.orders.Swap(0)), RoundTrip: o.traffic.RoundTrip(now), HeldBack: o.loop.overloaded(),
+		Workers: workers, Orders: int(o.relays.orders.Swap(0)), RoundTrip: o.traffic.RoundTrip(now), StartLimitReached: o.loop.overloaded(),
 	})
 	o.relaysPerZone.Store(int64(relaysPerZone))
 	o.relays.setTable(relay.NewTable(o.candidates.RelayHosts(boottime()), relaysPerZone))
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -72,7 +72,7 @@
 	const ms = time.Millisecond
 	var small relay.Scaler
 	for i := range 100 {
-		if n := small.Observe(relay.Load{Workers: 48, Orders: 300, RoundTrip: 5 * ms, HeldBack: i%10 == 0}); n != 0 {
+		if n := small.Observe(relay.Load{Workers: 48, Orders: 300, RoundTrip: 5 * ms, StartLimitReached: i%10 == 0}); n != 0 {
 			t.Fatalf("%d relays per zone for a small domain with short bursts, want 0", n)
 		}
 	}
--- a/relay/scaler.go
+++ b/relay/scaler.go
@@ -10,8 +10,8 @@
 	Orders int
 	// RoundTrip is the smoothed round trip of orders, 0 if unknown.
 	RoundTrip time.Duration
-	// HeldBack is set if the limit on starts in flight delayed starts.
-	HeldBack bool
+	// StartLimitReached is set if the limit on starts in flight delayed starts.
+	StartLimitReached bool
 }
 
 const (
@@ -57,7 +57,7 @@
 	if s.perZone > 0 && s.scaleUpOrders == 0 {
 		s.scaleUpOrders = l.Orders // the load at the previous owner's scale-up is unknown
 	}
-	overloaded := l.RoundTrip > slowRTT || l.HeldBack
+	overloaded := l.RoundTrip > slowRTT || l.StartLimitReached
 	lower := s.Min
 	if l.Workers > maxDirectWorkers {
 		lower = max(lower, 1)
