--- a/colocate/actions.go
+++ b/colocate/actions.go
@@ -122,7 +122,7 @@
 // expectedSlack returns the least slack to expect of a serving task within
 // reactionTime.
 func (m *Model) expectedSlack(s *Serving) float64 {
-	return s.Slack() - m.trends[s.Step].expectedDrop(m.horizon(reactionTime), m.floor(s.Class).value())
+	return s.Slack() - m.trends[s.Step].expectedDrop(m.horizon(reactionTime), m.slackFloor(s.Class).value())
 }
 
 // restoreSlack limits best-effort tasks until the expected slack of a serving
--- a/colocate/floor.go
+++ b/colocate/floor.go
@@ -7,8 +7,8 @@
 type slackFloor struct {
 	level float64
 	known bool
-	// lastReport is when a step of the class last reported.
-	lastReport time.Time
+	// updatedAt is when a step of the class last reported.
+	updatedAt time.Time
 }
 
 const (
@@ -23,7 +23,7 @@
 
 // observe updates the estimate with the level of a step.
 func (f *slackFloor) observe(s *SlackTrend) {
-	f.lastReport = s.updatedAt
+	f.updatedAt = s.updatedAt
 	if s.levelVar > floorMaxVariance {
 		return
 	}
--- a/colocate/impact.go
+++ b/colocate/impact.go
@@ -49,7 +49,7 @@
 		if w.isRepeatedStep(i) {
 			continue
 		}
-		slack, deviation := m.trends[s.Step].forecast(now, m.horizon(maxHorizon), m.floor(s.Class).value())
+		slack, deviation := m.trends[s.Step].forecast(now, m.horizon(maxHorizon), m.slackFloor(s.Class).value())
 		if overTarget {
 			slack = noSlack
 		}
--- a/colocate/learn.go
+++ b/colocate/learn.go
@@ -21,13 +21,13 @@
 		}
 		m.registerClass(s.Class)
 		slack := w.meanSlack(s)
-		effect, variance := m.currentEffect(s.Class, w)
+		currentEffect, variance := m.currentEffect(s.Class, w)
 		trend := m.trend(now, s.Step)
-		trend.observe(now, slack+effect, slackNoise(slack)+variance)
-		m.floor(s.Class).observe(trend)
+		trend.observe(now, slack+currentEffect, slackNoise(slack)+variance)
+		m.slackFloor(s.Class).observe(trend)
 		if len(load.Batch) > 0 && !m.disabled.Has(mechanism.PairEffects) {
-			transient, transientVar := m.transientEffect(s.Class, w)
-			m.effects.Observe(s.Class, load, trend.level-slack-transient, trend.levelVar+transientVar+slackNoise(slack))
+			transientEffect, transientVar := m.transientEffect(s.Class, w)
+			m.effects.Observe(s.Class, load, trend.level-slack-transientEffect, trend.levelVar+transientVar+slackNoise(slack))
 			delete(m.pairEffects, s.Class)
 		}
 	}
@@ -54,9 +54,9 @@
 			return false
 		}
 		slack := w.meanSlack(s)
-		effect, variance := m.currentEffect(s.Class, w)
+		currentEffect, variance := m.currentEffect(s.Class, w)
 		level, deviation := trend.forecast(now, 0, 0)
-		unexplained := level - effect - slack
+		unexplained := level - currentEffect - slack
 		if unexplained < slowDeviations*math.Sqrt(deviation*deviation+variance+slackNoise(slack)) {
 			return false
 		}
--- a/colocate/model.go
+++ b/colocate/model.go
@@ -77,8 +77,8 @@
 	clear(m.pairEffects)
 }
 
-// floor returns the class's slack floor, creating it if needed.
-func (m *Model) floor(class string) *slackFloor {
+// slackFloor returns the class's slack floor, creating it if needed.
+func (m *Model) slackFloor(class string) *slackFloor {
 	f := m.floors[class]
 	if f == nil {
 		f = &slackFloor{}
@@ -112,11 +112,11 @@
 		}
 	}
 	for class := range m.classes {
-		f := m.floor(class)
+		f := m.slackFloor(class)
 		switch {
-		case f.lastReport.IsZero():
-			f.lastReport = now // placed, but hasn't reported yet
-		case now.Sub(f.lastReport) > classRetention:
+		case f.updatedAt.IsZero():
+			f.updatedAt = now // placed, but hasn't reported yet
+		case now.Sub(f.updatedAt) > classRetention:
 			m.removeClass(class)
 		}
 	}
--- a/interference/explorer.go
+++ b/interference/explorer.go
@@ -12,7 +12,7 @@
 }
 
 // Trial records the last trial on a host; the zero value means none.
-type Trial struct{ began time.Time }
+type Trial struct{ at time.Time }
 
 // Allowed reports whether a trial may begin on a host at now, with at most
 // limit trials per interval in total.
@@ -23,11 +23,11 @@
 	if now.Sub(e.began) >= e.Interval {
 		e.began, e.count = now, 0
 	}
-	return e.count < limit && now.Sub(host.began) >= e.Interval
+	return e.count < limit && now.Sub(host.at) >= e.Interval
 }
 
 // Begin records a trial on a host.
 func (e *Explorer) Begin(now time.Time, host *Trial) {
-	host.began = now
+	host.at = now
 	e.count++
 }
--- a/interference/explorer_test.go
+++ b/interference/explorer_test.go
@@ -17,7 +17,7 @@
 			if !e.Allowed(now, hosts[i], 3) {
 				continue
 			}
-			if hosts[i].began.After(start) && second-last[i] < 15 {
+			if hosts[i].at.After(start) && second-last[i] < 15 {
 				t.Fatalf("host %d has trials at %d s and %d s", i, last[i], second)
 			}
 			e.Begin(now, &hosts[i])
--- a/interference/model_test.go
+++ b/interference/model_test.go
@@ -8,15 +8,15 @@
 
 // simulation draws latencies from true effects of batch classes, with noise.
 type simulation struct {
-	effects map[string]float64
-	noise   float64
-	rng     *rand.Rand
+	effect map[string]float64
+	noise  float64
+	rng    *rand.Rand
 }
 
 func (sim simulation) latency(load Load) float64 {
 	log := -0.6 + 0.3*load.OwnUtilization
 	for _, s := range load.Batch {
-		log += sim.effects[s.Class] * s.CPUShare
+		log += sim.effect[s.Class] * s.CPUShare
 	}
 	return 100 * math.Exp(log+sim.noise*sim.rng.NormFloat64())
 }
@@ -34,9 +34,9 @@
 
 func newSimulation(seed uint64) simulation {
 	return simulation{
-		effects: map[string]float64{"a": 2.5, "b": 0, "c": 0.3, "d": 1.2},
-		noise:   0.15,
-		rng:     rand.New(rand.NewPCG(seed, 0)),
+		effect: map[string]float64{"a": 2.5, "b": 0, "c": 0.3, "d": 1.2},
+		noise:  0.15,
+		rng:    rand.New(rand.NewPCG(seed, 0)),
 	}
 }
 
@@ -50,7 +50,7 @@
 			load := sim.randomLoad()
 			m.Learn("dispatch", load, sim.latency(load))
 		}
-		for class, want := range sim.effects {
+		for class, want := range sim.effect {
 			mean, deviation := m.Effect("dispatch", class, 1)
 			if got := math.Abs(mean - want); got > 0.4 || got > 4*deviation {
 				t.Errorf("seed %d: effect of %s %.2f±%.2f, want %.2f", seed, class, mean, deviation, want)
@@ -88,7 +88,7 @@
 	sim := newSimulation(1)
 	m := NewModel(map[string]float64{"dispatch": 100}, DefaultMargin)
 	for _, effect := range []float64{2.5, 0, 2.5} {
-		sim.effects["a"] = effect
+		sim.effect["a"] = effect
 		for range 4000 {
 			load := sim.randomLoad()
 			m.Learn("dispatch", load, sim.latency(load))
--- a/interference/regression.go
+++ b/interference/regression.go
@@ -93,8 +93,8 @@
 // variances.
 func (r *regression) addDrift(v vector) {
 	for _, e := range v {
-		diagonal := e.index*r.size + e.index
-		r.covariance[diagonal] = max(r.covariance[diagonal], min(r.covariance[diagonal]+r.drift, r.prior[e.index]))
+		index := e.index*r.size + e.index
+		r.covariance[index] = max(r.covariance[index], min(r.covariance[index]+r.drift, r.prior[e.index]))
 	}
 }
 
--- a/placement/colocation.go
+++ b/placement/colocation.go
@@ -24,8 +24,8 @@
 			continue
 		}
 		s.model.Learn(class, interference.Load{OwnUtilization: n.ownUtilization(class), Batch: batch}, latency)
-		if relative := latency / objective; relative > worst {
-			worst, n.worstClass = relative, class
+		if over := latency / objective; over > worst {
+			worst, n.worst = over, class
 		}
 	}
 	if worst == 0 {
@@ -79,9 +79,9 @@
 		s.unthrottleAll(p, n)
 		return
 	}
-	candidates := s.evictionCandidates(p.now, n)
+	evictionCandidates := s.evictionCandidates(p.now, n)
 	mayEvict := s.budget.Available(p.now) > 0
-	for _, d := range n.monitor.Decide(p.now, candidates, p.remaining(), mayEvict) {
+	for _, d := range n.monitor.Decide(p.now, evictionCandidates, p.remaining(), mayEvict) {
 		s.apply(p, n, d)
 	}
 }
@@ -91,13 +91,13 @@
 	r := s.runs[d.Job]
 	if d.Kind == eviction.Evict {
 		n.startCooldown(p.now, r.spec.Class, p.now.Add(cooldownWaits*s.options.Colocation.EvictAfter.D()))
-		s.evict(p, r, "slows "+n.worstClass)
+		s.evict(p, r, "slows "+n.worst)
 		return
 	}
 	r.setCPULimit(p.now, int32(d.CPULimit))
-	reason := n.worstClass + " is calm"
+	reason := n.worst + " is calm"
 	if d.Kind == eviction.Throttle {
-		reason = "slows " + n.worstClass
+		reason = "slows " + n.worst
 	}
 	p.add(Action{Kind: Throttle, Job: d.Job, Host: n.host.Name, CPULimit: d.CPULimit, Reason: reason})
 }
@@ -128,7 +128,7 @@
 		if r.spec.QoS == task.LatencyCritical || r.isEvicting(now) {
 			continue
 		}
-		mean, deviation := s.model.Effect(n.worstClass, r.spec.Class, n.cpuShare(r.fullMilliCPU()))
+		mean, deviation := s.model.Effect(n.worst, r.spec.Class, n.cpuShare(r.fullMilliCPU()))
 		list = append(list, eviction.Candidate{
 			Job:       r.spec.ID,
 			CPULimit:  int(r.cpuLimit),
--- a/placement/consolidate.go
+++ b/placement/consolidate.go
@@ -137,7 +137,7 @@
 // isn't larger than now.
 func (s *Scheduler) hasConsolidationHost(r *run) bool {
 	q := request{
-		spec: r.spec, size: s.estimator.Size(r.spec), avoid: s.histories.avoid(r.spec.ID),
+		spec: r.spec, size: s.estimator.Size(r.spec), avoid: s.history.avoid(r.spec.ID),
 		maxConsolidated: s.maxConsolidated(r.spec),
 	}
 	least := r.node.criticalMilliCPU
--- a/placement/drain.go
+++ b/placement/drain.go
@@ -95,10 +95,10 @@
 // runs without an effect are ordered by size.
 func (s *Scheduler) eventImpact(e forecast.Event, n *node, r *run) float64 {
 	cpuShare := n.cpuShare(r.fullMilliCPU())
-	impact := cpuShare / 100
+	eventImpact := cpuShare / 100
 	for _, class := range e.Services {
 		mean, _ := s.model.Effect(class, r.spec.Class, cpuShare)
-		impact = max(impact, mean)
+		eventImpact = max(eventImpact, mean)
 	}
-	return impact
+	return eventImpact
 }
--- a/placement/jobs.go
+++ b/placement/jobs.go
@@ -19,7 +19,7 @@
 		s.dequeue(p)
 	}
 	p := &pending{spec: spec, latestStart: s.latestStart(spec)}
-	p.avoid = s.histories.avoid(spec.ID)
+	p.avoid = s.history.avoid(spec.ID)
 	s.queue.add(p)
 }
 
@@ -51,7 +51,7 @@
 	if p, waiting := s.queue.jobs[job]; waiting {
 		s.dequeue(p)
 	}
-	s.histories.forget(job)
+	s.history.forget(job)
 }
 
 // dequeue removes a job from the queue together with its nomination.
@@ -123,7 +123,7 @@
 	if done {
 		s.learnRun(now, r)
 		s.countDone(now, r.spec)
-		s.histories.forget(job)
+		s.history.forget(job)
 	}
 	if r.requeue && !done {
 		s.Enqueue(now, r.spec)
@@ -152,14 +152,14 @@
 
 // Avoid keeps a job off a host on which it failed.
 func (s *Scheduler) Avoid(job, host string) {
-	entry := s.histories.of(job)
-	if entry.avoid == nil {
-		entry.avoid = map[string]bool{}
+	history := s.history.of(job)
+	if history.avoid == nil {
+		history.avoid = map[string]bool{}
 	}
-	entry.avoid[host] = true
+	history.avoid[host] = true
 	if p, waiting := s.queue.jobs[job]; waiting {
 		s.queue.remove(p)
-		p.avoid = entry.avoid
+		p.avoid = history.avoid
 		s.queue.add(p)
 	}
 }
--- a/placement/never_fits.go
+++ b/placement/never_fits.go
@@ -25,11 +25,11 @@
 		if !zoneFits(spec.Zones, kind.zone) {
 			continue
 		}
-		missing := q.shortage(kind.capacity)
-		if missing == (infra.Resources{}) {
+		shortage := q.shortage(kind.capacity)
+		if shortage == (infra.Resources{}) {
 			return "", false
 		}
-		distance := shortageRatio(missing, q.size)
+		distance := shortageRatio(shortage, q.size)
 		if !found || distance < smallest {
 			nearest, smallest, found = kind, distance, true
 		}
--- a/placement/node.go
+++ b/placement/node.go
@@ -28,9 +28,9 @@
 	monitor *eviction.HostMonitor
 	// watched is set while the node is in Scheduler.watched.
 	watched bool
-	// worstClass is the class with the largest ratio of latency to objective
-	// in the last report.
-	worstClass string
+	// worst is the class with the largest ratio of latency to objective in the
+	// last report.
+	worst string
 	// trial is the last trial of a pair with an uncertain estimate.
 	trial interference.Trial
 	// cooldowns are the classes that were recently evicted from the node.
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -103,7 +103,7 @@
 		avoid:         j.avoid,
 		dueSoon:       j.isDueSoon(now),
 		nominated:     j.nominated,
-		held:          j.held,
+		reserved:      j.held,
 
 		maxConsolidated: s.maxConsolidated(j.spec),
 	}
@@ -113,7 +113,7 @@
 func (s *Scheduler) start(p *plan, j *pending, q *request, n *node, reason string) {
 	s.dequeue(j)
 	r := &run{spec: j.spec, size: q.size, cpuLimit: fullCPU, started: p.now}
-	r.resumed = s.histories.evictions(j.spec.ID) > 0
+	r.resumed = s.history.evictions(j.spec.ID) > 0
 	s.occupy(r, n)
 	p.add(Action{
 		Kind:      Start,
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -168,7 +168,7 @@
 		sim.finishMoves(second)
 		var ended, killed []*simTask
 		for host := range sim.hosts {
-			e, k := sim.advance(host, second)
+			e, k := sim.second(host, second)
 			ended, killed = append(ended, e...), append(killed, k...)
 		}
 		for _, t := range ended {
@@ -220,14 +220,14 @@
 // TestColocation checks, for several sets of slowdowns, that fewer samples
 // miss the objective than with best fit, and that evictions are few.
 func TestColocation(t *testing.T) {
-	for table := uint64(1); table <= 2; table++ {
-		sc := scenario{seed: table, lag: 5, declaredFactor: 1, seconds: 900}
+	for seed := uint64(1); seed <= 2; seed++ {
+		sc := scenario{seed: seed, lag: 5, declaredFactor: 1, seconds: 900}
 		ours, fit := runPolicy(t, "fireflygate", sc), runPolicy(t, "best fit", sc)
 		if fit.overObjective() > 0.01 && ours.overObjective() > 0.75*fit.overObjective() {
-			t.Errorf("seed %d: share of samples over the objective %.3f, with best fit %.3f", table, ours.overObjective(), fit.overObjective())
+			t.Errorf("seed %d: share of samples over the objective %.3f, with best fit %.3f", seed, ours.overObjective(), fit.overObjective())
 		}
 		if ours.evictions > 20 {
-			t.Errorf("seed %d: %d evictions in 15 minutes, want at most 20", table, ours.evictions)
+			t.Errorf("seed %d: %d evictions in 15 minutes, want at most 20", seed, ours.evictions)
 		}
 	}
 }
@@ -242,11 +242,11 @@
 		{name: "declared x4", lag: 5, declaredFactor: 4},
 		{name: "declared /4", lag: 5, declaredFactor: 0.25},
 	}
-	for _, table := range []uint64{1, 2, 101, 102, 103, 104} {
+	for _, seed := range []uint64{1, 2, 101, 102, 103, 104} {
 		for _, sc := range scenarios {
-			sc.seed, sc.seconds = table, 2400
+			sc.seed, sc.seconds = seed, 2400
 			for _, name := range []string{"separation", "first fit", "best fit", "fireflygate"} {
-				b.Run(fmt.Sprintf("table=%d/%s/%s", table, sc.name, name), func(b *testing.B) {
+				b.Run(fmt.Sprintf("table=%d/%s/%s", seed, sc.name, name), func(b *testing.B) {
 					var got score
 					for b.Loop() {
 						got = runPolicy(b, name, sc)
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -45,7 +45,7 @@
 		panic("placement: eviction exceeds the budget")
 	}
 	r.evictionRequested = p.now
-	s.histories.of(r.spec.ID).evictions++
+	s.history.of(r.spec.ID).evictions++
 	p.add(Action{Kind: Evict, Job: r.spec.ID, Host: r.node.host.Name, Reason: reason})
 }
 
@@ -161,7 +161,7 @@
 // isProtected reports whether a run has been evicted so often that it must not
 // be evicted again.
 func (s *Scheduler) isProtected(r *run) bool {
-	return s.histories.evictions(r.spec.ID) >= maxEvictions
+	return s.history.evictions(r.spec.ID) >= maxEvictions
 }
 
 // isEvicting reports whether the run's eviction is in flight.
--- a/placement/request.go
+++ b/placement/request.go
@@ -17,9 +17,9 @@
 	avoid         map[string]bool
 	// dueSoon is set if the job's latest start is near.
 	dueSoon bool
-	// held is what is reserved for this job on the node nominated.
+	// reserved is held for this job on the nominated node.
 	nominated *node
-	held      infra.Resources
+	reserved  infra.Resources
 	// maxConsolidated is how many instances of the job's class may be
 	// consolidated on one host.
 	maxConsolidated int
@@ -42,7 +42,7 @@
 func (q *request) filterResources(n *node) Status {
 	free := n.free()
 	if n == q.nominated {
-		free = free.Add(q.held)
+		free = free.Add(q.reserved)
 	}
 	switch {
 	case q.size.Accelerators > free.Accelerators:
--- a/placement/run.go
+++ b/placement/run.go
@@ -66,7 +66,7 @@
 	return r.cpuLimit
 }
 
-func (r *run) setCPULimit(now time.Time, percent int32) {
+func (r *run) setCPULimit(now time.Time, cpuLimit int32) {
 	r.previousLimit, r.limitChanged = r.cpuLimit, now
-	r.cpuLimit = percent
+	r.cpuLimit = cpuLimit
 }
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -31,7 +31,7 @@
 	nominees  []*pending
 	teams     teams
 	spread    spread
-	histories histories
+	history   histories
 	estimator *estimate.Estimator
 	budget    *eviction.Budget
 	calendar  forecast.Calendar
@@ -73,7 +73,7 @@
 		queue:     newQueue(),
 		teams:     newTeams(o.Teams),
 		spread:    newSpread(),
-		histories: newHistories(),
+		history:   newHistories(),
 		estimator: estimate.NewEstimator(),
 		budget:    eviction.NewBudget(o.Colocation.MaxEvictionsPerMinute),
 		calendar:  calendar,
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -186,9 +186,9 @@
 	sim.remove(t)
 }
 
-// advance simulates one second on a host and returns the tasks that ended and
+// second simulates one second on a host and returns the tasks that ended and
 // those killed for exceeding the memory.
-func (sim *simulation) advance(host, second int) (ended, killed []*simTask) {
+func (sim *simulation) second(host, second int) (ended, killed []*simTask) {
 	h := &sim.hosts[host]
 	used := 8 * float64(h.total()) * 0.7
 	memory := 16_000 * float64(h.total())
--- a/placement/unfit_cache.go
+++ b/placement/unfit_cache.go
@@ -25,11 +25,11 @@
 // unfitCache holds sizes that fit on no host, until a host frees enough for
 // them. Larger sizes don't fit either, so only minimal ones are kept.
 type unfitCache struct {
-	sizes map[requestKind][]request
+	byKind map[requestKind][]request
 }
 
 func newUnfitCache() unfitCache {
-	return unfitCache{sizes: map[requestKind][]request{}}
+	return unfitCache{byKind: map[requestKind][]request{}}
 }
 
 func (q *request) kind() requestKind {
@@ -45,7 +45,7 @@
 	if q.nominated != nil {
 		return false
 	}
-	return slices.ContainsFunc(c.sizes[q.kind()], func(o request) bool { return o.size.Fits(q.size) })
+	return slices.ContainsFunc(c.byKind[q.kind()], func(o request) bool { return o.size.Fits(q.size) })
 }
 
 // add adds a request that fits on no host. Requests with avoided hosts are not
@@ -54,24 +54,24 @@
 	if len(q.avoid) > 0 || q.nominated != nil {
 		return
 	}
-	if len(c.sizes) >= maxKinds {
-		clear(c.sizes)
+	if len(c.byKind) >= maxKinds {
+		clear(c.byKind)
 	}
-	sizes := slices.DeleteFunc(c.sizes[q.kind()], func(o request) bool { return q.size.Fits(o.size) })
+	sizes := slices.DeleteFunc(c.byKind[q.kind()], func(o request) bool { return q.size.Fits(o.size) })
 	if len(sizes) >= maxSizes {
 		sizes = slices.Delete(sizes, 0, 1)
 	}
-	c.sizes[q.kind()] = append(sizes, *q)
+	c.byKind[q.kind()] = append(sizes, *q)
 }
 
 // freed drops the sizes that fit on a node that has freed resources.
 func (c *unfitCache) freed(n *node) {
-	for kind, sizes := range c.sizes {
+	for kind, sizes := range c.byKind {
 		sizes = slices.DeleteFunc(sizes, func(q request) bool { return q.filter(n) == Feasible })
 		if len(sizes) == 0 {
-			delete(c.sizes, kind)
+			delete(c.byKind, kind)
 			continue
 		}
-		c.sizes[kind] = sizes
+		c.byKind[kind] = sizes
 	}
 }
