--- a/placement/events.go
+++ b/placement/events.go
@@ -31,8 +31,9 @@
 	return share
 }
 
-// expectedEnd returns when a job that starts now is expected to end. A
-// standing job counts as running until it could be drained before a window.
+// expectedEnd returns when a job that starts now is expected to end. A standing
+// job counts as ending after drainLead, since it can be drained ahead of a
+// window.
 func (s *Scheduler) expectedEnd(now time.Time, spec task.Spec) time.Time {
 	if spec.RunMS == 0 {
 		return now.Add(drainLead)
--- a/placement/index.go
+++ b/placement/index.go
@@ -34,7 +34,8 @@
 
 // index finds nodes with enough free resources without examining each node.
 type index struct {
-	// grids is sorted by zone, with grids without accelerators first.
+	// grids is sorted by zone; within a zone the grid without accelerators
+	// comes first.
 	grids []*grid
 }
 
--- a/placement/jobs.go
+++ b/placement/jobs.go
@@ -23,8 +23,8 @@
 	s.queue.add(p)
 }
 
-// mergeSpec returns spec with the fields that the totals of a running job
-// depend on left unchanged.
+// mergeSpec returns spec with the team, class and QoS of the run, by which its
+// resources are already counted.
 func (s *Scheduler) mergeSpec(r *run, spec task.Spec) task.Spec {
 	spec.Team = r.spec.Team
 	spec.Class = r.spec.Class
