--- a/batch/quota_event_test.go
+++ b/batch/quota_event_test.go
@@ -39,7 +39,7 @@
 			if err := d.Decode(&line); err != nil {
 				t.Fatal(err)
 			}
-			if line.Event == event.QuotaInForce.Number {
+			if line.Event == event.QuotaApplied.Number {
 				logged[line.Team] = line.Quota.MilliCPU
 			}
 		}
--- a/batch/shard_commit.go
+++ b/batch/shard_commit.go
@@ -81,7 +81,7 @@
 // holds the job.
 func (s *Shard) disown(now time.Time, j *job) {
 	id := j.rec.Spec.ID
-	event.JobDisowned.Log(s.log, slog.String("job", id), slog.String("shard", s.name))
+	event.JobOwnedElsewhere.Log(s.log, slog.String("job", id), slog.String("shard", s.name))
 	if s.jobs[id] != j {
 		return
 	}
--- a/batch/shard_quota.go
+++ b/batch/shard_quota.go
@@ -48,7 +48,7 @@
 		held = s.allotment(team).Held()
 	}
 	used, _ := s.planner.TeamUsage(team)
-	event.QuotaInForce.Log(s.log, slog.String("shard", s.name), slog.Uint64("epoch", s.epoch), slog.String("team", team),
+	event.QuotaApplied.Log(s.log, slog.String("shard", s.name), slog.Uint64("epoch", s.epoch), slog.String("team", team),
 		slog.Any("quota", q), slog.Any("held", held), slog.Any("used", used))
 }
 
--- a/batch/shard_report.go
+++ b/batch/shard_report.go
@@ -120,7 +120,7 @@
 		}
 	case infra.RunDone:
 		if w.health.recordSuccess() {
-			event.WorkerCleared.Log(s.log, slog.String("worker", w.name))
+			event.QuarantineEnded.Log(s.log, slog.String("worker", w.name))
 		}
 	default:
 		w.health.clearProbe(id)
@@ -136,7 +136,7 @@
 		return
 	}
 	if w.extraOrders[r.Run] != infra.OrderStop {
-		event.RunStray.Log(s.log, slog.String("worker", w.name), slog.String("job", r.Run.Job), slog.Uint64("epoch", r.Run.Epoch))
+		event.UnknownRun.Log(s.log, slog.String("worker", w.name), slog.String("job", r.Run.Job), slog.Uint64("epoch", r.Run.Epoch))
 	}
 	w.extraOrders[r.Run] = infra.OrderStop
 	s.requestExchange(w)
--- a/batch/shard_workers.go
+++ b/batch/shard_workers.go
@@ -61,7 +61,7 @@
 		return
 	}
 	if h.Unschedulable == "unreachable" && w.plannerHost.Unschedulable == "" {
-		event.WorkerSilent.Log(s.log, slog.String("worker", w.name))
+		event.WorkerSuspected.Log(s.log, slog.String("worker", w.name))
 	}
 	w.plannerHost, w.knownToPlanner = h, true
 	s.planner.SetHost(h)
@@ -105,7 +105,7 @@
 // loseRuns ends all runs on a worker whose leases have certainly expired. If the
 // worker returns, it is reconciled again.
 func (s *Shard) loseRuns(now time.Time, w *worker) {
-	event.WorkerLost.Log(s.log, slog.String("worker", w.name), slog.Int("runs", len(w.jobs)))
+	event.WorkerLeaseExpired.Log(s.log, slog.String("worker", w.name), slog.Int("runs", len(w.jobs)))
 	w.leasesExpired, w.reconciled, w.lastSeq = true, false, 0
 	for _, j := range w.jobs {
 		s.expireRun(now, w, j)
--- a/check/record.go
+++ b/check/record.go
@@ -128,14 +128,14 @@
 	Version uint64 `json:"version"`
 }
 
-// ConfigInForce says which version an entry host has in force.
+// ConfigApplied says which version an entry host has in force.
 type ConfigInForce struct {
 	Host    string `json:"host"`
 	Version uint64 `json:"version"`
 }
 
 // ConfigHostEnded says that an entry host is gone, so that no version has to
-// come in force there any more. A later ConfigInForce is a new process.
+// come in force there any more. A later ConfigApplied is a new process.
 type ConfigHostEnded struct {
 	Host string `json:"host"`
 }
--- a/cmd/fireflygate-edge/explainday.go
+++ b/cmd/fireflygate-edge/explainday.go
@@ -39,8 +39,8 @@
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitUsageError
 	}
-	rows := trace.Day(records)
-	if err := errors.CombineErrors(trace.WriteDay(os.Stdout, rows), trace.WriteBounds(os.Stdout, trace.Bounds(records))); err != nil {
+	rows := trace.SummarizeJobs(records)
+	if err := errors.CombineErrors(trace.WriteJobSummaries(os.Stdout, rows), trace.WriteBottlenecks(os.Stdout, trace.Bottlenecks(records))); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
 	}
--- a/cmd/fireflygate-edge/serve.go
+++ b/cmd/fireflygate-edge/serve.go
@@ -44,7 +44,7 @@
 func (c *serveCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.settings, "settings", os.Getenv(platform.SettingsVariable), "the platform's settings file")
 	f.TextVar(&c.level, "log", slog.LevelInfo, "least severity that is logged")
-	f.IntVar(&c.lines, "log-lines", logsink.DefaultLines, "lines a second; changes of what the host believes have a quarter more")
+	f.IntVar(&c.lines, "log-lines", logsink.DefaultLinesPerSecond, "lines a second; changes of what the host believes have a quarter more")
 	f.StringVar(&c.without, "without", "", "parts of the scheduling policy to leave out, for experiments: "+strings.Join(mechanism.Names(), ", "))
 }
 
@@ -65,7 +65,7 @@
 		return subcommands.ExitUsageError
 	}
 	sink := logsink.New(os.Stdout, logsink.Options{
-		Level: c.level, Lines: c.lines, Routine: event.IsRoutine, Dropped: logDropped,
+		Level: c.level, LinesPerSecond: c.lines, IsRoutine: event.IsRoutine, OnDropped: logDropped,
 	})
 	d := platform.NewDaemon(s, sink, without)
 	go d.WatchSettings(ctx, c.settings)
@@ -82,5 +82,5 @@
 
 // logDropped says how many lines are missing from the log.
 func logDropped(log *slog.Logger, overBudget, queueFull int64) {
-	event.LinesDropped.Log(log, slog.Int64("over_budget", overBudget), slog.Int64("queue_full", queueFull))
+	event.LogLinesDropped.Log(log, slog.Int64("over_budget", overBudget), slog.Int64("queue_full", queueFull))
 }
--- a/cmd/fireflygate-edge/trace.go
+++ b/cmd/fireflygate-edge/trace.go
@@ -41,8 +41,8 @@
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitUsageError
 	}
-	story := trace.Story(records, f.Arg(0))
-	if err := trace.Write(os.Stdout, story); err != nil {
+	story := trace.Timeline(records, f.Arg(0))
+	if err := trace.WriteTimeline(os.Stdout, story); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
 	}
--- a/configstore/watcher.go
+++ b/configstore/watcher.go
@@ -136,7 +136,7 @@
 		next.Settings = settings.Compose(w.local, policy)
 	}
 	w.current.Store(&next)
-	event.ConfigInForce.Log(w.log, slog.Uint64("version", o.Head.Version), slog.String("hash", o.Head.Hash))
+	event.ConfigApplied.Log(w.log, slog.Uint64("version", o.Head.Version), slog.String("hash", o.Head.Hash))
 	for _, f := range w.onChange {
 		f(next.clone())
 	}
--- a/control/follow.go
+++ b/control/follow.go
@@ -119,7 +119,7 @@
 	readDelay := slowReadFactor * time.Since(start)
 	switch {
 	case err != nil:
-		event.OwnerUnread.Log(n.opts.Log, slog.Any("err", err))
+		event.OwnerReadFailed.Log(n.opts.Log, slog.Any("err", err))
 		d.since = time.Time{}
 		n.askPeers(ctx)
 		return false
@@ -196,10 +196,10 @@
 	c, err := election.Acquire(attempt, n.opts.Table, self, previous, version)
 	cancel()
 	if err != nil {
-		event.OwnershipMissed.Log(n.opts.Log, slog.Any("epoch", previous.Epoch+1), slog.Any("err", err))
+		event.OwnershipNotAcquired.Log(n.opts.Log, slog.Any("epoch", previous.Epoch+1), slog.Any("err", err))
 		return false
 	}
-	event.OwnershipTaken.Log(n.opts.Log, slog.Any("epoch", c.Record().Epoch), slog.Any("before", previous.Host),
+	event.OwnershipAcquired.Log(n.opts.Log, slog.Any("epoch", c.Record().Epoch), slog.Any("before", previous.Host),
 		slog.Float64("cores", self.Cores), slog.Float64("best", previous.Cores))
 	n.lead(ctx, c, previous)
 	return true
--- a/control/forward.go
+++ b/control/forward.go
@@ -85,7 +85,7 @@
 		}
 		t.Stop()
 		if ctx.Err() != nil {
-			event.OutcomeOpen.Log(n.opts.Log, slog.Any("id", id), slog.Any("method", m), slog.Any("sent", tracker.uncertain), slog.Any("waited_ms", time.Since(start).Milliseconds()))
+			event.OutcomeUnknown.Log(n.opts.Log, slog.Any("id", id), slog.Any("method", m), slog.Any("sent", tracker.uncertain), slog.Any("waited_ms", time.Since(start).Milliseconds()))
 			if tracker.uncertain {
 				return Outcome{Result: ResultUnknown}
 			}
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -178,7 +178,7 @@
 		})
 	}
 	pending.Wait()
-	event.OwnershipTold.Log(n.opts.Log, slog.Uint64("epoch", current.Epoch), slog.Int("hosts", len(addresses)))
+	event.OwnershipAnnounced.Log(n.opts.Log, slog.Uint64("epoch", current.Epoch), slog.Int("hosts", len(addresses)))
 }
 
 // notifyHost notifies a host of the new owner and reports whether it answered.
--- a/control/handover.go
+++ b/control/handover.go
@@ -36,7 +36,7 @@
 	if !s.ShouldHandOver() {
 		return false
 	}
-	event.HandOverBegun.Log(o.opts.Log, slog.Uint64("epoch", o.epoch), slog.Float64("cores", s.Cores), slog.Float64("best", s.BestCores))
+	event.HandoverStarted.Log(o.opts.Log, slog.Uint64("epoch", o.epoch), slog.Float64("cores", s.Cores), slog.Float64("best", s.BestCores))
 	o.handingOver = true
 	go func() {
 		o.committer.MarkHandedOver()
--- a/control/log_test.go
+++ b/control/log_test.go
@@ -23,7 +23,7 @@
 // and replace a failed owner.
 func TestBlockedLogOutput(t *testing.T) {
 	out := blockedOutput{release: make(chan struct{})}
-	sink := logsink.New(out, logsink.Options{Routine: event.IsRoutine})
+	sink := logsink.New(out, logsink.Options{IsRoutine: event.IsRoutine})
 	t.Cleanup(func() {
 		close(out.release)
 		sink.Close(context.Background())
--- a/control/orders.go
+++ b/control/orders.go
@@ -108,7 +108,7 @@
 	o.issueOrder(p.Worker.ID, "pace", func(ctx context.Context) runner.Answer {
 		return o.relays.SetCPULimit(ctx, p.Worker, p.CPULimit)
 	}, func(a runner.Answer) {
-		event.PaceAnswered.Log(o.opts.Log, slog.Any("task", p.CPULimit.Task), slog.Uint64("run", p.CPULimit.Run),
+		event.CPULimitAnswered.Log(o.opts.Log, slog.Any("task", p.CPULimit.Task), slog.Uint64("run", p.CPULimit.Run),
 			slog.String("worker", p.Worker.ID), slog.Int("percent", p.CPULimit.Percent), slog.Any("known", p.Snapshot), slog.Any("status", a.Status),
 			slog.Any("err", a.Err))
 		o.state.HandleCPULimitAnswer(p, a)
@@ -178,7 +178,7 @@
 	s.nextPoll = now.Add(o.traffic.PollInterval(now))
 	if a.Status != runner.Done {
 		s.nextPoll = now.Add(max(pollRetryInterval, o.traffic.orderTimeout()))
-		event.WorkerNotSeen.Log(o.opts.Log, slog.Any("worker", p.worker.ID), slog.Any("status", a.Status), slog.Any("err", a.Err))
+		event.WorkerPollFailed.Log(o.opts.Log, slog.Any("worker", p.worker.ID), slog.Any("status", a.Status), slog.Any("err", a.Err))
 	}
 	for _, e := range o.state.HandleReport(now, p.worker.ID, p.renewal, a, rep) {
 		o.opts.Metrics.ends.WithLabelValues(e.Kind.String()).Inc()
--- a/control/owner.go
+++ b/control/owner.go
@@ -216,7 +216,7 @@
 			if o.ctx.Err() != nil {
 				return
 			}
-			event.MembersUnread.Log(o.opts.Log, slog.Any("err", err))
+			event.MembersReadFailed.Log(o.opts.Log, slog.Any("err", err))
 		} else {
 			o.post(func() { o.setMembers(list) })
 		}
--- a/control/relays.go
+++ b/control/relays.go
@@ -120,7 +120,7 @@
 	if s.lost++; s.lost >= maxLostOrders {
 		s.lost, s.avoidUntil = 0, time.Now().Add(avoidDuration)
 		s.payloadSent = map[string]bool{} // the relay may restart meanwhile
-		event.RelayAvoided.Log(r.log, slog.String("relay", address))
+		event.RelayUnresponsive.Log(r.log, slog.String("relay", address))
 	}
 }
 
--- a/control/requests.go
+++ b/control/requests.go
@@ -47,13 +47,13 @@
 			return
 		}
 		if retryAfter, unavailable := o.storeUnavailable(); unavailable && !o.state.HasJob(spec.ID) {
-			event.StoreAway.Log(o.opts.Log, slog.String("job", spec.ID), slog.Int64("retry_after_ms", retryAfter.Milliseconds()))
+			event.StoreUnavailable.Log(o.opts.Log, slog.String("job", spec.ID), slog.Int64("retry_after_ms", retryAfter.Milliseconds()))
 			answer <- reply{Result: ResultRefused, RetryAfterMS: retryAfter.Milliseconds()}
 			return
 		}
 		if tasksAhead := o.state.TasksAhead(q); !o.state.HasJob(spec.ID) {
 			if retryAfter, refuse := o.backlog.Refuse(tasksAhead); refuse {
-				event.StartsWait.Log(o.opts.Log, slog.String("job", spec.ID), slog.Int("starts_before", tasksAhead), slog.Int64("retry_after_ms", retryAfter.Milliseconds()))
+				event.StartBacklogFull.Log(o.opts.Log, slog.String("job", spec.ID), slog.Int("starts_before", tasksAhead), slog.Int64("retry_after_ms", retryAfter.Milliseconds()))
 				answer <- reply{Result: ResultRefused, RetryAfterMS: retryAfter.Milliseconds()}
 				return
 			}
@@ -126,7 +126,7 @@
 // job, so the request is refused.
 func (o *Owner) answerUnknownJob(id string) reply {
 	if age := o.commitAge(); age > election.StaleAfter {
-		event.OwnerUnsure.Log(o.opts.Log, slog.String("job", id), slog.Int64("commit_age_ms", age.Milliseconds()))
+		event.UnknownJobRefused.Log(o.opts.Log, slog.String("job", id), slog.Int64("commit_age_ms", age.Milliseconds()))
 		return reply{Result: ResultRefused, RetryAfterMS: minRetryAfter.Milliseconds()}
 	}
 	return reply{Result: ResultNotFound}
--- a/control/resign.go
+++ b/control/resign.go
@@ -34,7 +34,7 @@
 		return
 	}
 	o.resigning = true
-	event.ResignBegun.Log(o.opts.Log, slog.Uint64("epoch", o.epoch), slog.Bool("commit_under_way", o.committing))
+	event.ResignStarted.Log(o.opts.Log, slog.Uint64("epoch", o.epoch), slog.Bool("commit_under_way", o.committing))
 	if o.committing {
 		o.afterCommit = func() { o.commitRemaining(ctx) }
 		return
--- a/control/summary.go
+++ b/control/summary.go
@@ -28,7 +28,7 @@
 	o.scaleRelays(now, sum.Workers)
 	o.loop = loopStats{}
 	for _, j := range o.state.TakeJobOutcomes() {
-		event.JobOver.Log(o.opts.Log, slog.String("job", j.Job), slog.String("queue", j.Queue),
+		event.JobEnded.Log(o.opts.Log, slog.String("job", j.Job), slog.String("queue", j.Queue),
 			slog.String("state", j.State.String()), slog.String("reached", j.Timeliness.String()),
 			slog.Int64("age_ms", j.Age.Milliseconds()), slog.Int64("objective_ms", j.Objective.Milliseconds()),
 			slog.Int64("core_ms", j.CoreMS), slog.Int("tasks", j.Tasks), slog.Any("spent", j.TimeBreakdown))
--- a/event/ownership.go
+++ b/event/ownership.go
@@ -7,7 +7,7 @@
 	SessionOpened   = define(200, slog.LevelInfo, "session opened")
 	SessionReplaced = define(201, slog.LevelError, "session taken by a later process of this host")
 	ShardOwned      = define(210, slog.LevelInfo, "shard owned")
-	ShardSeized     = define(211, slog.LevelWarn, "shard taken over from a lapsed owner")
+	ShardTakenOver  = define(211, slog.LevelWarn, "shard taken over from a lapsed owner")
 	ShardConfirmed  = define(212, slog.LevelInfo, "previous owner confirmed that it stopped")
 	ShardLost       = define(213, slog.LevelWarn, "shard lost, draining")
 	ShardMoving     = define(214, slog.LevelInfo, "shard being handed over")
--- a/gate/configs.go
+++ b/gate/configs.go
@@ -101,7 +101,7 @@
 		go s.spread(context.WithoutCancel(ctx))
 		return versionOf(r.Head), nil
 	case configstore.Lost:
-		event.ConfigLost.Log(s.log, slog.Uint64("winner", r.Head.Version), slog.String("author", r.Head.Author))
+		event.ConfigConflict.Log(s.log, slog.Uint64("winner", r.Head.Version), slog.String("author", r.Head.Author))
 		title := fmt.Sprintf("version %d by %s was accepted first; it differs from this change in: %s",
 			r.Head.Version, r.Head.Author, strings.Join(r.Differs, " "))
 		return nil, configProblem("conflict", title, "base")
--- a/gate/run.go
+++ b/gate/run.go
@@ -52,7 +52,7 @@
 		operators: &http.Server{Handler: g.operatorsHandler(), ReadHeaderTimeout: operatorTimeout},
 	}
 	if g.guard == nil {
-		event.OperatorsOpen.Log(g.deps.Log, slog.String("address", l.Operators.Addr().String()))
+		event.OperatorPortOpen.Log(g.deps.Log, slog.String("address", l.Operators.Addr().String()))
 	}
 	callers := gateway.LimitCallers(l.Callers, func() int { return g.watcher.Calls().ConnectionsPerCaller })
 	g.goServe(wg, func() error { return s.callers.Serve(g.secure(callers)) })
--- a/gateway/digest.go
+++ b/gateway/digest.go
@@ -63,7 +63,7 @@
 	stood := g.stood.Beat(time.Now())
 	g.mu.Unlock()
 	if stood > 0 {
-		event.StoodStill.Log(g.opt.Log, slog.Int64("ms", stood.Milliseconds()))
+		event.ProcessPaused.Log(g.opt.Log, slog.Int64("ms", stood.Milliseconds()))
 	}
 }
 
@@ -96,9 +96,9 @@
 	res := g.opt.Peers.Call(ctx, host, MethodFree, d, &freeReply{})
 	switch g.digests.done(host, res.Kind == outcome.Answered) {
 	case digestsLost:
-		event.PeerDigestLost.Log(g.opt.Log, slog.String("host", host))
+		event.PeerDigestFailed.Log(g.opt.Log, slog.String("host", host))
 	case digestsBack:
-		event.PeerDigestTaken.Log(g.opt.Log, slog.String("host", host))
+		event.PeerDigestRestored.Log(g.opt.Log, slog.String("host", host))
 	}
 }
 
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -25,7 +25,7 @@
 	g.mu.Unlock()
 	err := g.waitUntil(ctx, func() bool { return g.active == 0 && g.pool.InUse("") == 0 })
 	if err != nil {
-		event.GatewayStopLate.Log(g.opt.Log)
+		event.GatewayStopTimeout.Log(g.opt.Log)
 		return err
 	}
 	g.background.Wait()
--- a/gateway/responsebody.go
+++ b/gateway/responsebody.go
@@ -25,7 +25,7 @@
 		return n, err
 	}
 	if b.some || n > 0 {
-		event.AnswerCutOff.Log(b.log, slog.String("cause", err.Error()))
+		event.ResponseAborted.Log(b.log, slog.String("cause", err.Error()))
 		return n, err
 	}
 	b.call.response = nil
--- a/gateway/unserved.go
+++ b/gateway/unserved.go
@@ -55,14 +55,14 @@
 func (u *unserved) tell(log *slog.Logger, service string) {
 	if !u.told {
 		u.told = true
-		event.ServiceUnserved.Log(log, slog.String("service", service))
+		event.ServiceUnavailable.Log(log, slog.String("service", service))
 	}
 }
 
 // servedAgain takes calls of the service. It needs the lock.
 func (g *Gateway) servedAgain(service string) {
 	if u := g.unservedSince[service]; u != nil && u.told {
-		event.ServiceServed.Log(g.opt.Log, slog.String("service", service))
+		event.ServiceAvailable.Log(g.opt.Log, slog.String("service", service))
 	}
 	delete(g.unservedSince, service)
 }
--- a/journal/run.go
+++ b/journal/run.go
@@ -188,7 +188,7 @@
 func (j *Journal) lost(a answer) {
 	j.inFlight.tainted = !j.blind
 	if a.settled && decodeNumber(a.own.Value) == j.number+1 {
-		event.JournalSettled.Log(j.config.Log, slog.Uint64("number", j.number+1))
+		event.JournalResolved.Log(j.config.Log, slog.Uint64("number", j.number+1))
 		j.applied(infra.CommitResult{Status: infra.CommitApplied, Version: a.own.Version})
 		return
 	}
@@ -219,7 +219,7 @@
 	}
 	j.inFlight.entries = kept
 	if len(kept) == before {
-		event.JournalOddReply.Log(j.config.Log)
+		event.JournalInvalidConflict.Log(j.config.Log)
 		finish(kept, infra.CommitResult{Status: infra.CommitNotApplied})
 		j.inFlight.entries = nil
 	}
--- a/logsink/budget.go
+++ b/logsink/budget.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// DefaultLines is the budget of lines a second. An owner of 66 workers on
+	// DefaultLinesPerSecond is the budget of lines a second. An owner of 66 workers on
 	// a quiet day writes some 350 a second; a line costs 4 to 8 µs.
-	DefaultLines = 800
+	DefaultLinesPerSecond = 800
 	// burstSeconds is how many seconds' worth of the budget may come at once,
 	// as after a pause or a take-over.
 	burstSeconds = 2
--- a/logsink/sink.go
+++ b/logsink/sink.go
@@ -21,14 +21,14 @@
 type Options struct {
 	// Level is the least severity that is logged.
 	Level slog.Leveler
-	// Lines is the budget of lines a second, DefaultLines if 0.
-	Lines int
+	// Lines is the budget of lines a second, DefaultLinesPerSecond if 0.
+	LinesPerSecond int
 	// Routine tells of an event's number whether its lines are routine. All
 	// other lines may use the reserve.
-	Routine func(event int64) bool
+	IsRoutine func(event int64) bool
 	// Dropped logs that lines were dropped since the last time, to a logger
 	// that bypasses the queue.
-	Dropped func(log *slog.Logger, overBudget, queueFull int64)
+	OnDropped func(log *slog.Logger, overBudget, queueFull int64)
 	// Ticks are the looks at what was folded or dropped; one a second if nil.
 	Ticks <-chan time.Time
 }
@@ -50,12 +50,12 @@
 
 // New returns a sink that writes to out until it is closed.
 func New(out io.Writer, o Options) *Sink {
-	if o.Lines <= 0 {
-		o.Lines = DefaultLines
+	if o.LinesPerSecond <= 0 {
+		o.LinesPerSecond = DefaultLinesPerSecond
 	}
 	s := &Sink{
 		opts: o, out: out, queue: make(chan []byte, queueLines), done: make(chan struct{}),
-		budget: newBudget(o.Lines), folder: newFolder(),
+		budget: newBudget(o.LinesPerSecond), folder: newFolder(),
 	}
 	go s.write()
 	return s
@@ -126,8 +126,8 @@
 func (s *Sink) routine(r *slog.Record) bool {
 	routine := false
 	r.Attrs(func(a slog.Attr) bool {
-		if a.Key == "event" && s.opts.Routine != nil {
-			routine = s.opts.Routine(a.Value.Int64())
+		if a.Key == "event" && s.opts.IsRoutine != nil {
+			routine = s.opts.IsRoutine(a.Value.Int64())
 		}
 		return false // the event's number is the first attribute
 	})
@@ -154,8 +154,8 @@
 		case now := <-ticks:
 			s.turn(now)
 			b, q := s.stats.OverBudget.Load(), s.stats.QueueFull.Load()
-			if (b > overBudget || q > queueFull) && s.opts.Dropped != nil {
-				s.opts.Dropped(slog.New(slog.NewJSONHandler(s.out, nil)), b-overBudget, q-queueFull)
+			if (b > overBudget || q > queueFull) && s.opts.OnDropped != nil {
+				s.opts.OnDropped(slog.New(slog.NewJSONHandler(s.out, nil)), b-overBudget, q-queueFull)
 			}
 			overBudget, queueFull = b, q
 		}
--- a/logsink/sink_test.go
+++ b/logsink/sink_test.go
@@ -55,7 +55,7 @@
 
 // options are those of a daemon, with so many lines a second.
 func options(lines int) logsink.Options {
-	return logsink.Options{Lines: lines, Routine: event.IsRoutine, Ticks: make(chan time.Time)}
+	return logsink.Options{LinesPerSecond: lines, IsRoutine: event.IsRoutine, Ticks: make(chan time.Time)}
 }
 
 // start is when the lines of tests with a clock of their own are logged.
@@ -79,7 +79,7 @@
 	log := slog.New(s.Handler())
 	const lines = 5000
 	for i := range lines {
-		event.OwnershipTaken.Log(log, slog.Int("i", i))
+		event.OwnershipAcquired.Log(log, slog.Int("i", i))
 	}
 	over, full := s.Stats().OverBudget.Load(), s.Stats().QueueFull.Load()
 	if over != 0 || full < lines-1100 {
@@ -88,7 +88,7 @@
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	s.Close(ended) // gives up at once
-	event.OwnershipTaken.Log(log, slog.Int("i", lines))
+	event.OwnershipAcquired.Log(log, slog.Int("i", lines))
 	close(out.release)
 	s.Close(context.Background())
 }
@@ -125,9 +125,9 @@
 	s := logsink.New(out, options(1000))
 	log := slog.New(s.Handler())
 	for range 50 {
-		event.OwnerUnread.Log(log, slog.String("err", "store refused"))
+		event.OwnerReadFailed.Log(log, slog.String("err", "store refused"))
 	}
-	event.OwnerUnread.Log(log, slog.String("err", "another"))
+	event.OwnerReadFailed.Log(log, slog.String("err", "another"))
 	s.Close(context.Background())
 	lines := out.lines(t)
 	if len(lines) != 3 {
@@ -161,7 +161,7 @@
 	said := make(chan int64, 1)
 	o := options(1)
 	o.Ticks = ticks
-	o.Dropped = func(_ *slog.Logger, overBudget, _ int64) { said <- overBudget }
+	o.OnDropped = func(_ *slog.Logger, overBudget, _ int64) { said <- overBudget }
 	s := logsink.New(&page{}, o)
 	for i := range 100 {
 		logAt(t, s.Handler(), start, event.OwnershipLost, i)
--- a/slo/keeper.go
+++ b/slo/keeper.go
@@ -133,7 +133,7 @@
 	if r := k.committer.Commit(ctx, nil, writes); r.Status == infra.CommitApplied {
 		return
 	}
-	event.BurnNotKept.Log(k.log, slog.Int("sheets", len(sheets)))
+	event.BurnFlushFailed.Log(k.log, slog.Int("sheets", len(sheets)))
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range sheets {
--- a/tenure/driver.go
+++ b/tenure/driver.go
@@ -170,8 +170,8 @@
 		return
 	}
 	if ok {
-		event.StoreBack.Log(d.cfg.Log)
+		event.StoreRecovered.Log(d.cfg.Log)
 		return
 	}
-	event.StoreLost.Log(d.cfg.Log)
+	event.StoreUnresponsive.Log(d.cfg.Log)
 }
--- a/tenure/report.go
+++ b/tenure/report.go
@@ -12,7 +12,7 @@
 	ownership.SessionOpened:   event.SessionOpened,
 	ownership.SessionReplaced: event.SessionReplaced,
 	ownership.ShardOwned:      event.ShardOwned,
-	ownership.ShardSeized:     event.ShardSeized,
+	ownership.ShardSeized:     event.ShardTakenOver,
 	ownership.ShardConfirmed:  event.ShardConfirmed,
 	ownership.ShardLost:       event.ShardLost,
 	ownership.ShardMoving:     event.ShardMoving,
--- a/trace/bounds.go
+++ b/trace/bounds.go
@@ -13,22 +13,22 @@
 )
 
 // Bound is what kept an owner from doing more in a second.
-type Bound string
+type Bottleneck string
 
 // The bounds, in the order in which they are looked for: what is behind one of
 // them can't tell of those after it.
 const (
-	// BoundStore: the last commit is old.
-	BoundStore Bound = "store"
-	// BoundProcessor: the owner's loop got its turn late.
-	BoundProcessor Bound = "processor"
-	// BoundOrders: orders are slow on their way though the loop is in time: by the
+	// BottleneckStore: the last commit is old.
+	BottleneckStore Bottleneck = "store"
+	// BottleneckProcessor: the owner's loop got its turn late.
+	BottleneckProcessor Bottleneck = "processor"
+	// BottleneckOrders: orders are slow on their way though the loop is in time: by the
 	// link, or by a worker or relay behind it.
-	BoundOrders Bound = "orders"
-	// BoundRoom: tasks wait for room that may take them.
-	BoundRoom Bound = "room"
-	// BoundNone: nothing waits.
-	BoundNone Bound = "none"
+	BottleneckOrders Bottleneck = "orders"
+	// BottleneckCapacity: tasks wait for room that may take them.
+	BottleneckCapacity Bottleneck = "room"
+	// BottleneckNone: nothing waits.
+	BottleneckNone Bottleneck = "none"
 )
 
 // From which figures on something counts as a bound.
@@ -40,14 +40,14 @@
 
 // Span is a time in which one thing bound an owner.
 type Span struct {
-	From, To time.Time
-	Host     string
-	Bound    Bound
+	From, To   time.Time
+	Host       string
+	Bottleneck Bottleneck
 }
 
 // Bounds returns what bound the owners, second by second, with equal seconds that
 // follow one another as one span.
-func Bounds(records []Record) []Span {
+func Bottlenecks(records []Record) []Span {
 	var spans []Span
 	last := map[string]int{} // the newest span of a host
 	sorted := slices.Clone(records)
@@ -58,12 +58,12 @@
 			continue
 		}
 		bound, host := boundOf(r), hostOf(r)
-		if k, ok := last[host]; ok && spans[k].Bound == bound {
+		if k, ok := last[host]; ok && spans[k].Bottleneck == bound {
 			spans[k].To = r.Time
 			continue
 		}
 		last[host] = len(spans)
-		spans = append(spans, Span{From: r.Time.Add(-time.Second), To: r.Time, Host: host, Bound: bound})
+		spans = append(spans, Span{From: r.Time.Add(-time.Second), To: r.Time, Host: host, Bottleneck: bound})
 	}
 	return spans
 }
@@ -79,21 +79,21 @@
 }
 
 // boundOf returns what bound an owner in the second before a line on its state.
-func boundOf(r *Record) Bound {
+func boundOf(r *Record) Bottleneck {
 	loop, traffic := group(r.Fields["loop"]), group(r.Fields["traffic"])
 	waits := group(group(r.Fields["state"])["waits"])
 	age, _ := r.Fields["commit_age_ms"].(float64)
 	switch {
 	case millis(age) >= oldCommit:
-		return BoundStore
+		return BottleneckStore
 	case loop.millis("late_ms") >= lateLoop:
-		return BoundProcessor
+		return BottleneckProcessor
 	case traffic.millis("smoothed_ms") >= slowWay, 2*loop.number("held_back") > loop.number("cycles"):
-		return BoundOrders
+		return BottleneckOrders
 	case waits.sum() > waits.number("fits"):
-		return BoundRoom
+		return BottleneckCapacity
 	default:
-		return BoundNone
+		return BottleneckNone
 	}
 }
 
@@ -133,14 +133,14 @@
 // millis returns a number of milliseconds as a time.
 func millis(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-// WriteBounds prints for how long each bound held, and the spans of those that
+// WriteBottlenecks prints for how long each bound held, and the spans of those that
 // aren't none.
-func WriteBounds(w io.Writer, spans []Span) error {
-	total := map[Bound]time.Duration{}
+func WriteBottlenecks(w io.Writer, spans []Span) error {
+	total := map[Bottleneck]time.Duration{}
 	for _, s := range spans {
-		total[s.Bound] += s.To.Sub(s.From)
+		total[s.Bottleneck] += s.To.Sub(s.From)
 	}
-	for _, b := range slices.SortedFunc(maps.Keys(total), func(a, b Bound) int {
+	for _, b := range slices.SortedFunc(maps.Keys(total), func(a, b Bottleneck) int {
 		return cmp.Or(cmp.Compare(total[b], total[a]), cmp.Compare(a, b))
 	}) {
 		if _, err := fmt.Fprintf(w, "bound by %s for %.0f s\n", b, total[b].Seconds()); err != nil {
@@ -148,10 +148,10 @@
 		}
 	}
 	for _, s := range spans {
-		if s.Bound == BoundNone {
+		if s.Bottleneck == BottleneckNone {
 			continue
 		}
-		_, err := fmt.Fprintf(w, "    %s to %s %s: %s\n", s.From.Format(clockLayout), s.To.Format(clockLayout), s.Host, s.Bound)
+		_, err := fmt.Fprintf(w, "    %s to %s %s: %s\n", s.From.Format(clockLayout), s.To.Format(clockLayout), s.Host, s.Bottleneck)
 		if err != nil {
 			return errors.Wrap(err, "write bounds")
 		}
--- a/trace/bounds_test.go
+++ b/trace/bounds_test.go
@@ -33,7 +33,7 @@
 		t.Fatalf("%d lines not read, error %v", unread, err)
 	}
 	var b strings.Builder
-	if err := trace.WriteBounds(&b, trace.Bounds(records)); err != nil {
+	if err := trace.WriteBottlenecks(&b, trace.Bottlenecks(records)); err != nil {
 		t.Fatal(err)
 	}
 	want := `bound by none for 2 s
--- a/trace/day.go
+++ b/trace/day.go
@@ -25,18 +25,18 @@
 var sizeNames = [...]string{"largest tenth", "fifth below", "others"}
 
 // Row adds up the jobs of one queue and size.
-type Row struct {
+type JobSummary struct {
 	Queue, Size string
 	// OnTime, Late and Lost count jobs by what they reached.
 	OnTime, Late, Lost int
 	// Work is that of all jobs, Missed that of the jobs that weren't on time,
 	// in core-seconds by the callers' estimates.
-	Work, Missed float64
+	Work, MissedWork float64
 	// Spent divides the life of the jobs that weren't on time, in seconds, by
 	// what kept them from ending.
-	Spent map[string]float64
+	TimeSpent map[string]float64
 	// Starts and Stopped count the runs of the jobs that weren't on time.
-	Starts, Stopped int
+	Starts, StoppedRuns int
 }
 
 // jobLine is one job as its line tells it.
@@ -49,7 +49,7 @@
 
 // Day adds up the lines on ended and lost jobs by queue and size. A job that
 // was told twice, as after a change of owner, counts once, by its first line.
-func Day(records []Record) []Row {
+func SummarizeJobs(records []Record) []JobSummary {
 	byQueue := map[string][]jobLine{}
 	seen := map[string]bool{}
 	sorted := slices.Clone(records)
@@ -62,27 +62,27 @@
 		seen[j.id] = true
 		byQueue[j.queue] = append(byQueue[j.queue], j)
 	}
-	var rows []Row
+	var rows []JobSummary
 	for queue, jobs := range byQueue {
 		rows = append(rows, bySize(queue, jobs)...)
 	}
-	slices.SortFunc(rows, func(a, b Row) int {
+	slices.SortFunc(rows, func(a, b JobSummary) int {
 		return cmp.Or(strings.Compare(a.Queue, b.Queue), strings.Compare(a.Size, b.Size))
 	})
 	return rows
 }
 
 // bySize adds up a queue's jobs.
-func bySize(queue string, jobs []jobLine) []Row {
+func bySize(queue string, jobs []jobLine) []JobSummary {
 	slices.SortStableFunc(jobs, func(a, b jobLine) int { return cmp.Compare(b.work, a.work) })
-	var rows []Row
+	var rows []JobSummary
 	from := 0
 	for i, share := range []float64{largestShare, largeShare, 1} {
 		to := max(int(share*float64(len(jobs))), from)
 		if to == from {
 			continue
 		}
-		row := Row{Queue: queue, Size: sizeNames[i], Spent: map[string]float64{}}
+		row := JobSummary{Queue: queue, Size: sizeNames[i], TimeSpent: map[string]float64{}}
 		for k := from; k < to; k++ {
 			row.add(&jobs[k])
 		}
@@ -93,7 +93,7 @@
 }
 
 // add counts a job.
-func (r *Row) add(j *jobLine) {
+func (r *JobSummary) add(j *jobLine) {
 	r.Work += j.work
 	switch j.reached {
 	case "on time":
@@ -104,11 +104,11 @@
 	default:
 		r.Lost++
 	}
-	r.Missed += j.work
+	r.MissedWork += j.work
 	r.Starts += j.starts
-	r.Stopped += j.stopped
+	r.StoppedRuns += j.stopped
 	for what, seconds := range j.spent {
-		r.Spent[what] += seconds
+		r.TimeSpent[what] += seconds
 	}
 }
 
@@ -141,20 +141,20 @@
 	return j, j.id != ""
 }
 
-// WriteDay prints the rows: what each queue's jobs of a size reached, and for
+// WriteJobSummaries prints the rows: what each queue's jobs of a size reached, and for
 // those not on time the share of their life by what kept them from ending.
-func WriteDay(w io.Writer, rows []Row) error {
+func WriteJobSummaries(w io.Writer, rows []JobSummary) error {
 	for i := range rows {
 		r := &rows[i]
 		_, err := fmt.Fprintf(w, "%s, %s: %d on time, %d late, %d lost; %.0f of %.0f core-seconds missed\n",
-			r.Queue, r.Size, r.OnTime, r.Late, r.Lost, r.Missed, r.Work)
+			r.Queue, r.Size, r.OnTime, r.Late, r.Lost, r.MissedWork, r.Work)
 		if err != nil {
 			return errors.Wrap(err, "write day")
 		}
 		if r.Late+r.Lost == 0 {
 			continue
 		}
-		if _, err := fmt.Fprintf(w, "    %s; %d of %d runs stopped\n", r.shares(), r.Stopped, r.Starts); err != nil {
+		if _, err := fmt.Fprintf(w, "    %s; %d of %d runs stopped\n", r.shares(), r.StoppedRuns, r.Starts); err != nil {
 			return errors.Wrap(err, "write day")
 		}
 	}
@@ -162,19 +162,19 @@
 }
 
 // shares prints where the time of the row's missed jobs went, most first.
-func (r *Row) shares() string {
+func (r *JobSummary) shares() string {
 	total := 0.0
 	var names []string
-	for name, seconds := range r.Spent {
+	for name, seconds := range r.TimeSpent {
 		total += seconds
 		names = append(names, name)
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		return cmp.Or(cmp.Compare(r.Spent[b], r.Spent[a]), strings.Compare(a, b))
+		return cmp.Or(cmp.Compare(r.TimeSpent[b], r.TimeSpent[a]), strings.Compare(a, b))
 	})
 	var parts []string
 	for _, name := range names {
-		parts = append(parts, fmt.Sprintf("%s %.0f%%", name, 100*r.Spent[name]/total))
+		parts = append(parts, fmt.Sprintf("%s %.0f%%", name, 100*r.TimeSpent[name]/total))
 	}
 	return fmt.Sprintf("%.0f s: %s", total, strings.Join(parts, ", "))
 }
--- a/trace/day_test.go
+++ b/trace/day_test.go
@@ -30,7 +30,7 @@
 		t.Fatalf("%d lines not read, error %v", unread, err)
 	}
 	var b strings.Builder
-	if err := trace.WriteDay(&b, trace.Day(records)); err != nil {
+	if err := trace.WriteJobSummaries(&b, trace.SummarizeJobs(records)); err != nil {
 		t.Fatal(err)
 	}
 	want := `drafts, fifth below: 1 on time, 1 late, 0 lost; 50 of 51 core-seconds missed
--- a/trace/story.go
+++ b/trace/story.go
@@ -26,12 +26,12 @@
 type Line struct {
 	Record
 	// Belief is set for what a host believed meanwhile.
-	Belief bool
+	DomainEvent bool
 }
 
 // Story returns what is known of a job, in order of time, together with changes
 // of belief meanwhile and the state of the domain at the time of each line.
-func Story(records []Record, id string) []Line {
+func Timeline(records []Record, id string) []Line {
 	var story []Line
 	for _, r := range records {
 		if r.about(id) {
@@ -49,7 +49,7 @@
 			continue
 		}
 		if r.Event != domainState || waited(&r) {
-			story = append(story, Line{Record: r, Belief: true})
+			story = append(story, Line{Record: r, DomainEvent: true})
 		}
 	}
 	slices.SortStableFunc(story, byTime)
@@ -67,10 +67,10 @@
 }
 
 // Write prints a story, each line with the time since the first.
-func Write(w io.Writer, story []Line) error {
+func WriteTimeline(w io.Writer, story []Line) error {
 	for _, l := range story {
 		mark := " "
-		if l.Belief {
+		if l.DomainEvent {
 			mark = "~"
 		}
 		_, err := fmt.Fprintf(w, "%s %+8.3fs %-24s %d %s%s\n", mark, l.Time.Sub(story[0].Time).Seconds(), l.Source,
--- a/trace/story_test.go
+++ b/trace/story_test.go
@@ -27,7 +27,7 @@
 		t.Fatalf("%d records, %d unread, %v; want 7 and 2", len(records), unread, err)
 	}
 	var out strings.Builder
-	if err := trace.Write(&out, trace.Story(records, "5c0e")); err != nil {
+	if err := trace.WriteTimeline(&out, trace.Timeline(records, "5c0e")); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{
@@ -45,7 +45,7 @@
 			t.Errorf("line %d: %q, want it to end in %q", i, got[i], want[i])
 		}
 	}
-	if story := trace.Story(records, "ffff"); story != nil {
+	if story := trace.Timeline(records, "ffff"); story != nil {
 		t.Errorf("a job without lines has the story %v", story)
 	}
 }
