--- a/access/tls.go
+++ b/access/tls.go
@@ -48,7 +48,7 @@
 
 // Server returns the TLS settings of a port that shows this host's
 // certificate. With mutual, clients must show one that an authority signed.
-func (id *Identity) Server(mutual bool) *tls.Config {
+func (id *Identity) ServerConfig(mutual bool) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -73,7 +73,7 @@
 
 // Client returns the TLS settings for connections to peers, with the files as
 // they are now.
-func (id *Identity) Client() (*tls.Config, error) {
+func (id *Identity) ClientConfig() (*tls.Config, error) {
 	certificate, err := id.certificate.get()
 	if err != nil {
 		return nil, err
--- a/batch/move_test.go
+++ b/batch/move_test.go
@@ -43,7 +43,7 @@
 
 // dropMovedCalls loses the notifications to b of jobs handed over to it.
 func (r *rig) dropMovedCalls() {
-	r.net.Remove("b", methodMoved)
+	r.net.RemoveMethod("b", methodMoved)
 }
 
 func TestWaitingJobsMoveToAFreeShard(t *testing.T) {
@@ -101,14 +101,14 @@
 				case 2:
 					r.table.Set(func(f *memtable.Faults) { f.HoldCommits = 1 })
 				case 3:
-					r.table.Deliver()
+					r.table.DeliverHeld()
 				case 4:
 					r.dropMovedCalls()
 				}
 				r.advanceTime(time.Duration(rnd.IntN(2000)) * time.Millisecond)
 			}
 			r.table.Set(func(f *memtable.Faults) { *f = memtable.Faults{} })
-			r.table.Deliver()
+			r.table.DeliverHeld()
 			r.advanceTime(4 * time.Minute)
 			for i := range jobs {
 				r.expectState(b, fmt.Sprint("j", i), task.Done)
--- a/batch/rig_test.go
+++ b/batch/rig_test.go
@@ -27,11 +27,11 @@
 // partition separates one host from all others if parted is set. All other
 // connections are restored.
 func (r *rig) partition(host string, parted bool) {
-	r.net.SetFate(func(from, to string, _ peer.Method) peernet.Fate {
+	r.net.SetFault(func(from, to string, _ peer.Method) peernet.Fault {
 		if parted && (from == host || to == host) {
 			return peernet.Unreachable
 		}
-		return peernet.Arrives
+		return peernet.NoFault
 	})
 }
 
--- a/burn/history.go
+++ b/burn/history.go
@@ -16,7 +16,7 @@
 }
 
 // history sums the sheets by step; the last step is the one that now is in.
-func history(o Objective, sheets []Sheet, now time.Time) []Point {
+func history(o Objective, sheets []HourCounts, now time.Time) []Point {
 	step := HistoryStep.Milliseconds()
 	count := int(HistoryLength / HistoryStep)
 	first := (now.UnixMilli()/step - int64(count) + 1) * step
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -6,7 +6,7 @@
 // concurrent use.
 type Recorder struct {
 	host   string
-	sheets map[sheetKey]*Sheet
+	sheets map[sheetKey]*HourCounts
 }
 
 type sheetKey struct {
@@ -16,7 +16,7 @@
 
 // NewRecorder returns an empty recorder for a host.
 func NewRecorder(host string) *Recorder {
-	return &Recorder{host: host, sheets: map[sheetKey]*Sheet{}}
+	return &Recorder{host: host, sheets: map[sheetKey]*HourCounts{}}
 }
 
 // Add counts calls of an objective at now.
@@ -35,9 +35,9 @@
 
 // Flush returns the sheets to be written at now and forgets the hours that
 // are over. With closing, the newest are marked closed too.
-func (r *Recorder) Flush(now time.Time, closing bool) []Sheet {
+func (r *Recorder) Flush(now time.Time, closing bool) []HourCounts {
 	hour := HourOf(now.UnixMilli())
-	var out []Sheet
+	var out []HourCounts
 	for key, s := range r.sheets {
 		if key.hour < hour {
 			s.Closed = true
@@ -52,27 +52,27 @@
 
 // Restore puts back a sheet whose write failed, so that the next flush
 // carries it again.
-func (r *Recorder) Restore(s Sheet) {
+func (r *Recorder) Restore(s HourCounts) {
 	key := sheetKey{s.Objective, s.Hour}
 	if _, newer := r.sheets[key]; !newer {
 		r.sheets[key] = &s
 	}
 }
 
-func (r *Recorder) sheet(now time.Time, objective string) *Sheet {
+func (r *Recorder) sheet(now time.Time, objective string) *HourCounts {
 	ms := now.UnixMilli()
 	key := sheetKey{objective, HourOf(ms)}
 	s := r.sheets[key]
 	if s == nil {
-		s = &Sheet{Objective: objective, Host: r.host, Hour: key.hour, FirstUnixMS: ms, LastUnixMS: ms}
+		s = &HourCounts{Objective: objective, Host: r.host, Hour: key.hour, FirstUnixMS: ms, LastUnixMS: ms}
 		r.sheets[key] = s
 	}
 	return s
 }
 
 // Snapshot returns the sheets as they are.
-func (r *Recorder) Snapshot() []Sheet {
-	out := make([]Sheet, 0, len(r.sheets))
+func (r *Recorder) Snapshot() []HourCounts {
+	out := make([]HourCounts, 0, len(r.sheets))
 	for _, s := range r.sheets {
 		out = append(out, *s)
 	}
--- a/burn/report.go
+++ b/burn/report.go
@@ -27,7 +27,7 @@
 
 // Evaluate reports one objective at now from the sheets of all hosts. A sheet
 // not written for longer than stale and not closed counts as unseen.
-func Evaluate(o Objective, sheets []Sheet, now time.Time, stale time.Duration) Report {
+func Evaluate(o Objective, sheets []HourCounts, now time.Time, stale time.Duration) Report {
 	r := Report{Objective: o}
 	for _, length := range Windows {
 		r.Windows = append(r.Windows, window(o, sheets, now, length))
@@ -47,7 +47,7 @@
 
 // window sums the whole minutes that lie in the window, the current one
 // included.
-func window(o Objective, sheets []Sheet, now time.Time, length time.Duration) Window {
+func window(o Objective, sheets []HourCounts, now time.Time, length time.Duration) Window {
 	w := Window{Length: length}
 	end := now.UnixMilli()
 	start := end - length.Milliseconds()
--- a/burn/sheet.go
+++ b/burn/sheet.go
@@ -2,7 +2,7 @@
 
 // Sheet is one entry host's counts for one objective in one hour. It is what
 // a host keeps in the platform's table, so that a report outlives the host.
-type Sheet struct {
+type HourCounts struct {
 	Objective string `msgpack:"o"`
 	Host      string `msgpack:"h"`
 	// Hour is the number of the hour since the Unix epoch.
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -162,7 +162,7 @@
 	if previous.Address != "" && previous.Address != n.opts.Address && !slices.Contains(addresses, previous.Address) {
 		addresses = append(addresses, previous.Address)
 	}
-	client := peer.NewClient(peer.Options{Host: n.opts.Host, UserTimeout: peerUserTimeout, Handshake: pingTimeout, AnyName: true}, newRand())
+	client := peer.NewClient(peer.Options{Host: n.opts.Host, UserTimeout: peerUserTimeout, HandshakeTimeout: pingTimeout, AcceptAnyHost: true}, newRand())
 	defer client.Close()
 	names := map[string]string{}
 	for _, address := range addresses {
--- a/control/node.go
+++ b/control/node.go
@@ -53,8 +53,8 @@
 // NewNode returns a Node. The caller serves its peer server and calls Run.
 func NewNode(opts Options) *Node {
 	po := peer.Options{
-		Host: opts.Host, Log: opts.Log, UserTimeout: peerUserTimeout, Handshake: pingTimeout,
-		MaxBackoff: peerMaxBackoff, AnyName: true,
+		Host: opts.Host, Log: opts.Log, UserTimeout: peerUserTimeout, HandshakeTimeout: pingTimeout,
+		MaxBackoff: peerMaxBackoff, AcceptAnyHost: true,
 	}
 	n := &Node{
 		opts: opts, client: peer.NewClient(po, newRand()),
--- a/control/relays.go
+++ b/control/relays.go
@@ -60,7 +60,7 @@
 	r := &relays{
 		direct: opts.Workers, log: opts.Log, known: map[string]*relayState{},
 		client: peer.NewClient(peer.Options{
-			Host: opts.Host, UserTimeout: relayUserTimeout, Handshake: relayHandshakeTimeout, MaxBackoff: peerMaxBackoff, AnyName: true,
+			Host: opts.Host, UserTimeout: relayUserTimeout, HandshakeTimeout: relayHandshakeTimeout, MaxBackoff: peerMaxBackoff, AcceptAnyHost: true,
 		}, newRand()),
 	}
 	r.table.Store(relay.NewTable(nil, 0))
--- a/demo/callers.go
+++ b/demo/callers.go
@@ -42,8 +42,8 @@
 		MaxInFlight: maxInFlight,
 		Seed:        o.Seed,
 		Prepare: func(r *http.Request, x load.Exchange) {
-			recorder.Add(witness.Sent(r, x, names[x.Target]))
+			recorder.Add(witness.SentRecord(r, x, names[x.Target]))
 		},
-		Observe: func(x load.Exchange) { recorder.Add(witness.Answered(x)) },
+		Observe: func(x load.Exchange) { recorder.Add(witness.AnsweredRecord(x)) },
 	})
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -53,7 +53,7 @@
 	gateway    *gateway.Gateway
 	book       *booking.Registry
 	batch      *batch.Manager
-	slo        *slo.Keeper
+	slo        *slo.Tracker
 	store      *configstore.Store
 	watcher    *configstore.Watcher
 	spreader   *spreader
@@ -89,7 +89,7 @@
 		Table: deps.Table, Incarnation: g.incarnation, Settings: local.Batch,
 		Timeout: local.Platform.Timeout.D(), Log: deps.Log, Now: deps.Now, Registerer: g.registry,
 	})
-	g.slo = slo.NewKeeper(local.Host.Name+"#"+g.incarnation, deps.Table, g.journal, g.registry, deps.Log, time.Now)
+	g.slo = slo.NewTracker(local.Host.Name+"#"+g.incarnation, deps.Table, g.journal, g.registry, deps.Log, time.Now)
 	g.buildKeeper()
 	g.buildGateway()
 	g.buildBatch()
@@ -117,8 +117,8 @@
 	o := peer.Options{Host: g.local.Host.Name, UserTimeout: peerUserTimeout, Log: g.deps.Log}
 	client, server := o, o
 	if g.identity != nil {
-		client.TLS = g.identity.Client
-		server.TLS = func() (*tls.Config, error) { return g.identity.Server(true), nil }
+		client.TLS = g.identity.ClientConfig
+		server.TLS = func() (*tls.Config, error) { return g.identity.ServerConfig(true), nil }
 	}
 	g.peers = peer.NewClient(client, g.rng())
 	g.peerServer = peer.NewServer(server, g.admitPeer)
@@ -154,7 +154,7 @@
 	g.book.Register(g.peerServer)
 	g.gateway = gateway.New(gateway.Options{
 		Host: g.local.Host.Name, Zone: g.local.Host.Zone, Calls: g.local.Calls, MaxRun: g.local.Lease.MaxRun.D(),
-		Service: g.watcher.Service, Shares: g.keeper, StoreOK: g.keeper.StoreOK, Peers: g.peers, DigestFanOut: digestFanOut, Book: g.book,
+		Service: g.watcher.Service, Ownership: g.keeper, TableAvailable: g.keeper.StoreOK, Peers: g.peers, DigestFanOut: digestFanOut, Bookings: g.book,
 		Observe: g.observe, Registerer: g.registry, Log: g.deps.Log, Seed: rand.Uint64(),
 	})
 	g.gateway.Register(g.peerServer)
--- a/gate/peers_test.go
+++ b/gate/peers_test.go
@@ -24,12 +24,12 @@
 func newCrowd(n int) *crowd {
 	c := &crowd{dead: map[string]bool{}, hosts: map[string]*spreader{}}
 	network := peernet.New()
-	network.SetFate(func(from, to string, _ peer.Method) peernet.Fate {
+	network.SetFault(func(from, to string, _ peer.Method) peernet.Fault {
 		c.calls.Add(1)
 		if c.dead[from] || c.dead[to] {
 			return peernet.Unreachable
 		}
-		return peernet.Arrives
+		return peernet.NoFault
 	})
 	var names []string
 	for i := range n {
--- a/gate/run.go
+++ b/gate/run.go
@@ -54,7 +54,7 @@
 	if g.guard == nil {
 		event.OperatorPortOpen.Log(g.deps.Log, slog.String("address", l.Operators.Addr().String()))
 	}
-	callers := gateway.LimitCallers(l.Callers, func() int { return g.watcher.Calls().ConnectionsPerCaller })
+	callers := gateway.LimitConnections(l.Callers, func() int { return g.watcher.Calls().ConnectionsPerCaller })
 	g.goServe(wg, func() error { return s.callers.Serve(g.secure(callers)) })
 	g.goServe(wg, func() error { return s.operators.Serve(g.secure(l.Operators)) })
 	g.goServe(wg, func() error { return g.peerServer.Serve(ctx, l.Peers) })
@@ -66,7 +66,7 @@
 	if g.identity == nil {
 		return l
 	}
-	return tls.NewListener(l, g.identity.Server(false))
+	return tls.NewListener(l, g.identity.ServerConfig(false))
 }
 
 func (g *Gate) goServe(wg *sync.WaitGroup, f func() error) {
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -69,7 +69,7 @@
 		return place{}, notRun(ReasonDeadline, soon)
 	}
 	g.mu.Lock()
-	view := g.opt.Shares.Snapshot()
+	view := g.opt.Ownership.Snapshot()
 	q := g.queue(req.Service)
 	if q.Len() == 0 || req.forwarded {
 		if s := g.pool.Acquire(now, req.Service, view, g.rng); s != nil {
@@ -159,7 +159,7 @@
 
 func (g *Gateway) serveQueue(now time.Time, service string) {
 	q := g.queue(service)
-	view := g.opt.Shares.Snapshot()
+	view := g.opt.Ownership.Snapshot()
 	for q.Len() > 0 {
 		s := g.pool.Acquire(now, service, view, g.rng)
 		if s == nil {
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -21,7 +21,7 @@
 		x.result <- result{refusal: unknownOutcome(ReasonCutOff)}
 		return
 	}
-	header := EndToEnd(resp.Header)
+	header := EndToEndHeaders(resp.Header)
 	if int64(len(head)) < wholeAnswer {
 		x.result <- result{wholeResponse(resp.StatusCode, header, head), whole()}
 		return
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -61,7 +61,7 @@
 	if req.Key == "" {
 		return g.try(ctx, req)
 	}
-	if g.opt.Book == nil {
+	if g.opt.Bookings == nil {
 		return nil, notRun(ReasonNoBookings, 0)
 	}
 	wait, cancel := context.WithDeadline(ctx, req.Deadline)
@@ -71,7 +71,7 @@
 		Key:     req.Key,
 		Digest:  booking.Digest(req.Method, req.Target, req.Body),
 	}
-	answer, refusal := g.opt.Book.Do(wait, id, func(run context.Context) (booking.Response, outcome.Refusal) {
+	answer, refusal := g.opt.Bookings.Do(wait, id, func(run context.Context) (booking.Response, outcome.Refusal) {
 		return g.runBooked(run, req)
 	})
 	if refusal.Kind != outcome.Answered {
--- a/gateway/capacity_bench_test.go
+++ b/gateway/capacity_bench_test.go
@@ -123,7 +123,7 @@
 // returns its address.
 func digestSink(ctx context.Context, b *testing.B, running *sync.WaitGroup, name string, bytes, messages *atomic.Int64) string {
 	server := peer.NewServer(peer.Options{Host: name}, func(string, netip.Addr) bool { return true })
-	server.Handle(MethodFree, func(_ context.Context, _ string, decode func(any) error) (any, error) {
+	server.Handle(MethodFreeSlots, func(_ context.Context, _ string, decode func(any) error) (any, error) {
 		var d freeDigest
 		messages.Add(1)
 		return freeReply{}, decode(&d)
--- a/gateway/digest.go
+++ b/gateway/digest.go
@@ -12,12 +12,12 @@
 	"github.com/fireflygate/fireflygate/peer"
 )
 
-// MethodFree tells a peer of this host's free slots.
-const MethodFree peer.Method = "free"
+// MethodFreeSlots tells a peer of this host's free slots.
+const MethodFreeSlots peer.Method = "free"
 
 const (
 	// digestInterval is how often changes of the free slots are sent.
-	digestInterval = standstill.Interval
+	digestInterval = standstill.TickInterval
 	// digestRefresh is how often all free slots are sent though unchanged.
 	digestRefresh = time.Second
 	// digestTimeout bounds the sending of one digest.
@@ -60,7 +60,7 @@
 // beat notes that this process runs.
 func (g *Gateway) beat() {
 	g.mu.Lock()
-	stood := g.stood.Beat(time.Now())
+	stood := g.stood.Tick(time.Now())
 	g.mu.Unlock()
 	if stood > 0 {
 		event.ProcessPaused.Log(g.opt.Log, slog.Int64("ms", stood.Milliseconds()))
@@ -75,7 +75,7 @@
 	}
 	now := time.Now()
 	g.mu.Lock()
-	free := g.pool.FreeByService(now, g.opt.Shares.Snapshot())
+	free := g.pool.FreeByService(now, g.opt.Ownership.Snapshot())
 	hosts := g.hosts
 	if g.stopping {
 		clear(free)
@@ -93,7 +93,7 @@
 func (g *Gateway) sendDigest(ctx context.Context, host string, d *freeDigest) {
 	ctx, cancel := context.WithTimeout(ctx, digestTimeout)
 	defer cancel()
-	res := g.opt.Peers.Call(ctx, host, MethodFree, d, &freeReply{})
+	res := g.opt.Peers.Call(ctx, host, MethodFreeSlots, d, &freeReply{})
 	switch g.digests.done(host, res.Kind == outcome.Answered) {
 	case digestsLost:
 		event.PeerDigestFailed.Log(g.opt.Log, slog.String("host", host))
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -74,7 +74,7 @@
 	x.sentAt = now
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
-	return x.g.pool.MayWrite(now, x.slot, x.g.opt.Shares.Snapshot())
+	return x.g.pool.MayWrite(now, x.slot, x.g.opt.Ownership.Snapshot())
 }
 
 // wait returns the result, or gives up at the deadline or with the caller.
--- a/gateway/exchangeend.go
+++ b/gateway/exchangeend.go
@@ -59,7 +59,7 @@
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
 	now := time.Now()
-	stood := x.g.stood.Within(x.start, now)
+	stood := x.g.stood.PausedWithin(x.start, now)
 	if r.Failed && stood > 0 {
 		return // it may have answered in time
 	}
--- a/gateway/fault_test.go
+++ b/gateway/fault_test.go
@@ -87,7 +87,7 @@
 		if err == nil {
 			conn.Close()
 		}
-	}, func(o *Options) { o.Book = direct{}; o.Calls.RetryBudget = 0 })
+	}, func(o *Options) { o.Bookings = direct{}; o.Calls.RetryBudget = 0 })
 	for _, req := range []Request{get("/"), post(""), post("")} {
 		hits.Store(0)
 		if req.Method == http.MethodPost {
@@ -157,7 +157,7 @@
 func TestGrantLostBeforeWrite(t *testing.T) {
 	var hits atomic.Int64
 	f := &flip{full: &ownership.Snapshot{Grants: map[string]ownership.Grant{"e1": {Share: ownership.Full, ShareAfter: ownership.Full}}}}
-	h := newHost(t, nil, "a", func(o *Options) { o.Shares = f; o.Calls.RetryBudget = 0 })
+	h := newHost(t, nil, "a", func(o *Options) { o.Ownership = f; o.Calls.RetryBudget = 0 })
 	h.SetEndpoints([]routing.Endpoint{endpoint(t, "e1", 1, func(http.ResponseWriter, *http.Request) { hits.Add(1) })})
 	f.left.Store(1)
 	if _, r := h.Call(t.Context(), post("x")); r.Kind != outcome.NotRun || r.Reason != ReasonGrantLapsed {
@@ -200,11 +200,11 @@
 	b.shares.set(ownership.Full, "e1")
 	b.SetPeers([]PeerHost{{Name: "a", Zone: "z1"}})
 	tellPeers(t, b)
-	n.SetFate(func(_, _ string, m peer.Method) peernet.Fate {
+	n.SetFault(func(_, _ string, m peer.Method) peernet.Fault {
 		if m == MethodCall {
-			return peernet.AnswerLost
+			return peernet.ReplyLost
 		}
-		return peernet.Arrives
+		return peernet.NoFault
 	})
 	if _, r := a.Call(t.Context(), post("x")); r.Kind != outcome.Unknown || hits.Load() != 1 {
 		t.Errorf("%+v, endpoint saw %d", r, hits.Load())
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -80,7 +80,7 @@
 	case outcome.Answered:
 		now, q := time.Now(), g.queue(service)
 		if reply.Kind != outcome.NotRun {
-			q.ObservePeer(now, now.Sub(begin)-g.stood.Within(begin, now))
+			q.ObservePeer(now, now.Sub(begin)-g.stood.PausedWithin(begin, now))
 		}
 		g.peers.SetFree(host, service, reply.Free)
 		// Else those that wait for it would stand until the next digest.
@@ -90,14 +90,14 @@
 		g.peers.Remove(host)
 		return notRun(ReasonPeerUnreachable, soon)
 	default:
-		return unknownOutcome(ReasonPeerLost)
+		return unknownOutcome(ReasonPeerNoAnswer)
 	}
 }
 
 // Register adds the methods that other entry hosts call.
 func (g *Gateway) Register(mux peer.Mux) {
 	mux.Handle(MethodCall, g.handleCall)
-	mux.Handle(MethodFree, g.handleFree)
+	mux.Handle(MethodFreeSlots, g.handleFree)
 }
 
 // handleCall runs a request that a peer forwarded.
@@ -120,7 +120,7 @@
 	reply := g.runForwarded(ctx, req)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	reply.Free = g.pool.FreeSlots(time.Now(), req.Service, g.opt.Shares.Snapshot())
+	reply.Free = g.pool.FreeSlots(time.Now(), req.Service, g.opt.Ownership.Snapshot())
 	g.digests.told(from, req.Service, reply.Free)
 	return reply, nil
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -33,7 +33,7 @@
 	// unservedSince holds the services that nobody can serve.
 	unservedSince map[string]*unserved
 	// stood knows when this process stood still.
-	stood standstill.Watch
+	stood standstill.Detector
 	// active counts requests of callers that have not ended.
 	active int
 	// changed is closed and replaced whenever a slot is freed or a request
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -27,9 +27,9 @@
 // for each other.
 const ownPrefix = "Fireflygate-"
 
-// EndToEnd returns a copy of the headers that are passed on: neither those of
+// EndToEndHeaders returns a copy of the headers that are passed on: neither those of
 // one connection, nor what proxies say of the origin, nor fireflygate's own.
-func EndToEnd(h http.Header) http.Header {
+func EndToEndHeaders(h http.Header) http.Header {
 	named := connectionNames(h)
 	out := make(http.Header, len(h))
 	for name, values := range h {
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -14,10 +14,10 @@
 	open map[string]int
 }
 
-// LimitCallers returns a listener that closes at once what exceeds limit
+// LimitConnections returns a listener that closes at once what exceeds limit
 // connections from one IP address. Zero is no limit. The limit is asked at
 // each new connection.
-func LimitCallers(l net.Listener, limit func() int) net.Listener {
+func LimitConnections(l net.Listener, limit func() int) net.Listener {
 	return &callerListener{Listener: l, limit: limit, open: map[string]int{}}
 }
 
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -14,7 +14,7 @@
 )
 
 // Book makes requests with an idempotency key run at most once.
-type Book interface {
+type BookingRegistry interface {
 	Do(ctx context.Context, r booking.Request, run booking.Run) (booking.Response, outcome.Refusal)
 }
 
@@ -28,17 +28,17 @@
 	// MaxRun is the longest that an endpoint works on a request.
 	MaxRun time.Duration
 	// Service returns the settings of a service; nil for defaults only.
-	Service func(name string) settings.Service
-	Shares  Shares
-	// StoreOK reports whether the table answered lately; nil for yes.
-	StoreOK func() bool
+	Service   func(name string) settings.Service
+	Ownership OwnershipSource
+	// TableAvailable reports whether the table answered lately; nil for yes.
+	TableAvailable func() bool
 	// Peers reaches other entry hosts; nil when there are none.
 	Peers peer.Transport
 	// DigestFanOut is how many peers, in turn, get each digest of free
 	// slots; 0 for all.
 	DigestFanOut int
 	// Book handles idempotency keys; nil refuses requests that carry one.
-	Book Book
+	Bookings BookingRegistry
 	// Observe is told of each finished request; nil for none.
 	Observe func(service string, took time.Duration, kind outcome.Kind)
 	// Registerer takes the metrics; nil for none.
--- a/gateway/refusals.go
+++ b/gateway/refusals.go
@@ -30,9 +30,9 @@
 	ReasonCutOff = "answer_cut_off"
 	// ReasonTooLarge: the answer exceeds calls.max_body.
 	ReasonTooLarge = "answer_too_large"
-	// ReasonPeerLost: the peer that the request was forwarded to did not
+	// ReasonPeerNoAnswer: the peer that the request was forwarded to did not
 	// answer.
-	ReasonPeerLost = "peer_no_answer"
+	ReasonPeerNoAnswer = "peer_no_answer"
 	// ReasonPeerUnreachable: the request could not be sent to the peer.
 	ReasonPeerUnreachable = "peer_unreachable"
 	// ReasonNoBookings: the request has an idempotency key, and this host
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -13,7 +13,7 @@
 	Method string
 	// Target is the path and query below the service, beginning with "/".
 	Target string
-	// Header is its end-to-end headers; see EndToEnd.
+	// Header is its end-to-end headers; see EndToEndHeaders.
 	Header http.Header
 	// Body is its whole body.
 	Body []byte
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -53,13 +53,13 @@
 	s := &shares{}
 	s.set(ownership.None)
 	opt := Options{
-		Host:   name,
-		Zone:   "z1",
-		Calls:  testCalls(),
-		MaxRun: 2 * time.Second,
-		Shares: s,
-		Log:    slog.New(slog.DiscardHandler),
-		Seed:   1,
+		Host:      name,
+		Zone:      "z1",
+		Calls:     testCalls(),
+		MaxRun:    2 * time.Second,
+		Ownership: s,
+		Log:       slog.New(slog.DiscardHandler),
+		Seed:      1,
 	}
 	if n != nil {
 		opt.Peers = n.Port(name)
@@ -106,7 +106,7 @@
 	s.Use(Middleware)
 	s.Mount(mux)
 	srv := httptest.NewUnstartedServer(nil)
-	srv.Listener = LimitCallers(srv.Listener, func() int { return g.opt.Calls.ConnectionsPerCaller })
+	srv.Listener = LimitConnections(srv.Listener, func() int { return g.opt.Calls.ConnectionsPerCaller })
 	srv.Config = NewServer(mux)
 	srv.Start()
 	t.Cleanup(srv.Close)
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -20,10 +20,10 @@
 
 // NewServer returns an HTTP server for callers, with bounds on slow senders
 // and with Strict around the handler. Serve it on a listener from
-// LimitCallers.
+// LimitConnections.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler:           Strict(handler),
+		Handler:           RejectAmbiguous(handler),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       callerIdleTimeout,
 		MaxHeaderBytes:    maxRequestHeader,
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -52,7 +52,7 @@
 		Service:  p.Service,
 		Method:   c.request.Method,
 		Target:   target(c.request, p.Service),
-		Header:   EndToEnd(c.request.Header),
+		Header:   EndToEndHeaders(c.request.Header),
 		Body:     body,
 		Deadline: c.arrived.Add(timeout),
 	}
--- a/gateway/strict.go
+++ b/gateway/strict.go
@@ -11,7 +11,7 @@
 // Strict refuses requests that another HTTP implementation might read
 // otherwise: both Content-Length and Transfer-Encoding, targets that are not a
 // path, and the methods CONNECT and TRACE.
-func Strict(next http.Handler) http.Handler {
+func RejectAmbiguous(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if len(r.TransferEncoding) > 0 {
 			// net/http drops a Content-Length beside it unseen. With the
--- a/gateway/unserved.go
+++ b/gateway/unserved.go
@@ -24,8 +24,8 @@
 // it holds one. Those that wait by then are refused; they would wait in vain until
 // their deadline. It needs the lock.
 func (g *Gateway) noteUnserved(now time.Time) {
-	away := g.opt.StoreOK != nil && !g.opt.StoreOK()
-	view := g.opt.Shares.Snapshot()
+	away := g.opt.TableAvailable != nil && !g.opt.TableAvailable()
+	view := g.opt.Ownership.Snapshot()
 	for service := range g.services {
 		nobody := away && !g.peers.Serving(now, service) && g.pool.FreeSlots(now, service, view) == routing.NoShare
 		if !nobody {
--- a/gateway/unserved_test.go
+++ b/gateway/unserved_test.go
@@ -27,8 +27,8 @@
 		o := &outage{peer: &peerSlots{work: 10 * time.Millisecond}}
 		o.away.Store(true)
 		o.host = besidePeer(t, o.peer)
-		o.opt.StoreOK = func() bool { return !o.away.Load() }
-		o.Gateway.opt.StoreOK = o.opt.StoreOK
+		o.opt.TableAvailable = func() bool { return !o.away.Load() }
+		o.Gateway.opt.TableAvailable = o.opt.TableAvailable
 		ctx, stop := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { _ = o.Run(ctx) })
--- a/integration/standstill.go
+++ b/integration/standstill.go
@@ -13,16 +13,16 @@
 // machineWatch tells when the whole machine stood still, by this process.
 type machineWatch struct {
 	mu    sync.Mutex
-	watch standstill.Watch
+	watch standstill.Detector
 }
 
 // run beats until stop is closed.
 func (m *machineWatch) run(stop <-chan struct{}) {
-	ticker := time.NewTicker(standstill.Interval)
+	ticker := time.NewTicker(standstill.TickInterval)
 	defer ticker.Stop()
 	for {
 		m.mu.Lock()
-		m.watch.Beat(time.Now())
+		m.watch.Tick(time.Now())
 		m.mu.Unlock()
 		select {
 		case <-stop:
@@ -40,14 +40,14 @@
 	if now := time.Now(); to.After(now) {
 		to = now
 	}
-	return m.watch.Within(from, to)
+	return m.watch.PausedWithin(from, to)
 }
 
 // longest returns the longest time on end that was lost since from.
 func (m *machineWatch) longest(from time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.watch.Longest(from, time.Now())
+	return m.watch.LongestWithin(from, time.Now())
 }
 
 // Disturbed reports whether the machine stood still since from for so long that
--- a/integration/traffic.go
+++ b/integration/traffic.go
@@ -90,13 +90,13 @@
 		Duration: time.Hour,
 		Bookings: o.Bookings, Repeat: o.Repeat, Timeout: o.Timeout, MaxInFlight: o.InFlight,
 		Prepare: func(r *http.Request, x load.Exchange) {
-			s.Recorder.Add(witness.Sent(r, x, names[x.Target]))
+			s.Recorder.Add(witness.SentRecord(r, x, names[x.Target]))
 		},
 	}
 }
 
 func (tr *Traffic) observe(x load.Exchange) {
-	tr.site.Recorder.Add(witness.Answered(x))
+	tr.site.Recorder.Add(witness.AnsweredRecord(x))
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.exchanges = append(tr.exchanges, x)
--- a/internal/memtable/table.go
+++ b/internal/memtable/table.go
@@ -71,7 +71,7 @@
 }
 
 // Deliver has the held commits arrive now.
-func (t *Table) Deliver() {
+func (t *Table) DeliverHeld() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, tx := range t.late {
--- a/internal/peernet/fate.go
+++ b/internal/peernet/fate.go
@@ -1,14 +1,14 @@
 package peernet
 
 // Fate is what becomes of a request.
-type Fate uint8
+type Fault uint8
 
 // The fates.
 const (
 	// Arrives: it is handled and answered.
-	Arrives Fate = iota
+	NoFault Fault = iota
 	// Unreachable: no byte of it is sent.
 	Unreachable
-	// AnswerLost: it is handled, and the answer never comes.
-	AnswerLost
+	// ReplyLost: it is handled, and the answer never comes.
+	ReplyLost
 )
--- a/internal/peernet/network.go
+++ b/internal/peernet/network.go
@@ -17,26 +17,26 @@
 type Network struct {
 	mu       sync.Mutex
 	handlers map[string]map[peer.Method]peer.Handler
-	fate     func(from, to string, m peer.Method) Fate
+	fate     func(from, to string, m peer.Method) Fault
 }
 
 // New returns a network on which everything arrives.
 func New() *Network {
 	return &Network{
 		handlers: map[string]map[peer.Method]peer.Handler{},
-		fate:     func(string, string, peer.Method) Fate { return Arrives },
+		fate:     func(string, string, peer.Method) Fault { return NoFault },
 	}
 }
 
-// SetFate has f decide what becomes of each request from now on.
-func (n *Network) SetFate(f func(from, to string, m peer.Method) Fate) {
+// SetFault has f decide what becomes of each request from now on.
+func (n *Network) SetFault(f func(from, to string, m peer.Method) Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fate = f
 }
 
 // Remove forgets a method of a host, as a host of an older version has it.
-func (n *Network) Remove(host string, m peer.Method) {
+func (n *Network) RemoveMethod(host string, m peer.Method) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.handlers[host], m)
@@ -55,7 +55,7 @@
 }
 
 // route returns the handler of a request and its fate.
-func (n *Network) route(from, to string, m peer.Method) (peer.Handler, Fate) {
+func (n *Network) route(from, to string, m peer.Method) (peer.Handler, Fault) {
 	n.mu.Lock()
 	h, fate := n.handlers[to][m], n.fate
 	n.mu.Unlock()
@@ -76,7 +76,7 @@
 		panic("peernet: a request can't be encoded: " + err.Error())
 	}
 	answer, err := h(ctx, from, func(v any) error { return msgpack.Unmarshal(in, v) })
-	if err != nil || fate == AnswerLost || ctx.Err() != nil {
+	if err != nil || fate == ReplyLost || ctx.Err() != nil {
 		return peer.Result{Kind: outcome.Unknown, Err: err}
 	}
 	out, err := msgpack.Marshal(answer)
--- a/internal/standstill/watch.go
+++ b/internal/standstill/watch.go
@@ -12,10 +12,10 @@
 
 const (
 	// Interval is the time between two beats.
-	Interval = 50 * time.Millisecond
+	TickInterval = 50 * time.Millisecond
 	// Least is the shortest gap between two beats that counts: five beats
 	// missed, which a loaded machine's scheduler doesn't cause by itself.
-	Least = 250 * time.Millisecond
+	MinPause = 250 * time.Millisecond
 	// kept is how many spells are remembered: more than fit into a request, with
 	// its longest run of seconds.
 	kept = 32
@@ -23,7 +23,7 @@
 
 // Watch remembers when the process stood still. The zero value has seen no
 // beat and knows of no spell.
-type Watch struct {
+type Detector struct {
 	last   time.Time
 	spells []spell
 }
@@ -33,7 +33,7 @@
 
 // Beat notes that the process runs now, and returns how long it had stood still
 // before, 0 if it hadn't. It is to be called every Interval.
-func (w *Watch) Beat(now time.Time) time.Duration {
+func (w *Detector) Tick(now time.Time) time.Duration {
 	gap, stood := w.gap(now)
 	w.last = now
 	if !stood {
@@ -48,7 +48,7 @@
 
 // Within returns how much of the time between from and now the process stood
 // still, also in a spell that no beat has ended yet.
-func (w *Watch) Within(from, now time.Time) time.Duration {
+func (w *Detector) PausedWithin(from, now time.Time) time.Duration {
 	sum := time.Duration(0)
 	for _, s := range w.all(now) {
 		sum += s.overlap(from, now)
@@ -57,7 +57,7 @@
 }
 
 // Longest returns the longest time on end of that.
-func (w *Watch) Longest(from, now time.Time) time.Duration {
+func (w *Detector) LongestWithin(from, now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for _, s := range w.all(now) {
 		longest = max(longest, s.overlap(from, now))
@@ -66,7 +66,7 @@
 }
 
 // all returns the spells up to now, the one under way among them.
-func (w *Watch) all(now time.Time) []spell {
+func (w *Detector) all(now time.Time) []spell {
 	if gap, stood := w.gap(now); stood {
 		return append(slices.Clone(w.spells), gap)
 	}
@@ -74,8 +74,8 @@
 }
 
 // gap returns the time since the last beat, and whether that is a spell.
-func (w *Watch) gap(now time.Time) (spell, bool) {
-	return spell{w.last, now}, !w.last.IsZero() && now.Sub(w.last) >= Least
+func (w *Detector) gap(now time.Time) (spell, bool) {
+	return spell{w.last, now}, !w.last.IsZero() && now.Sub(w.last) >= MinPause
 }
 
 // overlap returns how much of the spell lies between two times.
--- a/internal/witness/witness.go
+++ b/internal/witness/witness.go
@@ -14,7 +14,7 @@
 
 // Sent names the request to the endpoint that gets it, and returns the record
 // of its sending to an entry host.
-func Sent(r *http.Request, x load.Exchange, host string) check.Record {
+func SentRecord(r *http.Request, x load.Exchange, host string) check.Record {
 	r.Header.Set(standin.CallHeader, x.ID)
 	return check.Record{Sent: &check.Sent{
 		Call: x.ID, Host: host, Digest: check.Digest(x.Body), BookingKey: x.Key,
@@ -22,7 +22,7 @@
 }
 
 // Answered returns the record of how a request ended for its caller.
-func Answered(x load.Exchange) check.Record {
+func AnsweredRecord(x load.Exchange) check.Record {
 	a := &check.Answered{Call: x.ID, Outcome: x.Outcome.String()}
 	if x.Outcome != outcome.Answered {
 		return check.Record{Answered: a}
--- a/journal/faults_test.go
+++ b/journal/faults_test.go
@@ -60,7 +60,7 @@
 			}
 			r.table.Set(func(f *memtable.Faults) { *f = memtable.Faults{} })
 			after(time.Minute)
-			r.table.Deliver()
+			r.table.DeliverHeld()
 			r.check(t)
 		})
 	}
@@ -74,7 +74,7 @@
 	case 1:
 		r.table.Set(func(f *memtable.Faults) { f.HoldCommits = 1 })
 	case 2:
-		r.table.Deliver()
+		r.table.DeliverHeld()
 	case 3:
 		r.table.Set(func(f *memtable.Faults) { f.Down = !f.Down })
 	case 4:
--- a/journal/journal_test.go
+++ b/journal/journal_test.go
@@ -162,7 +162,7 @@
 		r.table.Set(func(f *memtable.Faults) { f.HoldCommits = 1 })
 		r.put("held", "k")
 		synctest.Wait()
-		r.table.Deliver() // arrives after the journal read its row
+		r.table.DeliverHeld() // arrives after the journal read its row
 		after(time.Second)
 		expect(t, r, "held", infra.CommitApplied)
 		r.put("next", "k")
--- a/load/run.go
+++ b/load/run.go
@@ -96,7 +96,7 @@
 // mostLate is how long after it was due a request may be sent. The sender is
 // that late only where it stood still itself; what callers would have sent
 // meanwhile must not come as one burst.
-const mostLate = standstill.Least
+const mostLate = standstill.MinPause
 
 // launch sends a request without waiting for earlier ones.
 func (r *runner) launch(ctx context.Context, p planned) {
--- a/peer/client.go
+++ b/peer/client.go
@@ -54,7 +54,7 @@
 }
 
 // Late returns how many replies came after their request was given up.
-func (c *Client) Late() uint64 { return c.late.Load() }
+func (c *Client) LateReplies() uint64 { return c.late.Load() }
 
 // Close ends every connection; requests in flight end as they can.
 func (c *Client) Close() { c.SetPeers(nil) }
--- a/peer/link.go
+++ b/peer/link.go
@@ -111,7 +111,7 @@
 // connect dials, secures and shakes hands within the handshake's limit.
 func (l *link) connect(ctx context.Context) (net.Conn, error) {
 	o := l.client.opts
-	ctx, cancel := context.WithTimeout(ctx, o.Handshake)
+	ctx, cancel := context.WithTimeout(ctx, o.HandshakeTimeout)
 	defer cancel()
 	raw, err := l.client.dial(ctx, "tcp", l.address)
 	if err != nil {
@@ -130,7 +130,7 @@
 	if err := setUserTimeout(raw, o.UserTimeout); err != nil {
 		return nil, err
 	}
-	if err := handshakeDeadline(raw, o.Handshake); err != nil {
+	if err := handshakeDeadline(raw, o.HandshakeTimeout); err != nil {
 		return nil, err
 	}
 	conn := raw
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if h.Host != host && !o.AnyName {
+	if h.Host != host && !o.AcceptAnyHost {
 		return nil, errors.Wrapf(ErrHandshake, "reached %q, expected %q", h.Host, host)
 	}
 	return conn, errors.Wrap(conn.SetDeadline(time.Time{}), "clear deadline")
--- a/peer/options.go
+++ b/peer/options.go
@@ -23,12 +23,12 @@
 	// shorter than the session of a lease. Zero leaves the kernel's own.
 	UserTimeout time.Duration
 	// Handshake bounds dialing and the exchange of hellos.
-	Handshake time.Duration
+	HandshakeTimeout time.Duration
 	// MinBackoff and MaxBackoff bound the wait between failed dials.
 	MinBackoff, MaxBackoff time.Duration
-	// AnyName lets a client talk to whichever host answers at an address,
+	// AcceptAnyHost lets a client talk to whichever host answers at an address,
 	// for callers that know hosts by address only.
-	AnyName bool
+	AcceptAnyHost bool
 	// TLS, if set, encrypts and authenticates both directions. It is asked
 	// for the settings of each new connection, so a renewed certificate is
 	// used from the next connection on.
@@ -58,8 +58,8 @@
 	if o.WriteQueue == 0 {
 		o.WriteQueue = DefaultWriteQueue
 	}
-	if o.Handshake == 0 {
-		o.Handshake = defaultHandshake
+	if o.HandshakeTimeout == 0 {
+		o.HandshakeTimeout = defaultHandshake
 	}
 	if o.MinBackoff == 0 {
 		o.MinBackoff = defaultMinBackoff
--- a/peer/server.go
+++ b/peer/server.go
@@ -145,7 +145,7 @@
 	if err := setUserTimeout(raw, s.opts.UserTimeout); err != nil {
 		return nil, "", err
 	}
-	if err := handshakeDeadline(raw, s.opts.Handshake); err != nil {
+	if err := handshakeDeadline(raw, s.opts.HandshakeTimeout); err != nil {
 		return nil, "", err
 	}
 	conn := raw
--- a/slo/keeper.go
+++ b/slo/keeper.go
@@ -40,7 +40,7 @@
 }
 
 // Keeper counts and keeps one host's calls.
-type Keeper struct {
+type Tracker struct {
 	host      string
 	table     infra.Table
 	committer Committer
@@ -54,10 +54,10 @@
 	recorder   *burn.Recorder
 }
 
-// NewKeeper returns a keeper; host names this process among all that ever ran.
+// NewTracker returns a keeper; host names this process among all that ever ran.
 // Its metrics go to r, which may be nil.
-func NewKeeper(host string, table infra.Table, committer Committer, r prometheus.Registerer, log *slog.Logger, now func() time.Time) *Keeper {
-	k := &Keeper{
+func NewTracker(host string, table infra.Table, committer Committer, r prometheus.Registerer, log *slog.Logger, now func() time.Time) *Tracker {
+	k := &Tracker{
 		host: host, table: table, committer: committer, log: log, now: now,
 		metrics: newMetrics(r), recorder: burn.NewRecorder(host),
 	}
@@ -66,7 +66,7 @@
 }
 
 // SetObjectives replaces the objectives.
-func (k *Keeper) SetObjectives(objectives map[string]settings.Objective) {
+func (k *Tracker) SetObjectives(objectives map[string]settings.Objective) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.objectives = objectives
@@ -75,7 +75,7 @@
 
 // Observe counts one call of a service. It is safe for concurrent use and
 // takes no lock.
-func (k *Keeper) Observe(service string, latency time.Duration, served bool) {
+func (k *Tracker) Observe(service string, latency time.Duration, served bool) {
 	for _, c := range k.counters.Load().byService[service] {
 		c.total.Add(1)
 		if served && latency <= c.latency {
@@ -85,7 +85,7 @@
 }
 
 // Run counts and flushes until the context ends, then closes the sheets.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Tracker) Run(ctx context.Context) {
 	count := time.NewTicker(countInterval)
 	defer count.Stop()
 	flush := time.NewTicker(flushInterval)
@@ -103,12 +103,12 @@
 }
 
 // Close writes the sheets for the last time.
-func (k *Keeper) Close(ctx context.Context) {
+func (k *Tracker) Close(ctx context.Context) {
 	k.count()
 	k.flush(ctx, true)
 }
 
-func (k *Keeper) count() {
+func (k *Tracker) count() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
@@ -119,7 +119,7 @@
 	}
 }
 
-func (k *Keeper) flush(ctx context.Context, closing bool) {
+func (k *Tracker) flush(ctx context.Context, closing bool) {
 	k.mu.Lock()
 	sheets := k.recorder.Flush(k.now(), closing)
 	k.mu.Unlock()
@@ -144,7 +144,7 @@
 // Reports evaluates every objective over the sheets of all hosts. When the
 // table does not answer, the error is returned and the reports speak of this
 // host alone.
-func (k *Keeper) Reports(ctx context.Context) ([]burn.Report, error) {
+func (k *Tracker) Reports(ctx context.Context) ([]burn.Report, error) {
 	k.count()
 	now := k.now()
 	k.mu.Lock()
@@ -167,18 +167,18 @@
 }
 
 // read returns the sheets of one objective in the longest window.
-func (k *Keeper) read(ctx context.Context, objective string, now time.Time) ([]burn.Sheet, error) {
+func (k *Tracker) read(ctx context.Context, objective string, now time.Time) ([]burn.HourCounts, error) {
 	prefix := objectivePrefix(objective)
 	oldest := now.Add(-burn.Windows[len(burn.Windows)-1])
 	after := fmt.Sprintf("%s%012d", prefix, burn.HourOf(oldest.UnixMilli()))
-	var sheets []burn.Sheet
+	var sheets []burn.HourCounts
 	for {
 		rows, err := k.table.Scan(ctx, prefix, after, scanPage)
 		if err != nil {
 			return sheets, err
 		}
 		for _, row := range rows {
-			var s burn.Sheet
+			var s burn.HourCounts
 			if err := msgpack.Unmarshal(row.Value, &s); err == nil {
 				sheets = append(sheets, s)
 			}
@@ -192,7 +192,7 @@
 
 // Sweep deletes sheets that no report needs any more. One host at a time
 // should call it.
-func (k *Keeper) Sweep(ctx context.Context) {
+func (k *Tracker) Sweep(ctx context.Context) {
 	k.mu.Lock()
 	names := sortedNames(k.objectives)
 	k.mu.Unlock()
@@ -218,11 +218,11 @@
 
 func objectivePrefix(objective string) string { return "burn/" + objective + "/" }
 
-func sheetKey(s burn.Sheet) string {
+func sheetKey(s burn.HourCounts) string {
 	return fmt.Sprintf("%s%012d/%s", objectivePrefix(s.Objective), s.Hour, s.Host)
 }
 
-func encode(s burn.Sheet) []byte {
+func encode(s burn.HourCounts) []byte {
 	value, err := msgpack.Marshal(s)
 	if err != nil {
 		panic("slo: a sheet can't be encoded: " + err.Error())
@@ -231,12 +231,12 @@
 }
 
 // replaceOwn puts this host's newest sheets in place of those it last wrote.
-func replaceOwn(sheets, own []burn.Sheet) []burn.Sheet {
+func replaceOwn(sheets, own []burn.HourCounts) []burn.HourCounts {
 	fresh := map[string]bool{}
 	for _, s := range own {
 		fresh[sheetKey(s)] = true
 	}
-	out := append([]burn.Sheet{}, own...)
+	out := append([]burn.HourCounts{}, own...)
 	for _, s := range sheets {
 		if !fresh[sheetKey(s)] {
 			out = append(out, s)
