--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -61,7 +61,7 @@
 	}
 	for code, meaning := range map[subcommands.ExitStatus]string{
 		ExitOK: "0 done", ExitFailed: "1 failed", ExitUsage: "2 wrong usage", ExitNotRun: "3 not run",
-		ExitUnknown: "4 unknown", ExitLost: "5 lost",
+		ExitUnknown: "4 unknown", ExitConflict: "5 lost",
 	} {
 		if int(meaning[0]-'0') != int(code) || !strings.Contains(section, meaning) {
 			t.Errorf("the page lacks %q for code %d", meaning, code)
--- a/cli/demo_test.go
+++ b/cli/demo_test.go
@@ -18,11 +18,11 @@
 		return check.Record{RunEnded: &check.RunEnded{Worker: worker, Run: infra.RunID{Job: "j", Epoch: epoch}, State: infra.RunStopped}}
 	}
 	moved := []check.Record{began("a", 1), ended("a", 1), began("b", 2), ended("b", 2)}
-	if code := exitOfDemo(demo.Judge(numbered(moved))); code != ExitOK {
+	if code := exitOfDemo(demo.CheckHistory(numbered(moved))); code != ExitOK {
 		t.Errorf("a job that moved: exit %d", code)
 	}
 	doctored := []check.Record{began("a", 1), began("b", 2), ended("a", 1), ended("b", 2)}
-	if code := exitOfDemo(demo.Judge(numbered(doctored))); code != ExitFailed {
+	if code := exitOfDemo(demo.CheckHistory(numbered(doctored))); code != ExitFailed {
 		t.Errorf("a job in two places: exit %d, want %d", code, ExitFailed)
 	}
 }
--- a/cli/diff.go
+++ b/cli/diff.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	keys := configstore.Differ(now.Content, content)
+	keys := configstore.ChangedKeys(now.Content, content)
 	if c.json {
 		return printJSON(keys)
 	}
--- a/cli/exit.go
+++ b/cli/exit.go
@@ -18,9 +18,9 @@
 	ExitNotRun subcommands.ExitStatus = 3
 	// ExitUnknown: the request may have run.
 	ExitUnknown subcommands.ExitStatus = 4
-	// ExitLost: another operator's change was accepted first, or the request
+	// ExitConflict: another operator's change was accepted first, or the request
 	// clashes with an earlier one; it did not run.
-	ExitLost subcommands.ExitStatus = 5
+	ExitConflict subcommands.ExitStatus = 5
 )
 
 // exitOf returns the exit code for the outcome of a request.
--- a/cli/load.go
+++ b/cli/load.go
@@ -53,16 +53,16 @@
 	}
 	targets := strings.Split(c.to, ",")
 	s := load.Run(ctx, load.Config{
-		Targets:     func() []string { return targets },
-		Service:     f.Arg(0),
-		Path:        c.path,
-		Rate:        func(time.Duration) float64 { return c.rate },
-		Duration:    c.duration,
-		Bookings:    c.bookings,
-		Repeat:      0.1,
-		Timeout:     c.timeout,
-		MaxInFlight: maxInFlight,
-		Seed:        c.seed,
+		Targets:           func() []string { return targets },
+		Service:           f.Arg(0),
+		Path:              c.path,
+		Rate:              func(time.Duration) float64 { return c.rate },
+		Duration:          c.duration,
+		BookingShare:      c.bookings,
+		RepeatProbability: 0.1,
+		Timeout:           c.timeout,
+		MaxInFlight:       maxInFlight,
+		Seed:              c.seed,
 	})
 	if c.json {
 		return printJSON(s)
--- a/cli/problem.go
+++ b/cli/problem.go
@@ -67,7 +67,7 @@
 	case p.name == "bad_request":
 		return ExitUsage
 	case p.name == "conflict":
-		return ExitLost
+		return ExitConflict
 	default:
 		return exitOf(p.outcome)
 	}
--- a/cli/problem_test.go
+++ b/cli/problem_test.go
@@ -23,7 +23,7 @@
 		{&jobs.Problem{Name: "bad_request", Title: "no such team", Field: &field, Outcome: "not_run"}, ExitUsage, "team: no such team (not_run)"},
 		{&jobs.Problem{Name: "unavailable", Title: "store", Outcome: "not_run"}, ExitNotRun, "store (not_run)"},
 		{&jobs.Problem{Name: "unknown_outcome", Title: "lost", Outcome: "unknown"}, ExitUnknown, "lost (unknown)"},
-		{&configs.Problem{Name: "conflict", Title: "version 2 won", Outcome: "not_run"}, ExitLost, "version 2 won (not_run)"},
+		{&configs.Problem{Name: "conflict", Title: "version 2 won", Outcome: "not_run"}, ExitConflict, "version 2 won (not_run)"},
 	}
 	for _, c := range cases {
 		if code := exitOfError(c.err); code != c.code {
--- a/configstore/configstore_test.go
+++ b/configstore/configstore_test.go
@@ -47,7 +47,7 @@
 		if r.Status == Accepted {
 			continue
 		}
-		if r.Status != Lost || r.Head.Author != winner || len(r.Differs) != 1 || r.Differs[0] != "calls.queue" {
+		if r.Status != Conflict || r.Head.Author != winner || len(r.ChangedKeys) != 1 || r.ChangedKeys[0] != "calls.queue" {
 			t.Errorf("racer %d: %+v, want it to have lost to %s over calls.queue", i, r, winner)
 		}
 	}
@@ -121,8 +121,8 @@
 			}
 			damaged := o
 			damaged.Content += "# damaged"
-			w.Take(damaged)
-			w.Take(o)
+			w.ApplyIfNewer(damaged)
+			w.ApplyIfNewer(o)
 		}
 		if last != uint64(len(offers)) {
 			t.Fatalf("seed %d: version %d in force at the end, want %d", seed, last, len(offers))
--- a/configstore/current.go
+++ b/configstore/current.go
@@ -17,7 +17,7 @@
 
 // clone returns a copy that shares no map and no slice.
 func (c Current) clone() Current {
-	c.Head.Differs = slices.Clone(c.Head.Differs)
+	c.Head.ChangedKeys = slices.Clone(c.Head.ChangedKeys)
 	c.Settings = c.Settings.Clone()
 	return c
 }
--- a/configstore/differ.go
+++ b/configstore/differ.go
@@ -10,7 +10,7 @@
 
 // Differ returns the dotted keys in which two TOML texts differ, sorted. Text
 // that is not TOML counts as empty.
-func Differ(a, b string) []string {
+func ChangedKeys(a, b string) []string {
 	left, right := flatten(a), flatten(b)
 	var keys []string
 	for key, value := range left {
--- a/configstore/head.go
+++ b/configstore/head.go
@@ -22,12 +22,12 @@
 	// Hash is the content's SHA-256 in hexadecimal.
 	Hash string `msgpack:"h"`
 	// Attempt is the unique id of the attempt that was accepted.
-	Attempt string `msgpack:"i"`
-	Author  string `msgpack:"a"`
+	AttemptID string `msgpack:"i"`
+	Author    string `msgpack:"a"`
 	// AppliedUnixMS is when it was accepted, in Unix milliseconds.
 	AppliedUnixMS int64 `msgpack:"t"`
 	// Differs lists the keys that differ from the version before.
-	Differs []string `msgpack:"d,omitempty"`
+	ChangedKeys []string `msgpack:"d,omitempty"`
 }
 
 // versionKey returns the key of a version's row; keys sort newest first.
--- a/configstore/inforce_test.go
+++ b/configstore/inforce_test.go
@@ -28,17 +28,17 @@
 	w.Subscribe(func(c Current) { change(c.Settings) })
 	change(local)
 	for version := range uint64(2) { // the process's own folder, and one that was applied
-		o := Offer{Head: Head{Version: version, Differs: []string{"teams"}}}
+		o := Offer{Head: Head{Version: version, ChangedKeys: []string{"teams"}}}
 		if version > 0 {
 			o.Head.Hash, o.Content = Hash(content), content
 		}
 		w.Service("dispatch").IdempotentMethods[0] = "POST"
-		if !w.Take(o) {
+		if !w.ApplyIfNewer(o) {
 			t.Fatalf("version %d was not taken", version)
 		}
 		read, _ := w.Current()
 		change(read.Settings)
-		read.Head.Differs[0] = "services"
+		read.Head.ChangedKeys[0] = "services"
 		w.Service("dispatch").IdempotentMethods[0] = "POST"
 
 		now, _ := w.Current()
@@ -48,7 +48,7 @@
 		if got := w.Service("dispatch").IdempotentMethods[0]; got != "GET" {
 			t.Errorf("version %d: the idempotent method in force is %s, want GET", version, got)
 		}
-		if got := now.Head.Differs[0]; got != "teams" {
+		if got := now.Head.ChangedKeys[0]; got != "teams" {
 			t.Errorf("version %d is said to differ in %s, want teams", version, got)
 		}
 	}
--- a/configstore/result.go
+++ b/configstore/result.go
@@ -12,7 +12,7 @@
 	// within seconds.
 	Accepted
 	// Lost: another change was accepted first; nothing was written.
-	Lost
+	Conflict
 	// NotApplied: the platform refused; nothing was written.
 	NotApplied
 )
@@ -24,7 +24,7 @@
 	Head Head
 	// Differs lists the keys in which the change differs from its base, or
 	// with Lost from the version that won.
-	Differs []string
+	ChangedKeys []string
 	// Err says why for NotApplied and Unknown.
 	Err error
 }
--- a/configstore/store.go
+++ b/configstore/store.go
@@ -104,10 +104,10 @@
 	next := Head{
 		Version:       head.Version + 1,
 		Hash:          Hash(c.Content),
-		Attempt:       uuid.NewString(),
+		AttemptID:     uuid.NewString(),
 		Author:        c.Author,
 		AppliedUnixMS: s.Now().UnixMilli(),
-		Differs:       Differ(before, c.Content),
+		ChangedKeys:   ChangedKeys(before, c.Content),
 	}
 	if err := s.Objects.Put(ctx, objectKey(next.Hash), []byte(c.Content)); err != nil {
 		return Result{Status: NotApplied, Err: err}
@@ -140,7 +140,7 @@
 	})
 	switch result.Status {
 	case infra.CommitApplied:
-		return Result{Status: Accepted, Head: next, Differs: next.Differs}
+		return Result{Status: Accepted, Head: next, ChangedKeys: next.ChangedKeys}
 	case infra.CommitConflict:
 		winner, err := s.Head(ctx)
 		if err != nil {
@@ -160,8 +160,8 @@
 	for range settleReads {
 		at, err := s.Version(ctx, next.Version)
 		switch {
-		case err == nil && at.Attempt == next.Attempt:
-			return Result{Status: Accepted, Head: next, Differs: next.Differs}
+		case err == nil && at.AttemptID == next.AttemptID:
+			return Result{Status: Accepted, Head: next, ChangedKeys: next.ChangedKeys}
 		case err == nil:
 			return s.lost(ctx, at, c)
 		}
@@ -169,14 +169,14 @@
 			break
 		}
 	}
-	return Result{Status: Unknown, Head: next, Err: errors.Newf("the answer to attempt %s was lost", next.Attempt)}
+	return Result{Status: Unknown, Head: next, Err: errors.Newf("the answer to attempt %s was lost", next.AttemptID)}
 }
 
 // lost tells the loser of a race who won and what differs.
 func (s *Store) lost(ctx context.Context, winner Head, c Change) Result {
-	r := Result{Status: Lost, Head: winner}
+	r := Result{Status: Conflict, Head: winner}
 	if content, err := s.Content(ctx, winner); err == nil {
-		r.Differs = Differ(content, c.Content)
+		r.ChangedKeys = ChangedKeys(content, c.Content)
 	}
 	return r
 }
--- a/configstore/watcher.go
+++ b/configstore/watcher.go
@@ -71,9 +71,9 @@
 // Calls returns the bounds of calls in force.
 func (w *Watcher) Calls() settings.Calls { return w.inForce().Calls }
 
-// TakesTeam reports whether jobs of a team are taken: it is among the teams in
+// AcceptsTeam reports whether jobs of a team are taken: it is among the teams in
 // force, or there are none.
-func (w *Watcher) TakesTeam(name string) bool {
+func (w *Watcher) AcceptsTeam(name string) bool {
 	teams := w.inForce().Teams
 	_, ok := teams[name]
 	return ok || len(teams) == 0
@@ -85,9 +85,9 @@
 	return ok
 }
 
-// StoreFailed reports whether the newest version could not be read at the last
+// LastReadFailed reports whether the newest version could not be read at the last
 // try. It is false before the first try has ended.
-func (w *Watcher) StoreFailed() bool { return w.failed.Load() }
+func (w *Watcher) LastReadFailed() bool { return w.failed.Load() }
 
 // Run reads the head at each interval until the context ends.
 func (w *Watcher) Run(ctx context.Context, interval time.Duration) {
@@ -116,12 +116,12 @@
 		event.ConfigUnreadable.Log(w.log, slog.Uint64("version", head.Version), slog.Any("error", err))
 		return
 	}
-	w.Take(Offer{Head: head, Content: content})
+	w.ApplyIfNewer(Offer{Head: head, Content: content})
 }
 
 // Take brings an offered version into force if it is newer than what is. It
 // reports whether it was.
-func (w *Watcher) Take(o Offer) bool {
+func (w *Watcher) ApplyIfNewer(o Offer) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.newer(o.Head) {
--- a/demo/callers.go
+++ b/demo/callers.go
@@ -35,12 +35,12 @@
 			}
 			return baseRate
 		},
-		Duration:    o.Duration,
-		Bookings:    bookings,
-		Repeat:      repeats,
-		Timeout:     callTimeout,
-		MaxInFlight: maxInFlight,
-		Seed:        o.Seed,
+		Duration:          o.Duration,
+		BookingShare:      bookings,
+		RepeatProbability: repeats,
+		Timeout:           callTimeout,
+		MaxInFlight:       maxInFlight,
+		Seed:              o.Seed,
 		Prepare: func(r *http.Request, x load.Exchange) {
 			recorder.Add(witness.SentRecord(r, x, names[x.Target]))
 		},
--- a/demo/result.go
+++ b/demo/result.go
@@ -33,7 +33,7 @@
 }
 
 // Judge returns a result that holds what the checks found in a history.
-func Judge(records []check.Record) Result {
+func CheckHistory(records []check.Record) Result {
 	var r Result
 	r.breaches(check.Run(records))
 	return r
--- a/demo/run.go
+++ b/demo/run.go
@@ -111,9 +111,9 @@
 	for {
 		held := 0
 		for _, h := range s.hosts {
-			held += h.gate.HeldInFull()
+			held += h.gate.FullyOwnedShards()
 		}
-		if shards := s.hosts[0].gate.Shards(); shards > 0 && held >= shards {
+		if shards := s.hosts[0].gate.ShardCount(); shards > 0 && held >= shards {
 			return nil
 		}
 		select {
@@ -171,7 +171,7 @@
 		return errors.Newf("the configuration was not accepted: %v", r.Err)
 	}
 	s.recorder.Add(check.Record{ConfigAccepted: &check.ConfigAccepted{Version: r.Head.Version}})
-	s.say("configuration %d accepted: %s", r.Head.Version, strings.Join(r.Differs[:min(3, len(r.Differs))], " "))
+	s.say("configuration %d accepted: %s", r.Head.Version, strings.Join(r.ChangedKeys[:min(3, len(r.ChangedKeys))], " "))
 	return nil
 }
 
@@ -198,7 +198,7 @@
 func (s *site) result(summary load.Summary, jobs *submitter) Result {
 	records := s.recorder.Records()
 	t := tallyOf(records)
-	r := Judge(records)
+	r := CheckHistory(records)
 	r.Answered, r.NotRun, r.Unknown, r.Reasons = summary.Answered, summary.NotRun, summary.Unknown, summary.Reasons
 	r.P50MS, r.P99MS = summary.P50MS, summary.P99MS
 	r.TasksDone, r.Evictions, r.JobsSubmitted = len(t.done), t.evictions, jobs.submitted
--- a/gate/capacity_bench_test.go
+++ b/gate/capacity_bench_test.go
@@ -107,7 +107,7 @@
 			version := uint64(0)
 			for b.Loop() {
 				version++
-				if !w.Take(offerOf(version, content)) {
+				if !w.ApplyIfNewer(offerOf(version, content)) {
 					b.Fatal("not taken")
 				}
 			}
@@ -118,7 +118,7 @@
 
 func offerOf(version uint64, content string) configstore.Offer {
 	return configstore.Offer{
-		Head:    configstore.Head{Version: version, Hash: configstore.Hash(content), Attempt: "0192f0c1-7a5e-7cc3-98c4-dc0c0c07398f", Author: "anna", AppliedUnixMS: 1764700000000, Differs: []string{"teams.team-rounds-07.weight"}},
+		Head:    configstore.Head{Version: version, Hash: configstore.Hash(content), AttemptID: "0192f0c1-7a5e-7cc3-98c4-dc0c0c07398f", Author: "anna", AppliedUnixMS: 1764700000000, ChangedKeys: []string{"teams.team-rounds-07.weight"}},
 		Content: content,
 	}
 }
@@ -151,7 +151,7 @@
 	log := slog.New(slog.DiscardHandler)
 	for i, name := range names {
 		w := configstore.NewWatcher(nil, settings.Default(), log)
-		w.Take(offerOf(1, content))
+		w.ApplyIfNewer(offerOf(1, content))
 		inForce.Add(1)
 		w.Subscribe(func(configstore.Current) { inForce.Done() })
 		s := newSpreader(spreadPort{n, name}, spreadPort{n, name}, w, rand.New(rand.NewPCG(seed, uint64(i))))
@@ -165,7 +165,7 @@
 	n.messages.Store(0)
 	n.bytes.Store(0)
 	began := time.Now()
-	spreaders[0].watcher.Take(offerOf(2, content))
+	spreaders[0].watcher.ApplyIfNewer(offerOf(2, content))
 	running.Go(func() { spreaders[0].spread(ctx) })
 	inForce.Wait()
 	took := time.Since(began)
--- a/gate/configs.go
+++ b/gate/configs.go
@@ -87,7 +87,7 @@
 	}
 	v := versionOf(current.Head)
 	v.Hash = configstore.Hash(c.Content)
-	v.Differs = configstore.Differ(current.Content, c.Content)
+	v.Differs = configstore.ChangedKeys(current.Content, c.Content)
 	return v, nil
 }
 
@@ -97,13 +97,13 @@
 	switch r.Status {
 	case configstore.Accepted:
 		event.ConfigAccepted.Log(s.log, slog.Uint64("version", r.Head.Version), slog.String("author", r.Head.Author))
-		s.watcher.Take(configstore.Offer{Head: r.Head, Content: content})
+		s.watcher.ApplyIfNewer(configstore.Offer{Head: r.Head, Content: content})
 		go s.spread(context.WithoutCancel(ctx))
 		return versionOf(r.Head), nil
-	case configstore.Lost:
+	case configstore.Conflict:
 		event.ConfigConflict.Log(s.log, slog.Uint64("winner", r.Head.Version), slog.String("author", r.Head.Author))
 		title := fmt.Sprintf("version %d by %s was accepted first; it differs from this change in: %s",
-			r.Head.Version, r.Head.Author, strings.Join(r.Differs, " "))
+			r.Head.Version, r.Head.Author, strings.Join(r.ChangedKeys, " "))
 		return nil, configProblem("conflict", title, "base")
 	case configstore.NotApplied:
 		return nil, configProblem("unavailable", fmt.Sprint("not applied: ", r.Err), "")
@@ -115,7 +115,7 @@
 func versionOf(h configstore.Head) *configs.ConfigVersion {
 	return &configs.ConfigVersion{
 		Version: int64(h.Version), Hash: h.Hash, Author: h.Author,
-		AppliedUnixMs: h.AppliedUnixMS, Differs: h.Differs,
+		AppliedUnixMs: h.AppliedUnixMS, Differs: h.ChangedKeys,
 	}
 }
 
--- a/gate/drain_test.go
+++ b/gate/drain_test.go
@@ -25,7 +25,7 @@
 			t.Error("a host that could not hand over calls its drain whole")
 		}
 	})
-	eventually(t, "the endpoint's shard", func() bool { return g.HeldInFull() == 1 })
+	eventually(t, "the endpoint's shard", func() bool { return g.FullyOwnedShards() == 1 })
 	url := "http://" + l.Callers.Addr().String() + "/call/dispatch/plan"
 	if got, err := callOnce(url); got != outcome.Answered || err != nil {
 		t.Fatalf("before: %s", got)
--- a/gate/fetch.go
+++ b/gate/fetch.go
@@ -26,7 +26,7 @@
 // the newest of what most of them have is taken: an accepted version reaches
 // all that are joined within seconds.
 func (s *spreader) fetch(ctx context.Context) {
-	if !s.watcher.StoreFailed() {
+	if !s.watcher.LastReadFailed() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
@@ -52,7 +52,7 @@
 		return
 	}
 	if o, err := newest.Offer.offer(); err == nil {
-		s.watcher.Take(o)
+		s.watcher.ApplyIfNewer(o)
 	}
 }
 
--- a/gate/fetch_test.go
+++ b/gate/fetch_test.go
@@ -16,9 +16,9 @@
 func TestStartingHostTakesWhatMostHave(t *testing.T) {
 	c := newCrowd(6)
 	for _, name := range []string{"h1", "h2", "h3", "h4"} {
-		c.hosts[name].watcher.Take(offered(t, 2))
+		c.hosts[name].watcher.ApplyIfNewer(offered(t, 2))
 	}
-	c.hosts["h5"].watcher.Take(offered(t, 1))
+	c.hosts["h5"].watcher.ApplyIfNewer(offered(t, 1))
 	table := standin.NewTable()
 	table.Set(standin.Faults{Down: true})
 	starting := c.hosts["h0"]
--- a/gate/inspect.go
+++ b/gate/inspect.go
@@ -2,8 +2,8 @@
 
 import "github.com/fireflygate/fireflygate/ownership"
 
-// HeldInFull returns how many shards this host may use in full now.
-func (g *Gate) HeldInFull() int {
+// FullyOwnedShards returns how many shards this host may use in full now.
+func (g *Gate) FullyOwnedShards() int {
 	n := 0
 	now := g.deps.Now()
 	for _, grant := range g.keeper.Snapshot().Grants {
@@ -15,4 +15,4 @@
 }
 
 // Shards returns how many shards the membership list gives.
-func (g *Gate) Shards() int { return len(g.roster.Load().Shards()) }
+func (g *Gate) ShardCount() int { return len(g.roster.Load().Shards()) }
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -20,7 +20,7 @@
 
 // Submit implements jobs.Service.
 func (s *jobsService) Submit(ctx context.Context, p *jobs.JobSpec) (*jobs.JobStatus, error) {
-	if !s.watcher.TakesTeam(p.Team) {
+	if !s.watcher.AcceptsTeam(p.Team) {
 		return nil, jobProblem("bad_request", "no team of that name in the settings", "team", outcome.NotRun)
 	}
 	spec := specOf(p)
--- a/gate/peers.go
+++ b/gate/peers.go
@@ -193,7 +193,7 @@
 	}
 	s.learn(from, o.Head.Version)
 	// A starting host does not take the word of one peer, see fetch.
-	if _, started := s.watcher.Version(); started && s.watcher.Take(o) {
+	if _, started := s.watcher.Version(); started && s.watcher.ApplyIfNewer(o) {
 		go s.spread(context.WithoutCancel(ctx))
 	}
 	return versionMessage{Version: s.version()}, nil
--- a/gate/peers_test.go
+++ b/gate/peers_test.go
@@ -37,7 +37,7 @@
 	}
 	for i, name := range names {
 		w := configstore.NewWatcher(nil, settings.Default(), slog.New(slog.DiscardHandler))
-		w.Take(configstore.Offer{})
+		w.ApplyIfNewer(configstore.Offer{})
 		c.hosts[name] = newSpreader(network.Port(name), network.Port(name), w, rand.New(rand.NewPCG(uint64(i), 0)))
 		c.hosts[name].setHosts(append(append([]string{}, names[:i]...), names[i+1:]...))
 	}
@@ -69,7 +69,7 @@
 			c.dead[fmt.Sprint("h", i+1)] = true
 		}
 		offer := offered(t, 1)
-		c.hosts["h0"].watcher.Take(offer)
+		c.hosts["h0"].watcher.ApplyIfNewer(offer)
 		c.hosts["h0"].spread(t.Context())
 		rounds := 0
 		for ; c.behind(1) > 0; rounds++ {
--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -60,7 +60,7 @@
 	eventually(t, "the quota in force", func() bool { return g.policy().Teams["routes"].MilliCPU == 2000 })
 	// A version is in force before every part was told. An old one is never
 	// taken, but its turn comes only after that.
-	g.watcher.Take(configstore.Offer{})
+	g.watcher.ApplyIfNewer(configstore.Offer{})
 	submit(4, 8)
 	eventually(t, "a job waits for the quota", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/gate/spread_test.go
+++ b/gate/spread_test.go
@@ -27,7 +27,7 @@
 		var all []*spreader
 		for i := range hosts {
 			w := configstore.NewWatcher(nil, settings.Default(), slog.New(slog.DiscardHandler))
-			w.Take(offerOf(1, ""))
+			w.ApplyIfNewer(offerOf(1, ""))
 			port := spreadPort{n, fmt.Sprint("h", i)}
 			s := newSpreader(port, port, w, rand.New(rand.NewPCG(1, uint64(i))))
 			all = append(all, s)
@@ -45,7 +45,7 @@
 			}
 		}
 		reach(hosts - 1) // nobody knows of the last one yet
-		all[0].watcher.Take(offerOf(2, "# second"))
+		all[0].watcher.ApplyIfNewer(offerOf(2, "# second"))
 		go all[0].spread(ctx)
 		<-time.After(4 * time.Second)
 		for i, s := range all[:hosts-1] {
--- a/integration/traffic.go
+++ b/integration/traffic.go
@@ -86,9 +86,9 @@
 	}
 	return load.Config{
 		Service: Service, Path: "/plan",
-		Rate:     func(time.Duration) float64 { return o.Rate },
-		Duration: time.Hour,
-		Bookings: o.Bookings, Repeat: o.Repeat, Timeout: o.Timeout, MaxInFlight: o.InFlight,
+		Rate:         func(time.Duration) float64 { return o.Rate },
+		Duration:     time.Hour,
+		BookingShare: o.Bookings, RepeatProbability: o.Repeat, Timeout: o.Timeout, MaxInFlight: o.InFlight,
 		Prepare: func(r *http.Request, x load.Exchange) {
 			s.Recorder.Add(witness.SentRecord(r, x, names[x.Target]))
 		},
--- a/load/config.go
+++ b/load/config.go
@@ -19,8 +19,8 @@
 	Duration time.Duration
 	// Bookings is the share of requests that carry an idempotency key; each
 	// of them is sent a second time with probability Repeat.
-	Bookings float64
-	Repeat   float64
+	BookingShare      float64
+	RepeatProbability float64
 	// Timeout is the deadline of a request.
 	Timeout time.Duration
 	// MaxInFlight bounds unanswered requests. A request that would exceed it
--- a/load/run.go
+++ b/load/run.go
@@ -83,10 +83,10 @@
 		exchange: Exchange{ID: id, Due: due},
 		target:   targets[n%len(targets)],
 	}
-	if rng.Float64() < r.config.Bookings {
+	if rng.Float64() < r.config.BookingShare {
 		p.exchange.Key = "booking-" + id
 		p.exchange.Body = []byte(id)
-		if rng.Float64() < r.config.Repeat {
+		if rng.Float64() < r.config.RepeatProbability {
 			p.repeat, p.pick = true, rng.Int()
 		}
 	}
--- a/settings/load.go
+++ b/settings/load.go
@@ -61,7 +61,7 @@
 	tree, where, problems := merge(files)
 	report := func(key, want string) {
 		p := locate(where, key, name)
-		problems = append(problems, Problem{File: p.file, Line: p.line, Column: p.column, Key: key, Want: want})
+		problems = append(problems, Problem{File: p.file, Line: p.line, Column: p.column, Key: key, Expected: want})
 	}
 	result := Default()
 	d := decoder{report: report}
@@ -108,7 +108,7 @@
 }
 
 func syntaxProblem(file string, err error) Problem {
-	p := Problem{File: file, Want: err.Error()}
+	p := Problem{File: file, Expected: err.Error()}
 	var de *toml.DecodeError
 	if errors.As(err, &de) {
 		p.Line, p.Column = de.Position()
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -12,7 +12,7 @@
 	// Key is the dotted key concerned, if any.
 	Key string `json:"key"`
 	// Want says what was expected.
-	Want string `json:"want"`
+	Expected string `json:"want"`
 }
 
 // String returns file:line:column: key: what was expected.
@@ -22,7 +22,7 @@
 		where = fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 	}
 	if p.Key == "" {
-		return fmt.Sprintf("%s: %s", where, p.Want)
+		return fmt.Sprintf("%s: %s", where, p.Expected)
 	}
-	return fmt.Sprintf("%s: %s: %s", where, p.Key, p.Want)
+	return fmt.Sprintf("%s: %s: %s", where, p.Key, p.Expected)
 }
