--- a/batch/restart_test.go
+++ b/batch/restart_test.go
@@ -88,7 +88,7 @@
 		stop()
 		done.Wait()
 		for _, v := range check.Run(recorder.Records()).Violations {
-			if v.Promise == check.OnePlace {
+			if v.Promise == check.SinglePlacement {
 				count++
 			}
 		}
--- a/batch/sizes_test.go
+++ b/batch/sizes_test.go
@@ -82,7 +82,7 @@
 		stop()
 		done.Wait()
 		violations = slices.DeleteFunc(check.Run(recorder.Records()).Violations, func(v check.Violation) bool {
-			return v.Promise != check.CapacityHeld && v.Promise != check.OnePlace
+			return v.Promise != check.CapacityLimit && v.Promise != check.SinglePlacement
 		})
 	})
 	return violations
--- a/check/answers.go
+++ b/check/answers.go
@@ -28,14 +28,14 @@
 			fault = "was never sent"
 		case a.EchoCall != a.Call && !sameBooking(ask, sent[a.EchoCall]):
 			fault = "got the answer to " + a.EchoCall
-		case a.Echo != ask.Sent.Digest:
+		case a.EchoDigest != ask.Sent.Digest:
 			fault = "got an answer to another body"
-		case a.Length != a.Want || a.BodyDigest != a.WantDigest:
-			fault = fmt.Sprintf("got %d of %d bytes or other bytes", a.Length, a.Want)
+		case a.Length != a.WantLength || a.BodyDigest != a.WantDigest:
+			fault = fmt.Sprintf("got %d of %d bytes or other bytes", a.Length, a.WantLength)
 		default:
 			continue
 		}
-		found = append(found, violation(WholeAnswer, fmt.Sprintf("call %s %s", a.Call, fault), ask, r))
+		found = append(found, violation(CompleteAnswer, fmt.Sprintf("call %s %s", a.Call, fault), ask, r))
 	}
 	return found
 }
--- a/check/capacity.go
+++ b/check/capacity.go
@@ -24,7 +24,7 @@
 			held[b.Worker] = held[b.Worker].Add(b.Resources)
 			runs[placed{b.Worker, b.Run}] = b.Resources
 			if !held[b.Worker].Fits(b.Capacity) {
-				found = append(found, violation(CapacityHeld,
+				found = append(found, violation(CapacityLimit,
 					fmt.Sprintf("%s reserves %+v with capacity %+v", b.Worker, held[b.Worker], b.Capacity), r))
 			}
 		case r.RunEnded != nil:
--- a/check/leaving.go
+++ b/check/leaving.go
@@ -16,7 +16,7 @@
 		case r.RequestBegan != nil:
 			since, ok := leaving[r.RequestBegan.Endpoint]
 			if ok && r.At.Sub(since.At) > limits.LeavingGrace {
-				found = append(found, violation(LeavingQuiet,
+				found = append(found, violation(NoWorkAfterLeaving,
 					fmt.Sprintf("%s got work %s after it was leaving", r.RequestBegan.Endpoint, r.At.Sub(since.At)), since, r))
 			}
 		}
--- a/check/not_run.go
+++ b/check/not_run.go
@@ -17,7 +17,7 @@
 			continue
 		}
 		if told, ok := notRun[r.RequestBegan.Call]; ok {
-			found = append(found, violation(NotRunTrue,
+			found = append(found, violation(NotRunAccurate,
 				fmt.Sprintf("call %s was told not run and ran at %s", r.RequestBegan.Call, r.RequestBegan.Endpoint), told, r))
 		}
 	}
--- a/check/one_place.go
+++ b/check/one_place.go
@@ -16,7 +16,7 @@
 				open[b.Run.Job] = job
 			}
 			for at, other := range job {
-				found = append(found, violation(OnePlace,
+				found = append(found, violation(SinglePlacement,
 					fmt.Sprintf("job %s ran on %s and on %s", b.Run.Job, at.worker, b.Worker), other, r))
 			}
 			job[placed{b.Worker, b.Run}] = r
--- a/check/record.go
+++ b/check/record.go
@@ -47,13 +47,13 @@
 	// Outcome is an outcome.Kind as text.
 	Outcome string `json:"outcome"`
 	// Echo is the digest of the request's body as the answer echoes it.
-	Echo string `json:"echo,omitempty"`
+	EchoDigest string `json:"echo,omitempty"`
 	// EchoCall is the call as the answer echoes it.
 	EchoCall string `json:"echo_call,omitempty"`
 	// Length is how many bytes of body came; Want is how many the endpoint
 	// said that it would send.
-	Length int64 `json:"length,omitempty"`
-	Want   int64 `json:"want,omitempty"`
+	Length     int64 `json:"length,omitempty"`
+	WantLength int64 `json:"want,omitempty"`
 	// BodyDigest is the Digest of the body that came; WantDigest is what the
 	// endpoint said it would be.
 	BodyDigest string `json:"body_digest,omitempty"`
@@ -80,8 +80,8 @@
 type RequestEnded struct {
 	Endpoint string `json:"endpoint"`
 	Serial   uint64 `json:"serial"`
-	// CallerGone is set when the connection had gone before the end.
-	CallerGone bool `json:"caller_gone,omitempty"`
+	// CallerDisconnected is set when the connection had gone before the end.
+	CallerDisconnected bool `json:"caller_gone,omitempty"`
 }
 
 // RunBegan says that a worker began a run.
--- a/check/run.go
+++ b/check/run.go
@@ -29,10 +29,10 @@
 }
 
 // Run checks records against every promise with the default limits.
-func Run(records []Record) Report { return RunLimits(records, DefaultLimits()) }
+func Run(records []Record) Report { return RunWithLimits(records, DefaultLimits()) }
 
-// RunLimits checks records against every promise.
-func RunLimits(records []Record, limits Limits) Report {
+// RunWithLimits checks records against every promise.
+func RunWithLimits(records []Record, limits Limits) Report {
 	records = slices.Clone(records)
 	slices.SortStableFunc(records, func(a, b Record) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Seq, b.Seq))
@@ -49,14 +49,14 @@
 	promise Promise
 	check   func([]Record, Limits) []Violation
 }{
-	{SlotsHeld, checkSlots},
-	{CapacityHeld, checkCapacity},
-	{OnePlace, checkOnePlace},
+	{SlotLimit, checkSlots},
+	{CapacityLimit, checkCapacity},
+	{SinglePlacement, checkOnePlace},
 	{ResumedOnce, checkResumedOnce},
-	{WholeAnswer, checkAnswers},
-	{NotRunTrue, checkNotRun},
+	{CompleteAnswer, checkAnswers},
+	{NotRunAccurate, checkNotRun},
 	{AtMostOnce, checkAtMostOnce},
-	{LeavingQuiet, checkLeaving},
+	{NoWorkAfterLeaving, checkLeaving},
 	{GracefulStop, checkDrain},
 	{ConfigMonotonic, checkConfigMonotonic},
 	{ConfigInTime, checkConfigInTime},
--- a/check/run_test.go
+++ b/check/run_test.go
@@ -37,9 +37,9 @@
 }
 
 func TestCheckers(t *testing.T) {
-	whole := check.Answered{Call: "c", Outcome: "answered", Echo: "d", EchoCall: "c", Length: 2, Want: 2}
+	whole := check.Answered{Call: "c", Outcome: "answered", EchoDigest: "d", EchoCall: "c", Length: 2, WantLength: 2}
 	crossed, other, cut := whole, whole, whole
-	crossed.EchoCall, other.Echo, cut.Length = "x", "x", 1
+	crossed.EchoCall, other.EchoDigest, cut.Length = "x", "x", 1
 	unknown := answered(check.Answered{Call: "c", Outcome: "unknown"})
 	notRun := answered(check.Answered{Call: "c", Outcome: "not_run"})
 	leaving := check.Record{LeavingBegan: &check.LeavingBegan{Member: "e"}}
@@ -54,20 +54,20 @@
 		promise   check.Promise
 		good, bad records
 	}{
-		{"slots", check.SlotsHeld, records{began("a", ""), ended(), began("b", "")}, records{began("a", ""), began("b", "")}},
-		{"capacity", check.CapacityHeld, records{start("w", 1, ""), stop("w", 1, "stopped"), second}, records{start("w", 1, ""), second}},
-		{"one place", check.OnePlace, records{start("w", 1, ""), stop("w", 1, "stopped"), start("v", 2, "")}, records{start("w", 1, ""), start("v", 2, "")}},
+		{"slots", check.SlotLimit, records{began("a", ""), ended(), began("b", "")}, records{began("a", ""), began("b", "")}},
+		{"capacity", check.CapacityLimit, records{start("w", 1, ""), stop("w", 1, "stopped"), second}, records{start("w", 1, ""), second}},
+		{"one place", check.SinglePlacement, records{start("w", 1, ""), stop("w", 1, "stopped"), start("v", 2, "")}, records{start("w", 1, ""), start("v", 2, "")}},
 		{"epochs", check.ResumedOnce, records{start("w", 1, ""), stop("w", 1, "stopped"), start("w", 2, "")}, records{start("w", 2, ""), stop("w", 2, "stopped"), start("w", 2, "")}},
 		{"checkpoint", check.ResumedOnce, records{start("w", 2, "c"), stop("w", 2, "stopped"), start("w", 3, "d")}, records{start("w", 2, "c"), stop("w", 2, "stopped"), start("w", 3, "c")}},
 		{"checkpoint of a run that failed", check.ResumedOnce, records{start("w", 2, "c"), stop("w", 2, "failed"), start("v", 3, "c")}, records{start("w", 2, "c"), start("v", 3, "c"), stop("w", 2, "failed")}},
 		{"checkpoint of a run that was done", check.ResumedOnce, records{start("w", 2, "c"), stop("w", 2, "expired"), start("v", 3, "c"), stop("v", 3, "done")}, records{start("w", 2, "c"), stop("w", 2, "done"), start("v", 3, "c")}},
 		{"done", check.ResumedOnce, records{start("w", 1, ""), stop("w", 1, "done")}, records{start("w", 1, ""), stop("w", 1, "done"), start("w", 2, "")}},
-		{"crossed", check.WholeAnswer, records{sent("c"), answered(whole)}, records{sent("c"), answered(crossed)}},
-		{"other body", check.WholeAnswer, records{sent("c"), unknown}, records{sent("c"), answered(other)}},
-		{"cut", check.WholeAnswer, records{sent("c"), notRun}, records{sent("c"), answered(cut)}},
-		{"not run", check.NotRunTrue, records{sent("c"), unknown, began("c", "")}, records{sent("c"), notRun, began("c", "")}},
+		{"crossed", check.CompleteAnswer, records{sent("c"), answered(whole)}, records{sent("c"), answered(crossed)}},
+		{"other body", check.CompleteAnswer, records{sent("c"), unknown}, records{sent("c"), answered(other)}},
+		{"cut", check.CompleteAnswer, records{sent("c"), notRun}, records{sent("c"), answered(cut)}},
+		{"not run", check.NotRunAccurate, records{sent("c"), unknown, began("c", "")}, records{sent("c"), notRun, began("c", "")}},
 		{"booking", check.AtMostOnce, records{began("a", "k"), ended(), began("b", "l")}, records{began("a", "k"), ended(), began("b", "k")}},
-		{"leaving", check.LeavingQuiet, records{leaving, began("a", "")}, records{leaving, sent("x"), sent("y"), sent("z"), began("a", "")}},
+		{"leaving", check.NoWorkAfterLeaving, records{leaving, began("a", "")}, records{leaving, sent("x"), sent("y"), sent("z"), began("a", "")}},
 		{"drain", check.GracefulStop, records{sent("c"), drain, answered(whole)}, records{sent("c"), drain, unknown}},
 		{"drain, no end", check.GracefulStop, records{sent("c"), drain, notRun}, records{sent("c"), drain}},
 		{"reverted", check.ConfigMonotonic, records{force("h", 1), force("h", 2)}, records{force("h", 2), force("h", 1)}},
--- a/check/slots.go
+++ b/check/slots.go
@@ -12,7 +12,7 @@
 			b := r.RequestBegan
 			running[b.Endpoint]++
 			if n := running[b.Endpoint]; n > b.Slots {
-				found = append(found, violation(SlotsHeld,
+				found = append(found, violation(SlotLimit,
 					fmt.Sprintf("%s worked on %d requests with %d slots", b.Endpoint, n, b.Slots), r))
 			}
 		case r.RequestEnded != nil:
--- a/faultproxy/proxy.go
+++ b/faultproxy/proxy.go
@@ -44,7 +44,7 @@
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
 // Set replaces the faults for all connections, open ones too.
-func (p *Proxy) Set(f Faults) {
+func (p *Proxy) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
@@ -53,7 +53,7 @@
 }
 
 // Cut resets every open connection.
-func (p *Proxy) Cut() {
+func (p *Proxy) ResetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
@@ -67,7 +67,7 @@
 	p.once.Do(func() {
 		close(p.closed)
 		err = p.listener.Close()
-		p.Cut()
+		p.ResetAll()
 	})
 	p.running.Wait()
 	return err
@@ -75,7 +75,7 @@
 
 // Held returns how many pieces of bytes a freeze holds now, an end of stream
 // counting as one.
-func (p *Proxy) Held() int {
+func (p *Proxy) HeldChunks() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held
--- a/faultproxy/proxy_test.go
+++ b/faultproxy/proxy_test.go
@@ -66,7 +66,7 @@
 	expect(t, server, "ask")
 	_, _ = io.WriteString(server, "answer")
 	expect(t, client, "answer")
-	p.Cut()
+	p.ResetAll()
 	if _, err := client.Read(make([]byte, 1)); err == nil {
 		t.Error("read after the cut")
 	}
@@ -74,7 +74,7 @@
 
 func TestDropsOneDirection(t *testing.T) {
 	p, client, server := link(t)
-	p.Set(faultproxy.Faults{DropToTarget: true})
+	p.SetFaults(faultproxy.Faults{DropToTarget: true})
 	_, _ = io.WriteString(client, "lost")
 	_ = client.(*net.TCPConn).CloseWrite()
 	if data, err := io.ReadAll(server); err != nil || len(data) != 0 {
@@ -86,7 +86,7 @@
 
 func TestFreezeHoldsBytes(t *testing.T) {
 	p, client, server := link(t)
-	p.Set(faultproxy.Faults{Freeze: true})
+	p.SetFaults(faultproxy.Faults{Freeze: true})
 	_, _ = io.WriteString(client, "held")
 	got := make(chan byte, 1)
 	go func() {
@@ -94,7 +94,7 @@
 		_, _ = server.Read(b)
 		got <- b[0]
 	}()
-	for p.Held() == 0 {
+	for p.HeldChunks() == 0 {
 		select {
 		case <-got:
 			t.Fatal("a byte passed a frozen proxy")
@@ -102,7 +102,7 @@
 			runtime.Gosched()
 		}
 	}
-	p.Set(faultproxy.Faults{})
+	p.SetFaults(faultproxy.Faults{})
 	if b := <-got; b != 'h' {
 		t.Errorf("read %q", b)
 	}
@@ -110,7 +110,7 @@
 
 func TestResetAfterBytes(t *testing.T) {
 	p, client, server := link(t)
-	p.Set(faultproxy.Faults{ResetAfter: 3})
+	p.SetFaults(faultproxy.Faults{ResetAfter: 3})
 	_, _ = io.WriteString(client, "abcdef")
 	data, err := io.ReadAll(server)
 	if err == nil || len(data) > 3 {
--- a/integration/balancer.go
+++ b/integration/balancer.go
@@ -16,7 +16,7 @@
 func newBalancer(hosts []*Host) *balancer {
 	b := &balancer{}
 	for _, h := range hosts {
-		b.ready = append(b.ready, h.Callers)
+		b.ready = append(b.ready, h.CallersURL)
 	}
 	return b
 }
@@ -48,7 +48,7 @@
 	var ready []string
 	for i, h := range hosts {
 		if answers[i] {
-			ready = append(ready, h.Callers)
+			ready = append(ready, h.CallersURL)
 		}
 	}
 	b.mu.Lock()
--- a/integration/batch_cancel_test.go
+++ b/integration/batch_cancel_test.go
@@ -21,12 +21,12 @@
 	epochs := map[string]int64{}
 	for round := range rounds {
 		ids := s.submitMany(submitters, each, round)
-		s.Until("some run", func() bool { return s.running() > 0 })
+		s.WaitUntil("some run", func() bool { return s.running() > 0 })
 		for id, epoch := range s.cancelAll(ids, uint64(round)) {
 			epochs[id] = epoch
 		}
 	}
-	s.Until("nothing runs", func() bool { return s.running() == 0 })
+	s.WaitUntil("nothing runs", func() bool { return s.running() == 0 })
 	s.checkCancelled(epochs)
 	s.Check()
 }
@@ -97,7 +97,7 @@
 func (s *Site) cancelOne(id string, first int) *jobs.JobStatus {
 	again := time.NewTicker(pollInterval)
 	defer again.Stop()
-	for n, end := first, time.Now().Add(Patience); time.Now().Before(end); n++ {
+	for n, end := first, time.Now().Add(ConditionTimeout); time.Now().Before(end); n++ {
 		got, err := s.Cancel(s.Hosts[n%len(s.Hosts)], id)
 		if err == nil && got.State == "cancelled" {
 			return got
--- a/integration/batch_load_test.go
+++ b/integration/batch_load_test.go
@@ -95,7 +95,7 @@
 func (l *jobLoad) submit(rng *rand.Rand, spec *jobs.JobSpec) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for end := time.Now().Add(Patience); time.Now().Before(end); <-ticker.C {
+	for end := time.Now().Add(ConditionTimeout); time.Now().Before(end); <-ticker.C {
 		h := l.site.Hosts[rng.IntN(len(l.site.Hosts))]
 		if !h.up() {
 			continue
@@ -126,7 +126,7 @@
 func (l *jobLoad) await(n int) {
 	l.site.t.Helper()
 	want := l.acknowledged() + n
-	l.site.Until("jobs acknowledged", func() bool { return l.acknowledged() >= want })
+	l.site.WaitUntil("jobs acknowledged", func() bool { return l.acknowledged() >= want })
 }
 
 // finish stops submitting and waits until every acknowledged job is done. It
@@ -170,7 +170,7 @@
 			}
 		}
 	}()
-	s.Until("all jobs done", func() bool {
+	s.WaitUntil("all jobs done", func() bool {
 		for id := range left {
 			h := s.Hosts[len(left)%len(s.Hosts)]
 			st, err := s.Job(h, id)
--- a/integration/batch_owner_test.go
+++ b/integration/batch_owner_test.go
@@ -32,7 +32,7 @@
 				dead := s.owner(rng)
 				s.Kill(dead)
 				if rng.IntN(2) == 0 {
-					s.Until("workers have owners", s.workersOwnedWithout(dead))
+					s.WaitUntil("workers have owners", s.workersOwnedWithout(dead))
 				}
 				l.await(5)
 				s.Restart(dead)
@@ -56,13 +56,13 @@
 		l.await(15)
 		late := s.owner(rng)
 		s.Pause(late)
-		s.Until("workers have owners", s.workersOwnedWithout(late))
+		s.WaitUntil("workers have owners", s.workersOwnedWithout(late))
 		l.await(15)
 		s.Resume(late)
 		l.await(5)
 	}
 	l.finish()
-	s.WaitHeld()
+	s.WaitShardsHeld()
 	s.Check()
 }
 
@@ -78,14 +78,14 @@
 		l.await(15)
 		late := s.owner(rng)
 		store := s.Link(late.Name, Table)
-		store.Set(faultproxy.Faults{Freeze: true})
-		s.Until("bytes to the store are held", func() bool { return store.Held() > 0 })
-		s.CutPeers(late.Name)
-		s.Until("workers have owners", s.workersOwnedWithout(late))
-		store.Set(faultproxy.Faults{})
-		s.JoinPeers(late.Name)
+		store.SetFaults(faultproxy.Faults{Freeze: true})
+		s.WaitUntil("bytes to the store are held", func() bool { return store.HeldChunks() > 0 })
+		s.DisconnectPeers(late.Name)
+		s.WaitUntil("workers have owners", s.workersOwnedWithout(late))
+		store.SetFaults(faultproxy.Faults{})
+		s.ReconnectPeers(late.Name)
 		l.await(15)
-		s.WaitHeld()
+		s.WaitShardsHeld()
 	}
 	l.finish()
 	s.Check()
@@ -95,10 +95,10 @@
 func (s *Site) owner(rng *rand.Rand) *Host {
 	s.t.Helper()
 	var owners []*Host
-	s.Until("an owner of workers", func() bool {
+	s.WaitUntil("an owner of workers", func() bool {
 		owners = nil
 		for _, h := range s.Hosts {
-			if s.HeldBy(h, "wk/") > 0 {
+			if s.ShardsHeldBy(h, "wk/") > 0 {
 				owners = append(owners, h)
 			}
 		}
@@ -114,7 +114,7 @@
 		n := 0
 		for _, h := range s.Hosts {
 			if h != out {
-				n += s.HeldBy(h, "wk/")
+				n += s.ShardsHeldBy(h, "wk/")
 			}
 		}
 		return n == s.shards()-s.endpointShards()
--- a/integration/batch_store_test.go
+++ b/integration/batch_store_test.go
@@ -26,7 +26,7 @@
 		s.must(err)
 		ids[st.ID] = true
 	}
-	s.Until("all run", func() bool { return len(s.runsOf(began)) == len(ids) })
+	s.WaitUntil("all run", func() bool { return len(s.runsOf(began)) == len(ids) })
 	s.TableFaults(standin.Faults{Down: true})
 	settings := s.Hosts[0].settings
 	pause(max(settings.Lease.Session.D(), settings.Lease.TaskLease.D()) + 2*time.Second)
@@ -60,6 +60,6 @@
 	l.await(120)
 	s.TableFaults(standin.Faults{})
 	l.finish()
-	s.WaitHeld()
+	s.WaitShardsHeld()
 	s.Check()
 }
--- a/integration/batch_worker_test.go
+++ b/integration/batch_worker_test.go
@@ -54,17 +54,17 @@
 			t.Parallel()
 			s := batchSite(t)
 			l := s.startJobs(11, one.mix)
-			s.Until("a run at the victim", func() bool { return s.begun(victim) > 0 })
+			s.WaitUntil("a run at the victim", func() bool { return s.begun(victim) > 0 })
 			one.begin(s)
 			if one.interrupts {
-				s.Until("its runs were cut short", func() bool {
+				s.WaitUntil("its runs were cut short", func() bool {
 					return len(s.runsOf(interrupted)) > 0
 				})
 			}
 			l.await(30)
 			one.end(s)
 			before := s.begun(victim)
-			s.Until("runs at the victim again", func() bool { return s.begun(victim) > before })
+			s.WaitUntil("runs at the victim again", func() bool { return s.begun(victim) > before })
 			l.finish()
 			s.Check()
 		})
@@ -99,7 +99,7 @@
 		t.Errorf("%d starts at a worker that fails all, expected at most %d", failed, most)
 	}
 	s.WorkerFaults(victim, standin.WorkerFaults{})
-	s.Until("runs at the healed worker", func() bool {
+	s.WaitUntil("runs at the healed worker", func() bool {
 		return len(s.runsOf(func(r check.Record) bool {
 			return r.RunEnded != nil && r.RunEnded.Worker == victim && r.RunEnded.State == infra.RunDone
 		})) > 0
@@ -116,7 +116,7 @@
 	t.Parallel()
 	s := batchSite(t)
 	l := s.startJobs(17, small([2]int64{1500, 4000}))
-	s.Until("runs at the victim", func() bool { return s.begun(victim) >= 3 })
+	s.WaitUntil("runs at the victim", func() bool { return s.begun(victim) >= 3 })
 	s.must(s.post(s.at.Members+"/state", standin.StateChange{Name: victim, State: infra.Leaving}))
 	// A start may be under way as the list says so.
 	pause(check.DefaultLimits().LeavingGrace)
--- a/integration/config_race_test.go
+++ b/integration/config_race_test.go
@@ -79,7 +79,7 @@
 
 // applyCommand runs fireflygate apply as a process.
 func (s *Site) applyCommand(h *Host, base int, author, dir string) applied {
-	cmd := exec.Command(s.programs.Gate, "apply", "-to", h.Operators, "-base", fmt.Sprint(base), "-author", author, dir)
+	cmd := exec.Command(s.programs.Gate, "apply", "-to", h.OperatorsURL, "-base", fmt.Sprint(base), "-author", author, dir)
 	out, _ := cmd.CombinedOutput()
 	return applied{author: author, code: cmd.ProcessState.ExitCode(), output: string(out)}
 }
@@ -87,7 +87,7 @@
 // untilVersion waits until hosts have a version, or a later one, in force.
 func (s *Site) untilVersion(version int64, hosts []*Host) {
 	s.t.Helper()
-	s.Until(fmt.Sprintf("version %d in force", version), func() bool {
+	s.WaitUntil(fmt.Sprintf("version %d in force", version), func() bool {
 		for _, h := range hosts {
 			status, err := h.Status()
 			if err != nil || status.ConfigVersion < version {
--- a/integration/config_register_test.go
+++ b/integration/config_register_test.go
@@ -130,7 +130,7 @@
 func (s *Site) newest(h *Host) (registerOutput, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	c := configsclient.NewClient("http", hostOf(h.Operators), &http.Client{Transport: s.client.Transport},
+	c := configsclient.NewClient("http", hostOf(h.OperatorsURL), &http.Client{Transport: s.client.Transport},
 		goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	res, err := c.Versions()(ctx, nil)
 	if err != nil {
--- a/integration/config_spread_test.go
+++ b/integration/config_spread_test.go
@@ -47,18 +47,18 @@
 	s := New(t, Options{})
 	s.untilVersion(s.change(s.Hosts[0], 0, 301).Version, s.Hosts)
 	parted := s.Hosts[2]
-	s.CutPeers(parted.Name)
-	s.Cut(parted.Name, Table, Objects)
+	s.DisconnectPeers(parted.Name)
+	s.Disconnect(parted.Name, Table, Objects)
 	second := s.change(s.Hosts[1], 1, 302)
 	s.untilVersion(second.Version, s.Hosts[:2])
 	if status, err := parted.Status(); err != nil || status.ConfigVersion != 1 {
 		t.Errorf("parted host: %+v, %v", status, err)
 	}
-	s.JoinPeers(parted.Name)
+	s.ReconnectPeers(parted.Name)
 	s.untilVersion(second.Version, s.Hosts)
-	s.Join(parted.Name, Table, Objects)
+	s.Reconnect(parted.Name, Table, Objects)
 	// A host that nothing reaches has no bound; all else must hold.
-	s.CheckLimits(limitsWithin(time.Minute))
+	s.CheckWithLimits(limitsWithin(time.Minute))
 }
 
 // change applies a change of the site's policy at a host.
--- a/integration/control.go
+++ b/integration/control.go
@@ -40,28 +40,28 @@
 
 // Cut parts an entry host from others: connections are reset, new ones
 // refused, until Join. Names are those of Link.
-func (s *Site) Cut(host string, from ...string) {
+func (s *Site) Disconnect(host string, from ...string) {
 	for _, name := range from {
 		p := s.Link(host, name)
-		p.Set(faultproxy.Faults{Refuse: true})
-		p.Cut()
+		p.SetFaults(faultproxy.Faults{Refuse: true})
+		p.ResetAll()
 	}
 }
 
 // Drop parts an entry host from others: every byte is lost without a word,
 // until Join.
-func (s *Site) Drop(host string, from ...string) {
+func (s *Site) DropTraffic(host string, from ...string) {
 	for _, name := range from {
-		s.Link(host, name).Set(faultproxy.Faults{DropToTarget: true, DropToClient: true})
+		s.Link(host, name).SetFaults(faultproxy.Faults{DropToTarget: true, DropToClient: true})
 	}
 }
 
 // Join undoes Cut and Drop. Connections that lost bytes are reset.
-func (s *Site) Join(host string, to ...string) {
+func (s *Site) Reconnect(host string, to ...string) {
 	for _, name := range to {
 		p := s.Link(host, name)
-		p.Cut()
-		p.Set(faultproxy.Faults{})
+		p.ResetAll()
+		p.SetFaults(faultproxy.Faults{})
 	}
 }
 
@@ -76,20 +76,20 @@
 	return names
 }
 
-// CutPeers parts an entry host from all others, both ways; JoinPeers undoes
+// DisconnectPeers parts an entry host from all others, both ways; ReconnectPeers undoes
 // it.
-func (s *Site) CutPeers(host string) {
-	s.Cut(host, s.Peers(host)...)
+func (s *Site) DisconnectPeers(host string) {
+	s.Disconnect(host, s.Peers(host)...)
 	for _, other := range s.Peers(host) {
-		s.Cut(other, host)
+		s.Disconnect(other, host)
 	}
 }
 
-// JoinPeers undoes CutPeers.
-func (s *Site) JoinPeers(host string) {
-	s.Join(host, s.Peers(host)...)
+// ReconnectPeers undoes DisconnectPeers.
+func (s *Site) ReconnectPeers(host string) {
+	s.Reconnect(host, s.Peers(host)...)
 	for _, other := range s.Peers(host) {
-		s.Join(other, host)
+		s.Reconnect(other, host)
 	}
 }
 
@@ -131,19 +131,19 @@
 }
 
 // Remove takes a member from the membership list.
-func (s *Site) Remove(member string) {
+func (s *Site) RemoveMember(member string) {
 	s.t.Helper()
 	s.must(s.post(s.at.Members+"/remove", standin.Removal{Name: member}))
 }
 
 // List changes what the membership list says of a member.
-func (s *Site) List(member string, state infra.MemberState) {
+func (s *Site) SetMemberState(member string, state infra.MemberState) {
 	s.t.Helper()
 	s.must(s.post(s.at.Members+"/state", standin.StateChange{Name: member, State: state}))
 }
 
-// ListHost puts an entry host on the membership list again.
-func (s *Site) ListHost(h *Host) {
+// RegisterHost puts an entry host on the membership list again.
+func (s *Site) RegisterHost(h *Host) {
 	s.t.Helper()
 	s.must(s.post(s.at.Control+"/entry-host",
 		standin.EntryHostConfig{Name: h.Name, Peer: h.peer, Zone: h.settings.Host.Zone}))
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -14,17 +14,17 @@
 	s := New(t, Options{StandIns: func(c *standin.Config) {
 		c.Services[0].Slots, c.Services[0].Work = 16, standin.WorkTime{MedianMS: 500, Sigma: 0.1, Seed: 1}
 	}})
-	tr := s.Callers(TrafficOptions{Rate: 80, Bookings: 0.3, Repeat: 0.3, Timeout: 2000e6})
+	tr := s.StartCallers(TrafficOptions{Rate: 80, Bookings: 0.3, Repeat: 0.3, Timeout: 2000e6})
 	tr.Await("requests before", 80, Any)
 	for _, h := range s.Hosts {
 		s.Drain(h)
 		tr.Await("requests without "+h.Name, 40, Any)
 		s.Restart(h)
-		s.WaitHeld()
+		s.WaitShardsHeld()
 		tr.Await("requests with it again", 40, Any)
 	}
 	tr.Stop()
-	all := TallyOf(tr.Ended(), Any)
+	all := CountOutcomes(tr.Ended(), Any)
 	t.Log(all)
 	if all.NotRun+all.Unknown > 0 {
 		t.Errorf("requests were lost: %s", all)
--- a/integration/endpoint_test.go
+++ b/integration/endpoint_test.go
@@ -58,20 +58,20 @@
 		{
 			"Leaving",
 			// The endpoint itself would refuse, and hide what it is sent.
-			func(s *Site, e string) { s.List(e, infra.Leaving) },
-			func(s *Site, e string) { s.List(e, infra.Live) },
+			func(s *Site, e string) { s.SetMemberState(e, infra.Leaving) },
+			func(s *Site, e string) { s.SetMemberState(e, infra.Live) },
 			1, true,
 		},
 		{
 			"CutOff",
 			func(s *Site, e string) {
 				for _, h := range s.Hosts {
-					s.Drop(h.Name, e)
+					s.DropTraffic(h.Name, e)
 				}
 			},
 			func(s *Site, e string) {
 				for _, h := range s.Hosts {
-					s.Join(h.Name, e)
+					s.Reconnect(h.Name, e)
 				}
 			},
 			0.9, false,
@@ -84,7 +84,7 @@
 				// counted by its host, must end before overruns count again.
 				s.EndpointFaults(e, standin.EndpointFaults{RefuseOverrun: true})
 				hung := s.began(e)
-				s.Until("what hung has ended", func() bool { return s.ended(e) >= hung })
+				s.WaitUntil("what hung has ended", func() bool { return s.ended(e) >= hung })
 				s.EndpointFaults(e, standin.EndpointFaults{})
 			},
 			0.9, false,
@@ -102,7 +102,7 @@
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
 			s := New(t, Options{StandIns: func(c *standin.Config) { c.Services[0].Work.Sigma = 0.2 }})
-			tr := s.Callers(carefulCallers)
+			tr := s.StartCallers(carefulCallers)
 			tr.Await("requests before", 300, Any)
 			const victim = "dispatch-2"
 			f.begin(s, victim)
@@ -110,19 +110,19 @@
 			from := len(tr.Ended())
 			tr.Await("requests meanwhile", 800, Any)
 			seen := tr.Ended()[from:]
-			good := TallyOf(seen, wellAnswered)
-			t.Logf("meanwhile: %s, well answered %d", TallyOf(seen, Any), good.Answered)
+			good := CountOutcomes(seen, wellAnswered)
+			t.Logf("meanwhile: %s, well answered %d", CountOutcomes(seen, Any), good.Answered)
 			if share := float64(good.Answered) / float64(len(seen)); share < f.least {
 				t.Errorf("share answered %.4f", share)
 			}
 			f.end(s, victim)
 			if f.returns {
 				had := s.began(victim)
-				s.Until("the endpoint gets requests again", func() bool { return s.began(victim) > had })
+				s.WaitUntil("the endpoint gets requests again", func() bool { return s.began(victim) > had })
 			}
 			tr.Await("requests after", 100, Answered)
 			tr.Stop()
-			if refused := TallyOf(tr.Ended(), refusedForLoad); refused.NotRun > 0 {
+			if refused := CountOutcomes(tr.Ended(), refusedForLoad); refused.NotRun > 0 {
 				t.Errorf("refused beside idle endpoints: %v", refused.Reasons)
 			}
 			s.Check()
@@ -135,18 +135,18 @@
 func TestEndpointLinksCut(t *testing.T) {
 	t.Parallel()
 	s := New(t, Options{StandIns: saturated})
-	tr := s.Callers(saturating)
+	tr := s.StartCallers(saturating)
 	for range 6 {
 		tr.Await("answers", 150, Answered)
 		for _, h := range s.Hosts {
 			for i := range 6 {
-				s.Link(h.Name, fmt.Sprintf("%s-%d", Service, i)).Cut()
+				s.Link(h.Name, fmt.Sprintf("%s-%d", Service, i)).ResetAll()
 			}
 		}
 	}
 	tr.Await("answers after", 300, Answered)
 	tr.Stop()
-	t.Log(TallyOf(tr.Ended(), Any))
+	t.Log(CountOutcomes(tr.Ended(), Any))
 	s.Check()
 }
 
--- a/integration/history.go
+++ b/integration/history.go
@@ -25,15 +25,15 @@
 // breaches.
 func (s *Site) Check() {
 	s.t.Helper()
-	s.CheckLimits(check.DefaultLimits())
+	s.CheckWithLimits(check.DefaultLimits())
 }
 
-// CheckLimits is Check with other limits.
-func (s *Site) CheckLimits(limits check.Limits) {
+// CheckWithLimits is Check with other limits.
+func (s *Site) CheckWithLimits(limits check.Limits) {
 	s.t.Helper()
 	records := s.settled()
 	s.reportStrangers(records)
-	s.report(check.RunLimits(records, limits))
+	s.report(check.RunWithLimits(records, limits))
 }
 
 // reportStrangers fails the test for requests at endpoints that no caller of
@@ -65,7 +65,7 @@
 func (s *Site) settled() []check.Record {
 	s.t.Helper()
 	var records []check.Record
-	s.Until("the endpoints are idle", func() bool {
+	s.WaitUntil("the endpoints are idle", func() bool {
 		records = s.History()
 		busy := 0
 		for _, r := range records {
--- a/integration/host.go
+++ b/integration/host.go
@@ -27,7 +27,7 @@
 	// Name is its name in the membership list.
 	Name string
 	// Callers is the URL for callers, Operators that for operators.
-	Callers, Operators string
+	CallersURL, OperatorsURL string
 
 	peer     string
 	dir      string
@@ -88,7 +88,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.Operators+"/readyz", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.OperatorsURL+"/readyz", nil)
 	if err != nil {
 		panic(fmt.Sprintf("integration: bad address: %v", err))
 	}
@@ -104,7 +104,7 @@
 func (h *Host) Status() (*operations.HostStatus, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	client := operationsclient.NewClient("http", hostOf(h.Operators), h.client, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
+	client := operationsclient.NewClient("http", hostOf(h.OperatorsURL), h.client, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	res, err := client.Status()(ctx, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, h.Name)
--- a/integration/host_test.go
+++ b/integration/host_test.go
@@ -14,12 +14,12 @@
 func TestHostKilled(t *testing.T) {
 	t.Parallel()
 	s := New(t, Options{})
-	tr := s.Callers(TrafficOptions{Bookings: 0.5, Repeat: 0.3})
+	tr := s.StartCallers(TrafficOptions{Bookings: 0.5, Repeat: 0.3})
 	tr.Await("requests before", 400, Any)
 	dead, at := s.Hosts[0], time.Now()
 	s.Kill(dead)
 	before := tr.Ended()
-	s.Until("others own all endpoints", s.ownedWithout(dead))
+	s.WaitUntil("others own all endpoints", s.ownedWithout(dead))
 	tr.Await("requests after", 400, Any)
 	killed := unknownElsewhere(tr.Ended(), dead, at)
 	if n := len(killed); n > 0 {
@@ -27,10 +27,10 @@
 	}
 	sendAgain(t, tr, before, s.Hosts[1:])
 	s.Restart(dead)
-	s.WaitHeld()
+	s.WaitShardsHeld()
 	tr.Await("requests after the restart", 200, Answered)
 	tr.Stop()
-	t.Log(TallyOf(tr.Ended(), Any))
+	t.Log(CountOutcomes(tr.Ended(), Any))
 	s.Check()
 }
 
@@ -40,7 +40,7 @@
 func unknownElsewhere(exchanges []load.Exchange, dead *Host, at time.Time) []load.Exchange {
 	var found []load.Exchange
 	for _, x := range exchanges {
-		if x.Outcome == outcome.Unknown && x.Target != dead.Callers && x.Sent.After(at) && !x.Retried {
+		if x.Outcome == outcome.Unknown && x.Target != dead.CallersURL && x.Sent.After(at) && !x.Retried {
 			found = append(found, x)
 		}
 	}
@@ -58,7 +58,7 @@
 			continue
 		}
 		sent++
-		again := tr.Repeat(x, hosts[sent%len(hosts)])
+		again := tr.Resend(x, hosts[sent%len(hosts)])
 		switch {
 		case x.Outcome == outcome.NotRun, again.Outcome == outcome.Unknown:
 		case x.Outcome == outcome.Unknown && again.Outcome == outcome.NotRun:
@@ -76,16 +76,16 @@
 func TestHostPaused(t *testing.T) {
 	t.Parallel()
 	s := New(t, Options{StandIns: saturated})
-	tr := s.Callers(saturating)
+	tr := s.StartCallers(saturating)
 	tr.Await("requests before", 300, Answered)
 	late := s.Hosts[1]
 	s.Pause(late)
-	s.Until("others own all endpoints", s.ownedWithout(late))
+	s.WaitUntil("others own all endpoints", s.ownedWithout(late))
 	tr.Await("requests meanwhile", 300, Answered)
 	s.Resume(late)
 	tr.Await("requests at the host that was paused", 100, both(at(late), Answered))
-	s.WaitHeld()
+	s.WaitShardsHeld()
 	tr.Stop()
-	t.Log(TallyOf(tr.Ended(), Any))
+	t.Log(CountOutcomes(tr.Ended(), Any))
 	s.Check()
 }
--- a/integration/lifecycle.go
+++ b/integration/lifecycle.go
@@ -44,5 +44,5 @@
 	s.t.Helper()
 	s.examine(h.Name, h.current())
 	s.must(h.start(s.programs.Gate))
-	s.Until(h.Name+" ready", h.Ready)
+	s.WaitUntil(h.Name+" ready", h.Ready)
 }
--- a/integration/mutation.go
+++ b/integration/mutation.go
@@ -18,7 +18,7 @@
 	// Test is the scenario that must fail, as a pattern of go test.
 	Test string
 	// Breach is a text that its output must hold.
-	Breach string
+	ExpectedOutput string
 }
 
 // Mutations returns all of them.
--- a/integration/mutation_test.go
+++ b/integration/mutation_test.go
@@ -34,7 +34,7 @@
 			out, err := exec.Command(os.Args[0], "-test.run="+m.Test, "-mutation="+m.Name, "-test.count=1").CombinedOutput()
 			breach := "nothing"
 			for line := range strings.Lines(string(out)) {
-				if strings.Contains(line, m.Breach) {
+				if strings.Contains(line, m.ExpectedOutput) {
 					breach = strings.TrimSpace(line)
 					break
 				}
--- a/integration/operators.go
+++ b/integration/operators.go
@@ -21,7 +21,7 @@
 
 // jobs returns a client of a host's jobs.
 func (s *Site) jobs(h *Host) *jobsclient.Client {
-	return jobsclient.NewClient("http", hostOf(h.Callers), s.client, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
+	return jobsclient.NewClient("http", hostOf(h.CallersURL), s.client, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 }
 
 // Submit submits a job once at a host. The error may be a *jobs.Problem.
@@ -61,7 +61,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	c := configsclient.NewClient("http", hostOf(h.Operators), &http.Client{Transport: s.client.Transport},
+	c := configsclient.NewClient("http", hostOf(h.OperatorsURL), &http.Client{Transport: s.client.Transport},
 		goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	res, err := c.Apply()(ctx, &configs.ApplyPayload{Base: base, Author: "integration", Content: content})
 	if err != nil {
--- a/integration/partition_test.go
+++ b/integration/partition_test.go
@@ -12,12 +12,12 @@
 func TestCutOffFromStore(t *testing.T) {
 	t.Parallel()
 	undisturbed(t, 0, func(t *testing.T, s *Site) func() {
-		tr := s.Callers(TrafficOptions{Bookings: 0.2, Repeat: 0.3})
+		tr := s.StartCallers(TrafficOptions{Bookings: 0.2, Repeat: 0.3})
 		tr.Await("requests before", 300, Any)
 		h := s.Hosts[0]
-		held := s.HeldBy(h, "ep/")
-		s.Cut(h.Name, Table, Objects)
-		s.Until("the host knows that the store is gone", func() bool {
+		held := s.ShardsHeldBy(h, "ep/")
+		s.Disconnect(h.Name, Table, Objects)
+		s.WaitUntil("the host knows that the store is gone", func() bool {
 			status, err := h.Status()
 			return err == nil && !status.StoreOK
 		})
@@ -25,11 +25,11 @@
 		// Far more than a session's worth of requests.
 		tr.Await("requests meanwhile", 1000, Any)
 		to := len(tr.Ended())
-		now := s.HeldBy(h, "ep/")
-		s.Join(h.Name, Table, Objects)
+		now := s.ShardsHeldBy(h, "ep/")
+		s.Reconnect(h.Name, Table, Objects)
 		tr.Await("bookings there again", 20, both(both(Booking, at(h)), Answered))
 		tr.Stop()
-		s.WaitHeld()
+		s.WaitShardsHeld()
 		s.Check()
 		return func() {
 			if now != held {
@@ -44,15 +44,15 @@
 // the store, and every booking at the other hosts.
 func judgeCutOff(t *testing.T, h *Host, meanwhile []load.Exchange) {
 	t.Helper()
-	calls := TallyOf(meanwhile, Call)
+	calls := CountOutcomes(meanwhile, Call)
 	t.Log("calls meanwhile:", calls)
 	if calls.Answered == 0 || calls.NotRun+calls.Unknown > 0 {
 		t.Errorf("calls: %s", calls)
 	}
-	if elsewhere := TallyOf(meanwhile, both(Booking, not(at(h)))); elsewhere.NotRun+elsewhere.Unknown > 0 {
+	if elsewhere := CountOutcomes(meanwhile, both(Booking, not(at(h)))); elsewhere.NotRun+elsewhere.Unknown > 0 {
 		t.Errorf("bookings at other hosts: %s", elsewhere)
 	}
-	t.Log("bookings there:", TallyOf(meanwhile, both(Booking, at(h))))
+	t.Log("bookings there:", CountOutcomes(meanwhile, both(Booking, at(h))))
 }
 
 // TestCutOffFromPeers parts an entry host from its peers alone, under
@@ -60,14 +60,14 @@
 func TestCutOffFromPeers(t *testing.T) {
 	t.Parallel()
 	s := New(t, Options{StandIns: saturated})
-	tr := s.Callers(saturating)
+	tr := s.StartCallers(saturating)
 	tr.Await("requests before", 300, Answered)
 	h := s.Hosts[0]
 	s.EndpointFaults("dispatch-0", standin.EndpointFaults{CutNext: 300})
 	tr.Await("answers cut off", 200, Any)
-	s.CutPeers(h.Name)
+	s.DisconnectPeers(h.Name)
 	tr.Await("requests meanwhile", 1200, Any)
-	s.JoinPeers(h.Name)
+	s.ReconnectPeers(h.Name)
 	s.EndpointFaults("dispatch-0", standin.EndpointFaults{})
 	finishPartition(t, s, tr)
 }
@@ -77,24 +77,24 @@
 func TestCutOffFromBoth(t *testing.T) {
 	t.Parallel()
 	s := New(t, Options{StandIns: saturated})
-	tr := s.Callers(saturating)
+	tr := s.StartCallers(saturating)
 	tr.Await("requests before", 300, Answered)
 	h := s.Hosts[2]
-	s.CutPeers(h.Name)
-	s.Cut(h.Name, Table, Objects, Members)
-	s.Until("others own all endpoints", s.ownedWithout(h))
+	s.DisconnectPeers(h.Name)
+	s.Disconnect(h.Name, Table, Objects, Members)
+	s.WaitUntil("others own all endpoints", s.ownedWithout(h))
 	tr.Await("requests meanwhile", 800, Any)
-	s.JoinPeers(h.Name)
-	s.Join(h.Name, Table, Objects, Members)
+	s.ReconnectPeers(h.Name)
+	s.Reconnect(h.Name, Table, Objects, Members)
 	finishPartition(t, s, tr)
 }
 
 func finishPartition(t *testing.T, s *Site, tr *Traffic) {
 	t.Helper()
-	s.WaitHeld()
+	s.WaitShardsHeld()
 	tr.Await("requests after", 300, Answered)
 	tr.Stop()
-	t.Log(TallyOf(tr.Ended(), Any))
+	t.Log(CountOutcomes(tr.Ended(), Any))
 	s.Check()
 }
 
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -6,7 +6,7 @@
 func TestWholePath(t *testing.T) {
 	t.Parallel()
 	s := New(t, Options{})
-	tr := s.Callers(TrafficOptions{Bookings: 0.3, Repeat: 0.5})
+	tr := s.StartCallers(TrafficOptions{Bookings: 0.3, Repeat: 0.5})
 	tr.Await("requests", 500, Any)
 	sum := tr.Stop()
 	if sum.NotRun+sum.Unknown > 0 || sum.Answered < 500 {
--- a/integration/repeat.go
+++ b/integration/repeat.go
@@ -8,10 +8,10 @@
 
 // Repeat sends a booking's request once more, to any host, under the same key
 // and with the same body.
-func (tr *Traffic) Repeat(x load.Exchange, to *Host) load.Exchange {
+func (tr *Traffic) Resend(x load.Exchange, to *Host) load.Exchange {
 	x.Retried = true
 	x.ID += "-repeat-" + to.Name
-	x = load.Send(context.Background(), tr.site.client, tr.site.traffic(tr.options), x, to.Callers)
+	x = load.Send(context.Background(), tr.site.client, tr.site.traffic(tr.options), x, to.CallersURL)
 	tr.observe(x)
 	return x
 }
--- a/integration/rig_test.go
+++ b/integration/rig_test.go
@@ -57,7 +57,7 @@
 
 // at matches exchanges with one host.
 func at(h *Host) func(load.Exchange) bool {
-	return func(x load.Exchange) bool { return x.Target == h.Callers }
+	return func(x load.Exchange) bool { return x.Target == h.CallersURL }
 }
 
 // both matches what two conditions match.
--- a/integration/site.go
+++ b/integration/site.go
@@ -22,7 +22,7 @@
 const maxSites = 4
 
 // Patience is how long Until waits; it bounds a scenario and decides nothing.
-const Patience = 30 * time.Second
+const ConditionTimeout = 30 * time.Second
 
 // pollInterval is how often conditions are looked at.
 const pollInterval = 20 * time.Millisecond
@@ -69,7 +69,7 @@
 	t.Cleanup(s.close)
 	s.watchers.Go(func() { s.machine.run(s.stop) })
 	s.must(s.start(o))
-	s.WaitHeld()
+	s.WaitShardsHeld()
 	return s
 }
 
@@ -131,17 +131,17 @@
 // addHost makes the links and settings of an entry host, and lists it.
 func (s *Site) addHost(o Options, i int) error {
 	h := &Host{
-		Name:      fmt.Sprintf("gate-%d", i),
-		Callers:   "http://" + s.block.address(i, callersPort),
-		Operators: "http://" + s.block.address(i, operatorsPort),
-		peer:      s.block.address(i, peersPort),
-		dir:       s.dir, links: newLinks(), client: s.client,
+		Name:         fmt.Sprintf("gate-%d", i),
+		CallersURL:   "http://" + s.block.address(i, callersPort),
+		OperatorsURL: "http://" + s.block.address(i, operatorsPort),
+		peer:         s.block.address(i, peersPort),
+		dir:          s.dir, links: newLinks(), client: s.client,
 	}
 	s.Hosts = append(s.Hosts, h)
 	h.view = newMemberView(s.at.Members, s.client, h.links)
 	h.settings = o.settings(i)
 	h.settings.Host.Name = h.Name
-	h.settings.Host.Listen, h.settings.Host.Operators = hostOf(h.Callers), hostOf(h.Operators)
+	h.settings.Host.Listen, h.settings.Host.Operators = hostOf(h.CallersURL), hostOf(h.OperatorsURL)
 	h.settings.Host.Peer = h.peer
 	for _, one := range []struct {
 		name, target string
--- a/integration/soak_test.go
+++ b/integration/soak_test.go
@@ -58,21 +58,27 @@
 		{"host paused", func(s *Site, v victims) { s.Pause(v.host) }, func(s *Site, v victims) { s.Resume(v.host) }, true, false, false},
 		{
 			"host cut off from the store",
-			func(s *Site, v victims) { s.Cut(v.host.Name, Table, Objects) },
-			func(s *Site, v victims) { s.Join(v.host.Name, Table, Objects) },
+			func(s *Site, v victims) { s.Disconnect(v.host.Name, Table, Objects) },
+			func(s *Site, v victims) { s.Reconnect(v.host.Name, Table, Objects) },
 			true, false, false,
 		},
-		{"host cut off from peers", func(s *Site, v victims) { s.CutPeers(v.host.Name) }, func(s *Site, v victims) { s.JoinPeers(v.host.Name) }, true, false, false},
+		{"host cut off from peers", func(s *Site, v victims) { s.DisconnectPeers(v.host.Name) }, func(s *Site, v victims) { s.ReconnectPeers(v.host.Name) }, true, false, false},
 		{
 			"host cut off from all but endpoints",
-			func(s *Site, v victims) { s.CutPeers(v.host.Name); s.Cut(v.host.Name, Table, Objects, Members) },
-			func(s *Site, v victims) { s.JoinPeers(v.host.Name); s.Join(v.host.Name, Table, Objects, Members) },
+			func(s *Site, v victims) {
+				s.DisconnectPeers(v.host.Name)
+				s.Disconnect(v.host.Name, Table, Objects, Members)
+			},
+			func(s *Site, v victims) {
+				s.ReconnectPeers(v.host.Name)
+				s.Reconnect(v.host.Name, Table, Objects, Members)
+			},
 			true, false, false,
 		},
 		{
 			"host listed as leaving",
-			func(s *Site, v victims) { s.List(v.host.Name, infra.Leaving) },
-			func(s *Site, v victims) { s.List(v.host.Name, infra.Live) },
+			func(s *Site, v victims) { s.SetMemberState(v.host.Name, infra.Leaving) },
+			func(s *Site, v victims) { s.SetMemberState(v.host.Name, infra.Live) },
 			true, false, false,
 		},
 	}
@@ -112,7 +118,7 @@
 		options, traffic = Options{StandIns: saturated}, saturating
 	}
 	s := New(t, options)
-	tr := s.Callers(traffic)
+	tr := s.StartCallers(traffic)
 	tr.Await("requests before", 200, Any)
 	beside := false
 	for round := range rounds {
@@ -133,11 +139,11 @@
 			first.end(s, a)
 			second.end(s, b)
 		}
-		s.WaitHeld()
+		s.WaitShardsHeld()
 	}
 	tr.Await("answers at the end", 100, Answered)
 	tr.Stop()
-	t.Log(TallyOf(tr.Ended(), Any))
+	t.Log(CountOutcomes(tr.Ended(), Any))
 	if beside {
 		checkBesideDrain(t, s, tr)
 		return
@@ -165,7 +171,7 @@
 	for _, h := range s.Hosts {
 		for _, at := range began[h.Name] {
 			for _, x := range tr.Ended() {
-				if x.Target == h.Callers && x.Sent.Before(at) && x.Done.After(at) && x.Status == 0 {
+				if x.Target == h.CallersURL && x.Sent.Before(at) && x.Done.After(at) && x.Status == 0 {
 					t.Errorf("breach: %s: call %s at %s: %s", check.GracefulStop, x.ID, h.Name, x.Reason)
 				}
 			}
--- a/integration/somestandstill_test.go
+++ b/integration/somestandstill_test.go
@@ -17,7 +17,7 @@
 func TestSomeStandStill(t *testing.T) {
 	t.Parallel()
 	s := New(t, Options{})
-	tr := s.Callers(TrafficOptions{Rate: 100, Bookings: 0.2, Timeout: 2 * time.Second})
+	tr := s.StartCallers(TrafficOptions{Rate: 100, Bookings: 0.2, Timeout: 2 * time.Second})
 	tr.Await("requests before", 150, Answered)
 	stopped := s.Hosts[:len(s.Hosts)/2]
 	running := func(x load.Exchange) bool {
@@ -26,7 +26,7 @@
 	for _, h := range stopped {
 		s.Pause(h)
 	}
-	s.Until("others own all endpoints", s.ownedWithout(stopped[0]))
+	s.WaitUntil("others own all endpoints", s.ownedWithout(stopped[0]))
 	from := time.Now()
 	tr.Await("requests at the hosts that run", 200, both(running, Answered))
 	to := time.Now()
@@ -36,9 +36,9 @@
 	for _, h := range stopped {
 		tr.Await("requests at a host that was stopped", 30, both(at(h), Answered))
 	}
-	s.WaitHeld()
+	s.WaitShardsHeld()
 	tr.Stop()
-	t.Log(TallyOf(tr.Ended(), Any))
+	t.Log(CountOutcomes(tr.Ended(), Any))
 	for _, x := range tr.Ended() {
 		if running(x) && x.Sent.After(from) && x.Sent.Before(to) && x.Outcome == outcome.Unknown && !x.Retried {
 			t.Errorf("request %s at a host that ran: unknown, %s", x.ID, x.Reason)
--- a/integration/standstill.go
+++ b/integration/standstill.go
@@ -54,7 +54,7 @@
 // sessions may have lapsed, where a scenario itself stops processes for as long as
 // own: a session counts from its last renewal. Entry hosts then use nothing until
 // they have read the table again, whatever a test is about.
-func (s *Site) Disturbed(from time.Time, own time.Duration) bool {
+func (s *Site) SessionsMayHaveExpired(from time.Time, own time.Duration) bool {
 	lease := s.Hosts[0].settings.Lease
 	longest := s.machine.longest(from)
 	return longest > 0 && longest+own >= lease.Session.D()-lease.Renew.D()
@@ -102,9 +102,9 @@
 	return left < tr.site.needs(x) && tr.site.machine.within(x.Sent, x.Done) > 0
 }
 
-// StandStill stops all entry hosts and the stand-ins for so long; the callers
+// PauseAll stops all entry hosts and the stand-ins for so long; the callers
 // go on.
-func (s *Site) StandStill(d time.Duration) {
+func (s *Site) PauseAll(d time.Duration) {
 	all := []*process{s.standIn}
 	for _, h := range s.Hosts {
 		all = append(all, h.current())
--- a/integration/standstill_test.go
+++ b/integration/standstill_test.go
@@ -36,19 +36,19 @@
 		t.Run(one.name, func(t *testing.T) {
 			t.Parallel()
 			undisturbed(t, shortPause, func(t *testing.T, s *Site) func() {
-				tr := s.Callers(pausing)
+				tr := s.StartCallers(pausing)
 				tr.Await("requests before", 150, Any)
 				s.TableFaults(one.fault)
 				from := len(tr.Ended())
 				for range 3 {
-					s.StandStill(shortPause)
+					s.PauseAll(shortPause)
 					tr.Await("requests after a pause", 150, Any)
 				}
 				to := len(tr.Ended())
 				s.TableFaults(standin.Faults{})
 				finishPartition(t, s, tr)
 				return func() {
-					calls := TallyOf(tr.Answerable(tr.Ended()[from:to]), Call)
+					calls := CountOutcomes(tr.Answerable(tr.Ended()[from:to]), Call)
 					t.Log("calls:", calls)
 					if calls.Answered == 0 || calls.NotRun+calls.Unknown > 0 {
 						t.Errorf("calls: %s", calls)
@@ -67,15 +67,15 @@
 func TestAllStandStillPastTheirSessions(t *testing.T) {
 	t.Parallel()
 	s := New(t, Options{})
-	tr := s.Callers(pausing)
+	tr := s.StartCallers(pausing)
 	tr.Await("requests before", 150, Any)
-	s.StandStill(longPause)
+	s.PauseAll(longPause)
 	tr.Await("calls answered after the pause", 100, both(Call, Answered))
-	s.WaitHeld()
+	s.WaitShardsHeld()
 
 	s.TableFaults(standin.Faults{Down: true})
-	s.Until("the hosts know that the store is down", s.storeKnownDown)
-	s.StandStill(longPause)
+	s.WaitUntil("the hosts know that the store is down", s.storeKnownDown)
+	s.PauseAll(longPause)
 	woken := time.Now()
 	tr.Await("calls refused since nobody may serve", 50, func(x load.Exchange) bool {
 		return x.Outcome == outcome.NotRun && x.Reason == gateway.ReasonUnserved
--- a/integration/store_test.go
+++ b/integration/store_test.go
@@ -27,8 +27,8 @@
 			undisturbed(t, 0, func(t *testing.T, s *Site) func() {
 				// Fewer calls wait at once than there are slots, whatever the
 				// machine does beside: so none has to be refused for want of one.
-				calls := s.Callers(TrafficOptions{Rate: 160, InFlight: 16, Timeout: 2000e6})
-				bookings := s.Callers(TrafficOptions{Rate: 40, Bookings: 1, Repeat: 0.3, Timeout: 2000e6})
+				calls := s.StartCallers(TrafficOptions{Rate: 160, InFlight: 16, Timeout: 2000e6})
+				bookings := s.StartCallers(TrafficOptions{Rate: 40, Bookings: 1, Repeat: 0.3, Timeout: 2000e6})
 				calls.Await("calls before", 240, Any)
 				was, booked := len(calls.Ended()), len(bookings.Ended())
 				s.TableFaults(one.fault)
@@ -39,7 +39,7 @@
 				bookings.Await("bookings after", 50, Answered)
 				calls.Stop()
 				bookings.Stop()
-				s.WaitHeld()
+				s.WaitShardsHeld()
 				s.Check()
 				return func() {
 					judgeCalls(t, calls.Answerable(calls.Ended()[:was]), calls.Answerable(calls.Ended()[was:is]))
@@ -53,10 +53,10 @@
 // judgeCalls checks that calls go on as before a fault of the store.
 func judgeCalls(t *testing.T, before, meanwhile []load.Exchange) {
 	t.Helper()
-	was, is := TallyOf(before, Any), TallyOf(meanwhile, Any)
+	was, is := CountOutcomes(before, Any), CountOutcomes(meanwhile, Any)
 	t.Logf("calls before: %s; meanwhile: %s", was, is)
-	if is.Share() < was.Share() {
-		t.Errorf("calls: share answered %.4f, %.4f before", is.Share(), was.Share())
+	if is.AnsweredShare() < was.AnsweredShare() {
+		t.Errorf("calls: share answered %.4f, %.4f before", is.AnsweredShare(), was.AnsweredShare())
 	}
 }
 
@@ -64,10 +64,10 @@
 // lets the store work leaves some answers.
 func judgeBookings(t *testing.T, meanwhile []load.Exchange, goOn bool) {
 	t.Helper()
-	bookings := TallyOf(meanwhile, Any)
+	bookings := CountOutcomes(meanwhile, Any)
 	t.Logf("bookings: %s", bookings)
 	// A repeat of a booking that ran may find its outcome unreadable.
-	if first := TallyOf(meanwhile, not(Repeat)); first.Unknown > 0 {
+	if first := CountOutcomes(meanwhile, not(Repeat)); first.Unknown > 0 {
 		t.Errorf("bookings: %s", first)
 	}
 	if goOn && bookings.Answered == 0 {
--- a/integration/tally.go
+++ b/integration/tally.go
@@ -8,15 +8,15 @@
 )
 
 // Tally counts exchanges by outcome.
-type Tally struct {
+type OutcomeCounts struct {
 	Answered, NotRun, Unknown int
 	// Reasons counts those without an answer by what was said of them.
 	Reasons map[string]int
 }
 
-// TallyOf counts the exchanges that match.
-func TallyOf(exchanges []load.Exchange, match func(load.Exchange) bool) Tally {
-	t := Tally{Reasons: map[string]int{}}
+// CountOutcomes counts the exchanges that match.
+func CountOutcomes(exchanges []load.Exchange, match func(load.Exchange) bool) OutcomeCounts {
+	t := OutcomeCounts{Reasons: map[string]int{}}
 	for _, x := range exchanges {
 		if !match(x) {
 			continue
@@ -36,11 +36,11 @@
 }
 
 // Share returns the share that was answered, 0 of none.
-func (t Tally) Share() float64 {
+func (t OutcomeCounts) AnsweredShare() float64 {
 	return float64(t.Answered) / float64(max(1, t.Answered+t.NotRun+t.Unknown))
 }
 
 // String is for a test's log.
-func (t Tally) String() string {
-	return fmt.Sprintf("answered %d, not run %d, unknown %d, share %.4f, %v", t.Answered, t.NotRun, t.Unknown, t.Share(), t.Reasons)
+func (t OutcomeCounts) String() string {
+	return fmt.Sprintf("answered %d, not run %d, unknown %d, share %.4f, %v", t.Answered, t.NotRun, t.Unknown, t.AnsweredShare(), t.Reasons)
 }
--- a/integration/traffic.go
+++ b/integration/traffic.go
@@ -48,7 +48,7 @@
 }
 
 // Callers starts callers. The test must Stop them.
-func (s *Site) Callers(o TrafficOptions) *Traffic {
+func (s *Site) StartCallers(o TrafficOptions) *Traffic {
 	s.callers++
 	ctx, cancel := context.WithCancel(context.Background())
 	tr := &Traffic{site: s, options: o, cancel: cancel, stop: make(chan struct{}), ended: make(chan struct{})}
@@ -82,7 +82,7 @@
 	}
 	names := map[string]string{}
 	for _, h := range s.Hosts {
-		names[h.Callers] = h.Name
+		names[h.CallersURL] = h.Name
 	}
 	return load.Config{
 		Service: Service, Path: "/plan",
@@ -126,7 +126,7 @@
 func (tr *Traffic) Await(what string, n int, match func(load.Exchange) bool) {
 	tr.site.t.Helper()
 	seen := len(tr.Ended())
-	tr.site.Until(what, func() bool { return Count(tr.Ended()[seen:], match) >= n })
+	tr.site.WaitUntil(what, func() bool { return Count(tr.Ended()[seen:], match) >= n })
 }
 
 // Count returns how many exchanges match.
--- a/integration/undisturbed_test.go
+++ b/integration/undisturbed_test.go
@@ -23,7 +23,7 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			s, from := New(t, Options{}), time.Now()
 			judge := scenario(t, s)
-			if still = s.Disturbed(from, own); still {
+			if still = s.SessionsMayHaveExpired(from, own); still {
 				t.Log("the machine stood still for about a session or longer")
 				return
 			}
--- a/integration/wait.go
+++ b/integration/wait.go
@@ -9,11 +9,11 @@
 )
 
 // Until waits until a condition holds, and fails the test after Patience.
-func (s *Site) Until(what string, holds func() bool) {
+func (s *Site) WaitUntil(what string, holds func() bool) {
 	s.t.Helper()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	timeout := time.NewTimer(Patience)
+	timeout := time.NewTimer(ConditionTimeout)
 	defer timeout.Stop()
 	for !holds() {
 		select {
@@ -24,29 +24,29 @@
 	}
 }
 
-// WaitHeld waits until every shard is held in full by the hosts that are up,
+// WaitShardsHeld waits until every shard is held in full by the hosts that are up,
 // and all of them are ready.
-func (s *Site) WaitHeld() {
+func (s *Site) WaitShardsHeld() {
 	s.t.Helper()
-	s.Until("all shards held in full", func() bool {
-		held := s.Held()
+	s.WaitUntil("all shards held in full", func() bool {
+		held := s.HeldShards()
 		return held > 0 && held == s.shards() && s.allReady()
 	})
 }
 
 // Held counts the shards of endpoints and workers that are held in full by
 // the hosts that are up.
-func (s *Site) Held() int {
+func (s *Site) HeldShards() int {
 	n := 0
 	for _, h := range s.Hosts {
-		n += s.HeldBy(h, "")
+		n += s.ShardsHeldBy(h, "")
 	}
 	return n
 }
 
-// HeldBy counts the shards with a prefix, such as "ep/", that a host may use
+// ShardsHeldBy counts the shards with a prefix, such as "ep/", that a host may use
 // in full.
-func (s *Site) HeldBy(h *Host, prefix string) int {
+func (s *Site) ShardsHeldBy(h *Host, prefix string) int {
 	if !h.up() {
 		return 0
 	}
--- a/internal/witness/witness.go
+++ b/internal/witness/witness.go
@@ -27,14 +27,14 @@
 	if x.Outcome != outcome.Answered {
 		return check.Record{Answered: a}
 	}
-	a.Echo = x.Header.Get(standin.EchoHeader)
+	a.EchoDigest = x.Header.Get(standin.EchoHeader)
 	a.EchoCall = x.Header.Get(standin.CallHeader)
 	a.Length = int64(len(x.Answer))
 	a.BodyDigest = check.Digest(x.Answer)
 	a.WantDigest = x.Header.Get(standin.AnswerDigestHeader)
-	a.Want = a.Length
+	a.WantLength = a.Length
 	if n, err := strconv.ParseInt(x.Header.Get("Content-Length"), 10, 64); err == nil {
-		a.Want = n
+		a.WantLength = n
 	}
 	return check.Record{Answered: a}
 }
--- a/standin/endpoint.go
+++ b/standin/endpoint.go
@@ -114,7 +114,7 @@
 		e.stats.Orphans++
 	}
 	e.config.Recorder.Add(check.Record{RequestEnded: &check.RequestEnded{
-		Endpoint: e.config.Name, Serial: in.serial, CallerGone: callerGone,
+		Endpoint: e.config.Name, Serial: in.serial, CallerDisconnected: callerGone,
 	}})
 }
 
--- a/standin/platform_test.go
+++ b/standin/platform_test.go
@@ -143,7 +143,7 @@
 		t.Errorf("%d overruns", n)
 	}
 	report := check.Run(recorder.Records())
-	if len(report.Violations) != 1 || report.Violations[0].Promise != check.SlotsHeld {
+	if len(report.Violations) != 1 || report.Violations[0].Promise != check.SlotLimit {
 		t.Errorf("violations %+v", report.Violations)
 	}
 }
