--- a/peer/call.go
+++ b/peer/call.go
@@ -9,21 +9,21 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// The states of a call's frame. Only the step away from callQueued is raced
-// for, by the writer and by whoever gives the call up.
+// The states of a call's frame. The writer and the abandoning caller compete
+// for the transition out of callQueued.
 const (
 	callQueued int32 = iota
 	callWriting
-	callWithdrawn
+	callAbandoned
 )
 
-// call is one request in a client connection.
+// call is one request on a client connection.
 type call struct {
 	id    uint64
 	frame []byte
 	state atomic.Int32
-	// done takes the reply or a failure; it holds one, so that nobody waits
-	// to deliver it.
+	// done receives the reply or the failure. It is buffered, so that delivery
+	// never blocks.
 	done chan answer
 }
 
@@ -33,24 +33,25 @@
 	err   error
 }
 
-// startWriting claims the frame for the writer; false if it was withdrawn.
+// startWriting claims the frame for the writer. It returns false if the call
+// was abandoned.
 func (c *call) startWriting() bool {
 	return c.state.CompareAndSwap(callQueued, callWriting)
 }
 
-// giveUp ends the call without a reply. It is not run only if the writer can
-// no longer pick the frame up.
-func (c *call) giveUp(err error) Result {
-	if c.state.CompareAndSwap(callQueued, callWithdrawn) {
+// abandon ends the call without a reply. The result is NotRun only if the
+// frame was not yet claimed by the writer, and Unknown otherwise.
+func (c *call) abandon(err error) Result {
+	if c.state.CompareAndSwap(callQueued, callAbandoned) {
 		return Result{Kind: outcome.NotRun, Err: err}
 	}
 	return Result{Kind: outcome.Unknown, Err: err}
 }
 
-// resolve turns an answer into a result, decoding it into reply.
-func (c *call) resolve(a answer, reply any) Result {
+// decodeReply converts an answer to a result and decodes its body into reply.
+func (c *call) decodeReply(a answer, reply any) Result {
 	if a.err != nil {
-		return c.giveUp(a.err)
+		return c.abandon(a.err)
 	}
 	switch a.reply.Status {
 	case statusRefused:
--- a/peer/client.go
+++ b/peer/client.go
@@ -17,9 +17,9 @@
 // Client sends requests to peers, over one connection to each. It is safe for
 // concurrent use.
 type Client struct {
-	opts Options
-	dial func(ctx context.Context, network, address string) (net.Conn, error)
-	late atomic.Uint64
+	opts        Options
+	dial        func(ctx context.Context, network, address string) (net.Conn, error)
+	lateReplies atomic.Uint64
 
 	randMu sync.Mutex
 	rand   *rand.Rand
@@ -28,15 +28,15 @@
 	links map[string]*link
 }
 
-// NewClient returns a client without peers. The source of randomness spreads
-// reconnections; the client guards it with a lock of its own.
+// NewClient returns a client without peers. The random source provides the
+// jitter of reconnections; the client serializes access to it.
 func NewClient(o Options, r *rand.Rand) *Client {
 	var d net.Dialer
 	return &Client{opts: o.withDefaults(), dial: d.DialContext, rand: r, links: map[string]*link{}}
 }
 
-// SetPeers replaces the known peers: their IP:port by host name. Connections
-// to hosts that are gone, or whose address changed, are closed.
+// SetPeers replaces the known peers, given as IP:port by host name. It closes
+// connections to hosts that were removed or whose address changed.
 func (c *Client) SetPeers(addresses map[string]string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,10 +53,11 @@
 	}
 }
 
-// Late returns how many replies came after their request was given up.
-func (c *Client) LateReplies() uint64 { return c.late.Load() }
+// LateReplies returns how many replies arrived after their request was
+// abandoned.
+func (c *Client) LateReplies() uint64 { return c.lateReplies.Load() }
 
-// Close ends every connection; requests in flight end as they can.
+// Close closes all connections. Requests in flight end with an error.
 func (c *Client) Close() { c.SetPeers(nil) }
 
 // Call implements Transport.
@@ -78,16 +79,17 @@
 	return conn.roundTrip(ctx, method, body, reply)
 }
 
-// roundTrip sends one request and waits for its reply or the context's end.
+// roundTrip sends one request and waits for its reply or for the end of the
+// context.
 func (c *clientConn) roundTrip(ctx context.Context, method Method, body []byte, reply any) Result {
 	if err := ctx.Err(); err != nil {
 		return Result{Kind: outcome.NotRun, Err: err}
 	}
-	ca, err := c.open()
+	ca, err := c.register()
 	if err != nil {
 		return Result{Kind: outcome.NotRun, Err: err}
 	}
-	defer c.retire(ca.id)
+	defer c.unregister(ca.id)
 	m := &message{Kind: kindRequest, ID: ca.id, Method: method, RemainingMS: remaining(ctx), Body: body}
 	if ca.frame, err = encodeMessage(m, c.maxFrame); err != nil {
 		return Result{Kind: outcome.NotRun, Err: err}
@@ -97,14 +99,14 @@
 	}
 	select {
 	case a := <-ca.done:
-		return ca.resolve(a, reply)
+		return ca.decodeReply(a, reply)
 	case <-ctx.Done():
-		return ca.giveUp(ctx.Err())
+		return ca.abandon(ctx.Err())
 	}
 }
 
-// remaining returns the time left to a context's deadline in milliseconds,
-// at least 1, or 0 for no deadline.
+// remaining returns the time until the context's deadline in milliseconds, at
+// least 1, or 0 without a deadline.
 func remaining(ctx context.Context) int64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -113,7 +115,7 @@
 	return max(1, time.Until(deadline).Milliseconds())
 }
 
-// jitter spreads a wait evenly over its upper half.
+// jitter returns a random duration between half of wait and wait.
 func (c *Client) jitter(wait time.Duration) time.Duration {
 	c.randMu.Lock()
 	defer c.randMu.Unlock()
--- a/peer/client_test.go
+++ b/peer/client_test.go
@@ -12,11 +12,12 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-type text struct {
-	S string `msgpack:"s"`
+type echoMessage struct {
+	Text string `msgpack:"s"`
 }
 
-// serve starts a server with an echo method and returns its address.
+// serve starts a server with an echo method and returns the server and its
+// address.
 func serve(t testing.TB, o Options, admit Admit, register func(*Server)) (*Server, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,7 +26,7 @@
 	}
 	s := NewServer(o, admit)
 	s.Handle("echo", func(_ context.Context, _ string, decode func(any) error) (any, error) {
-		var in text
+		var in echoMessage
 		err := decode(&in)
 		return in, err
 	})
@@ -53,34 +54,34 @@
 	return c
 }
 
-func anyone(string, netip.Addr) bool { return true }
+func admitAll(string, netip.Addr) bool { return true }
 
 func TestCallAnswered(t *testing.T) {
-	_, address := serve(t, Options{Host: "b"}, anyone, nil)
+	_, address := serve(t, Options{Host: "b"}, admitAll, nil)
 	c := dialer(t, Options{Host: "a"}, address)
 	for _, s := range []string{"", "one", "two"} {
-		var got text
-		r := c.Call(t.Context(), "b", "echo", text{s}, &got)
-		if r.Kind != outcome.Answered || r.Err != nil || got.S != s {
-			t.Fatalf("echo %q = %q, %+v", s, got.S, r)
+		var got echoMessage
+		r := c.Call(t.Context(), "b", "echo", echoMessage{s}, &got)
+		if r.Kind != outcome.Answered || r.Err != nil || got.Text != s {
+			t.Fatalf("echo %q = %q, %+v", s, got.Text, r)
 		}
 	}
 }
 
 func TestHandlerErrorIsUnknown(t *testing.T) {
-	_, address := serve(t, Options{Host: "b"}, anyone, func(s *Server) {
+	_, address := serve(t, Options{Host: "b"}, admitAll, func(s *Server) {
 		s.Handle("fail", func(context.Context, string, func(any) error) (any, error) {
 			return nil, errors.New("halfway")
 		})
 	})
-	r := dialer(t, Options{Host: "a"}, address).Call(t.Context(), "b", "fail", text{}, nil)
+	r := dialer(t, Options{Host: "a"}, address).Call(t.Context(), "b", "fail", echoMessage{}, nil)
 	if r.Kind != outcome.Unknown || !errors.Is(r.Err, ErrRemote) || !strings.Contains(r.Err.Error(), "halfway") {
-		t.Errorf("a handler that failed: %+v", r)
+		t.Errorf("call to a failing handler: got %+v, want unknown with the handler's error", r)
 	}
 }
 
 func TestCallNotRun(t *testing.T) {
-	_, address := serve(t, Options{Host: "b"}, anyone, nil)
+	_, address := serve(t, Options{Host: "b"}, admitAll, nil)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -101,9 +102,9 @@
 		"oversized":      {"b", "echo", string(make([]byte, 200)), ErrFrame},
 	}
 	for name, tc := range cases {
-		r := c.Call(t.Context(), tc.host, tc.method, text{tc.s}, nil)
+		r := c.Call(t.Context(), tc.host, tc.method, echoMessage{tc.s}, nil)
 		if r.Kind != outcome.NotRun || !errors.Is(r.Err, tc.want) {
-			t.Errorf("%s: %+v", name, r)
+			t.Errorf("%s: got %+v", name, r)
 		}
 	}
 }
@@ -114,8 +115,8 @@
 	}, nil)
 	for host, want := range map[string]outcome.Kind{"friend": outcome.Answered, "stranger": outcome.NotRun} {
 		c := dialer(t, Options{Host: host}, address)
-		if r := c.Call(t.Context(), "b", "echo", text{}, nil); r.Kind != want {
-			t.Errorf("%s: %+v", host, r)
+		if r := c.Call(t.Context(), "b", "echo", echoMessage{}, nil); r.Kind != want {
+			t.Errorf("connecting as %s: got %+v", host, r)
 		}
 	}
 }
--- a/peer/clientconn.go
+++ b/peer/clientconn.go
@@ -8,57 +8,58 @@
 	"github.com/cockroachdb/errors"
 )
 
-// clientConn is one open connection to a peer. Its reader and its writer run
-// in goroutines of their own until it closes.
+// clientConn is one open connection to a peer. Its reader and writer
+// goroutines run until it closes.
 type clientConn struct {
-	conn     net.Conn
-	maxFrame int
-	limit    int
-	late     *atomic.Uint64
-	queue    chan *call
-	closed   chan struct{}
-	// onClose is told why the connection ended.
+	conn        net.Conn
+	maxFrame    int
+	maxInFlight int
+	lateReplies *atomic.Uint64
+	queue       chan *call
+	closed      chan struct{}
+	// onClose is called with the reason when the connection closes.
 	onClose func(error)
 
 	mu sync.Mutex
-	// nextID only rises, so an id is never used twice in a connection.
+	// nextID only increases, so that IDs are unique within a connection.
 	nextID  uint64
 	pending map[uint64]*call
-	// leaving is set once the server said goodbye.
-	leaving bool
-	err     error
+	// draining is set once the server sent a close notice.
+	draining bool
+	err      error
 }
 
-// newClientConn starts the reader and the writer of a connection whose
-// handshake is over.
+// newClientConn starts the reader and the writer of a connection after its
+// handshake.
 func newClientConn(conn net.Conn, o Options, late *atomic.Uint64, onClose func(error)) *clientConn {
 	c := &clientConn{
-		conn:     conn,
-		maxFrame: o.MaxFrame,
-		limit:    o.MaxInFlight,
-		late:     late,
-		queue:    make(chan *call, o.WriteQueue),
-		closed:   make(chan struct{}),
-		onClose:  onClose,
-		pending:  map[uint64]*call{},
+		conn:        conn,
+		maxFrame:    o.MaxFrame,
+		maxInFlight: o.MaxInFlight,
+		lateReplies: late,
+		queue:       make(chan *call, o.WriteQueue),
+		closed:      make(chan struct{}),
+		onClose:     onClose,
+		pending:     map[uint64]*call{},
 	}
 	go c.readReplies()
 	go c.writeRequests()
 	return c
 }
 
-// open registers a new call; it fails when the connection is closed or full.
-func (c *clientConn) open() (*call, error) {
+// register adds a new call. It fails when the connection is closed, is
+// draining or has too many requests in flight.
+func (c *clientConn) register() (*call, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
 		return nil, errors.Wrap(ErrUnreachable, c.err.Error())
 	}
-	if c.leaving {
+	if c.draining {
 		return nil, errors.Wrap(ErrUnreachable, "peer is shutting down")
 	}
-	if len(c.pending) >= c.limit {
-		return nil, errors.Wrap(ErrBusy, "requests in flight")
+	if len(c.pending) >= c.maxInFlight {
+		return nil, errors.Wrapf(ErrBusy, "%d requests in flight, limit %d", len(c.pending), c.maxInFlight)
 	}
 	c.nextID++
 	ca := &call{id: c.nextID, done: make(chan answer, 1)}
@@ -66,24 +67,26 @@
 	return ca, nil
 }
 
-// retire forgets a call, so that a late reply to it is dropped.
-func (c *clientConn) retire(id uint64) {
+// unregister removes a call, so that a late reply to it is dropped. It closes
+// a draining connection after its last call.
+func (c *clientConn) unregister(id uint64) {
 	c.mu.Lock()
 	delete(c.pending, id)
-	over := c.leaving && len(c.pending) == 0
+	drained := c.draining && len(c.pending) == 0
 	c.mu.Unlock()
-	if over {
+	if drained {
 		c.close(errors.New("peer shut down"))
 	}
 }
 
-// leave takes the server's goodbye.
-func (c *clientConn) leave() {
+// handleCloseNotice stops new requests and closes the connection once none is
+// pending.
+func (c *clientConn) handleCloseNotice() {
 	c.mu.Lock()
-	c.leaving = true
-	over := len(c.pending) == 0
+	c.draining = true
+	drained := len(c.pending) == 0
 	c.mu.Unlock()
-	if over {
+	if drained {
 		c.close(errors.New("peer shut down"))
 	}
 }
@@ -92,20 +95,22 @@
 func (c *clientConn) usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.err == nil && !c.leaving
+	return c.err == nil && !c.draining
 }
 
-// enqueue hands a call's frame to the writer without waiting.
+// enqueue queues a call's frame for the writer. It fails with ErrBusy instead
+// of blocking.
 func (c *clientConn) enqueue(ca *call) error {
 	select {
 	case c.queue <- ca:
 		return nil
 	default:
-		return errors.Wrap(ErrBusy, "write queue")
+		return errors.Wrapf(ErrBusy, "write queue holds %d frames", cap(c.queue))
 	}
 }
 
-// readReplies delivers replies until the stream ends or can't be trusted.
+// readReplies delivers replies until the connection ends or an invalid frame
+// arrives.
 func (c *clientConn) readReplies() {
 	r := newFrameReader(c.conn)
 	for {
@@ -122,30 +127,30 @@
 		switch m.Kind {
 		case kindReply:
 			c.deliver(m)
-		case kindGoodbye:
-			c.leave()
+		case kindCloseNotice:
+			c.handleCloseNotice()
 		default:
-			c.close(errors.Wrap(ErrFrame, "not a reply"))
+			c.close(errors.Wrapf(ErrFrame, "message kind %d, expected a reply", m.Kind))
 			return
 		}
 	}
 }
 
-// deliver hands a reply to its call, or counts it as late.
+// deliver passes a reply to its call, or counts it as late.
 func (c *clientConn) deliver(m *message) {
 	c.mu.Lock()
 	ca := c.pending[m.ID]
 	delete(c.pending, m.ID)
 	c.mu.Unlock()
 	if ca == nil {
-		c.late.Add(1)
+		c.lateReplies.Add(1)
 		return
 	}
 	ca.done <- answer{reply: m}
 }
 
-// writeRequests writes queued frames until the connection closes, as many as
-// are queued with one call of the kernel.
+// writeRequests writes queued frames until the connection closes. It combines
+// queued frames into one write.
 func (c *clientConn) writeRequests() {
 	var out []byte
 	for {
@@ -153,7 +158,7 @@
 		case <-c.closed:
 			return
 		case ca := <-c.queue:
-			out = c.gather(out[:0], ca)
+			out = c.appendBatch(out[:0], ca)
 			if len(out) == 0 {
 				continue
 			}
@@ -165,13 +170,14 @@
 	}
 }
 
-// gather appends a call's frame and those queued behind it.
-func (c *clientConn) gather(out []byte, ca *call) []byte {
+// appendBatch appends the call's frame and queued frames up to maxBatchBytes,
+// skipping abandoned calls.
+func (c *clientConn) appendBatch(out []byte, ca *call) []byte {
 	for {
 		if ca.startWriting() {
 			out = append(out, ca.frame...)
 		}
-		if len(out) >= gatherBytes {
+		if len(out) >= maxBatchBytes {
 			return out
 		}
 		select {
@@ -182,7 +188,7 @@
 	}
 }
 
-// close ends the connection and every call in it.
+// close closes the connection and fails its pending calls.
 func (c *clientConn) close(cause error) {
 	c.mu.Lock()
 	if c.err != nil {
@@ -190,13 +196,13 @@
 		return
 	}
 	c.err = errors.Wrapf(ErrClosed, "%v", cause)
-	orphans := c.pending
+	pending := c.pending
 	c.pending = nil
 	close(c.closed)
 	c.mu.Unlock()
 	_ = c.conn.Close()
 	c.onClose(cause)
-	for _, ca := range orphans {
+	for _, ca := range pending {
 		ca.done <- answer{err: c.err}
 	}
 }
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// goodFrame returns the frame of a small message.
-func goodFrame(t testing.TB) []byte {
+// validFrame returns the frame of a small message.
+func validFrame(t testing.TB) []byte {
 	t.Helper()
 	frame, err := encodeMessage(&message{Kind: kindRequest, ID: 7, Method: "m", RemainingMS: 5, Body: []byte{0x80}}, 100)
 	if err != nil {
@@ -19,7 +19,7 @@
 
 func TestReadFrameRejects(t *testing.T) {
 	change := func(at int, to byte) []byte {
-		f := goodFrame(t)
+		f := validFrame(t)
 		f[at] = to
 		return f
 	}
@@ -30,13 +30,13 @@
 		"oversized": {change(0, 1), ErrFrame},
 		"format":    {change(4, 9), ErrFrame},
 		"checksum":  {change(headerSize+1, 0x55), ErrFrame},
-		"truncated": {goodFrame(t)[:headerSize+2], io.ErrUnexpectedEOF},
-		"header":    {goodFrame(t)[:5], io.ErrUnexpectedEOF},
+		"truncated": {validFrame(t)[:headerSize+2], io.ErrUnexpectedEOF},
+		"header":    {validFrame(t)[:5], io.ErrUnexpectedEOF},
 		"empty":     {nil, io.EOF},
 	}
 	for name, tc := range cases {
 		if _, err := readFrame(bytes.NewReader(tc.frame), 100); !errors.Is(err, tc.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: unexpected error %v", name, err)
 		}
 	}
 }
@@ -53,10 +53,10 @@
 	}
 }
 
-// FuzzFrame checks that damaged streams give errors, and that whatever is
-// accepted reads back the same.
+// FuzzFrame checks that invalid streams return errors and that accepted frames
+// survive a round trip.
 func FuzzFrame(f *testing.F) {
-	f.Add(goodFrame(f))
+	f.Add(validFrame(f))
 	f.Add([]byte{0, 0, 0, 1, 1})
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		const limit = 1 << 10
@@ -65,7 +65,7 @@
 			return
 		}
 		if len(body) > limit || !bytes.Equal(stream[headerSize:headerSize+len(body)], body) {
-			t.Fatalf("accepted %d bytes", len(body))
+			t.Fatalf("accepted a body of %d bytes that exceeds the limit or differs from the stream", len(body))
 		}
 		m, err := decodeMessage(body)
 		if err != nil {
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -9,15 +9,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// supportedVersions are the protocol versions that this build speaks. A
-// rolling restart runs two builds at once, so a new version is added here one
-// release before an old one is taken out.
+// supportedVersions lists the protocol versions that this build supports. Two
+// builds run side by side during a rolling restart, so a version must be added
+// at least one release before an older one is removed.
 var supportedVersions = []uint32{1}
 
-// maxHello bounds the first frame, which comes from a stranger.
+// maxHello is the largest hello frame body in bytes, which is read before the
+// peer is authenticated.
 const maxHello = 4 << 10
 
-// commonVersion returns the highest version in both lists, 0 if none.
+// commonVersion returns the highest version in both lists, or 0 if there is
+// none.
 func commonVersion(a, b []uint32) uint32 {
 	best := uint32(0)
 	for _, v := range a {
@@ -28,7 +30,6 @@
 	return best
 }
 
-// writeHello sends this side's hello.
 func writeHello(conn net.Conn, host string, versions []uint32) error {
 	body, err := msgpack.Marshal(hello{Host: host, Versions: versions})
 	if err != nil {
@@ -42,7 +43,8 @@
 	return errors.Wrap(err, "write hello")
 }
 
-// readHello reads the other side's hello and checks that a version is shared.
+// readHello reads the peer's hello and checks that a protocol version is
+// shared.
 func readHello(conn net.Conn) (hello, error) {
 	var h hello
 	body, err := readFrame(conn, maxHello)
@@ -54,18 +56,17 @@
 		return h, err
 	}
 	if m.Kind != kindHello {
-		return h, errors.Wrap(ErrHandshake, "no hello")
+		return h, errors.Wrapf(ErrHandshake, "message kind %d, expected a hello", m.Kind)
 	}
 	if err := msgpack.Unmarshal(m.Body, &h); err != nil {
 		return h, errors.Wrapf(ErrHandshake, "decode hello: %v", err)
 	}
 	if commonVersion(supportedVersions, h.Versions) == 0 {
-		return h, errors.Wrapf(ErrHandshake, "no common version with %v", h.Versions)
+		return h, errors.Wrapf(ErrHandshake, "no common protocol version: peer supports %v, this host %v", h.Versions, supportedVersions)
 	}
 	return h, nil
 }
 
-// handshakeDeadline bounds the reads and writes of a handshake.
-func handshakeDeadline(conn net.Conn, limit time.Duration) error {
+func setHandshakeDeadline(conn net.Conn, limit time.Duration) error {
 	return errors.Wrap(conn.SetDeadline(time.Now().Add(limit)), "set handshake deadline")
 }
--- a/peer/link.go
+++ b/peer/link.go
@@ -14,33 +14,34 @@
 	"github.com/fireflygate/fireflygate/event"
 )
 
-// link keeps at most one connection to one peer.
+// link manages the connection to one peer and its redials.
 type link struct {
 	client  *Client
 	host    string
 	address string
 
-	mu      sync.Mutex
-	conn    *clientConn
-	dialing chan struct{}
-	wait    *backoff.ExponentialBackOff
-	retryAt time.Time
-	lastErr error
-	closed  bool
+	mu           sync.Mutex
+	conn         *clientConn
+	dialing      chan struct{}
+	retryBackoff *backoff.ExponentialBackOff
+	retryAt      time.Time
+	lastErr      error
+	closed       bool
 }
 
-// newLink returns a link that connects when it is first used.
+// newLink returns a link that connects on first use.
 func newLink(c *Client, host, address string) *link {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval = c.opts.MinBackoff
 	wait.MaxInterval = c.opts.MaxBackoff
-	// The jitter comes from the client's own source of randomness.
+	// The client adds its own jitter.
 	wait.RandomizationFactor = 0
-	return &link{client: c, host: host, address: address, wait: wait}
+	return &link{client: c, host: host, address: address, retryBackoff: wait}
 }
 
 // get returns the open connection, dialing if there is none. One caller dials
-// while the others wait; after a failure nobody dials until the wait is over.
+// while the others wait. After a failure, calls fail until the backoff has
+// passed.
 func (l *link) get(ctx context.Context) (*clientConn, error) {
 	for {
 		conn, dialing, err := l.current()
@@ -58,14 +59,14 @@
 	}
 }
 
-// current returns the open connection, or the channel that closes when the
-// dial under way ends, or the reason not to dial yet. All nil makes the
-// caller the one who dials.
+// current returns the open connection, a channel that closes when the dial in
+// progress ends, or the error that prevents a dial. If all are nil, the caller
+// must dial.
 func (l *link) current() (*clientConn, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
-		return nil, nil, errors.Wrap(ErrUnreachable, "closed")
+		return nil, nil, errors.Wrap(ErrUnreachable, "link closed")
 	}
 	if l.conn != nil && l.conn.usable() {
 		return l.conn, nil, nil
@@ -74,13 +75,13 @@
 		return nil, l.dialing, nil
 	}
 	if time.Now().Before(l.retryAt) {
-		return nil, nil, errors.Wrapf(ErrUnreachable, "waiting to dial again: %v", l.lastErr)
+		return nil, nil, errors.Wrapf(ErrUnreachable, "in backoff after a failed dial: %v", l.lastErr)
 	}
 	l.dialing = make(chan struct{})
 	return nil, nil, nil
 }
 
-// dial connects and settles what the next callers find.
+// dial connects and publishes the connection or the failure to other callers.
 func (l *link) dial(ctx context.Context) (*clientConn, error) {
 	raw, err := l.connect(ctx)
 	l.mu.Lock()
@@ -89,35 +90,34 @@
 	l.dialing = nil
 	if err == nil && l.closed {
 		_ = raw.Close()
-		err = errors.New("closed")
+		err = errors.New("link closed")
 	}
 	if err != nil {
 		l.lastErr = err
-		l.retryAt = time.Now().Add(l.client.jitter(l.wait.NextBackOff()))
+		l.retryAt = time.Now().Add(l.client.jitter(l.retryBackoff.NextBackOff()))
 		event.PeerDialFailed.Log(l.client.opts.Log, slog.String("peer", l.host), slog.Any("error", err))
 		return nil, errors.Wrap(ErrUnreachable, err.Error())
 	}
-	l.wait.Reset()
-	l.conn = newClientConn(raw, l.client.opts, &l.client.late, l.lost)
+	l.retryBackoff.Reset()
+	l.conn = newClientConn(raw, l.client.opts, &l.client.lateReplies, l.logConnectionLost)
 	event.PeerConnected.Log(l.client.opts.Log, slog.String("peer", l.host))
 	return l.conn, nil
 }
 
-// lost logs the end of a connection.
-func (l *link) lost(cause error) {
+func (l *link) logConnectionLost(cause error) {
 	event.PeerLost.Log(l.client.opts.Log, slog.String("peer", l.host), slog.Any("cause", cause))
 }
 
-// connect dials, secures and shakes hands within the handshake's limit.
+// connect dials and performs the handshake within HandshakeTimeout.
 func (l *link) connect(ctx context.Context) (net.Conn, error) {
 	o := l.client.opts
 	ctx, cancel := context.WithTimeout(ctx, o.HandshakeTimeout)
 	defer cancel()
 	raw, err := l.client.dial(ctx, "tcp", l.address)
 	if err != nil {
-		return nil, errors.Wrap(err, "dial")
+		return nil, errors.Wrapf(err, "dial %s", l.address)
 	}
-	conn, err := greet(ctx, raw, o, l.host)
+	conn, err := handshake(ctx, raw, o, l.host)
 	if err != nil {
 		_ = raw.Close()
 		return nil, err
@@ -125,23 +125,23 @@
 	return conn, nil
 }
 
-// greet secures a dialed connection and exchanges hellos.
-func greet(ctx context.Context, raw net.Conn, o Options, host string) (net.Conn, error) {
+// handshake performs the TLS handshake, if enabled, and exchanges hellos.
+func handshake(ctx context.Context, raw net.Conn, o Options, host string) (net.Conn, error) {
 	if err := setUserTimeout(raw, o.UserTimeout); err != nil {
 		return nil, err
 	}
-	if err := handshakeDeadline(raw, o.HandshakeTimeout); err != nil {
+	if err := setHandshakeDeadline(raw, o.HandshakeTimeout); err != nil {
 		return nil, err
 	}
 	conn := raw
 	if o.TLS != nil {
 		config, err := o.TLS()
 		if err != nil {
-			return nil, errors.Wrap(err, "tls")
+			return nil, errors.Wrap(err, "TLS configuration")
 		}
 		secure := tls.Client(raw, clientTLS(config, host))
 		if err := secure.HandshakeContext(ctx); err != nil {
-			return nil, errors.Wrap(err, "tls")
+			return nil, errors.Wrap(err, "TLS handshake")
 		}
 		conn = secure
 	}
@@ -158,14 +158,15 @@
 	return conn, errors.Wrap(conn.SetDeadline(time.Time{}), "clear deadline")
 }
 
-// clientTLS makes the certificate name the peer.
+// clientTLS returns a copy of base that verifies the peer's certificate
+// against its host name.
 func clientTLS(base *tls.Config, host string) *tls.Config {
 	c := base.Clone()
 	c.ServerName = host
 	return c
 }
 
-// close ends the link and its connection.
+// close closes the link and its connection. Later calls of get fail.
 func (l *link) close(cause error) {
 	l.mu.Lock()
 	l.closed = true
--- a/peer/message.go
+++ b/peer/message.go
@@ -7,23 +7,23 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// messageKind tells what a frame carries.
+// messageKind is the kind of a message.
 type messageKind uint8
 
 const (
 	kindHello messageKind = iota + 1
 	kindRequest
 	kindReply
-	// kindGoodbye: the server is shutting down; the client sends nothing new
-	// and closes the connection once its last reply has come.
-	kindGoodbye
+	// kindCloseNotice: the server is shutting down. The client sends no new
+	// requests and closes the connection after its last reply.
+	kindCloseNotice
 )
 
-// replyStatus tells what became of a request at the peer.
+// replyStatus is how the peer handled a request.
 type replyStatus uint8
 
 const (
-	// statusAnswered: Body is the handler's answer.
+	// statusAnswered: the handler returned Body.
 	statusAnswered replyStatus = iota + 1
 	// statusFailed: the handler returned Error.
 	statusFailed
@@ -36,14 +36,14 @@
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack through reflection
 
 	Kind messageKind
-	// ID correlates a reply with its request; it is never used twice in a
+	// ID correlates a reply with its request. It is unique within a
 	// connection.
 	ID     uint64
 	Method Method
 	Status replyStatus
 	Error  string
-	// RemainingMS is the time left of a request's deadline when it was
-	// sent, in milliseconds; 0 for none.
+	// RemainingMS is the time until the request's deadline when it was sent,
+	// in milliseconds; 0 without a deadline.
 	RemainingMS int64
 	Body        msgpack.RawMessage
 }
@@ -51,11 +51,12 @@
 // hello is the body of the first message in each direction.
 type hello struct {
 	Host string `msgpack:"h"`
-	// Versions are the protocol versions that the sender speaks.
+	// Versions are the protocol versions that the sender supports.
 	Versions []uint32 `msgpack:"v"`
 }
 
-// encodeMessage returns m as a whole frame.
+// encodeMessage returns m as a complete frame. It fails if the body exceeds
+// maxBody bytes.
 func encodeMessage(m *message, maxBody int) ([]byte, error) {
 	var buf bytes.Buffer
 	buf.Write(make([]byte, headerSize))
@@ -67,13 +68,13 @@
 	}
 	frame := buf.Bytes()
 	if len(frame)-headerSize > maxBody {
-		return nil, errors.Wrapf(ErrFrame, "%d bytes, limit %d", len(frame)-headerSize, maxBody)
+		return nil, errors.Wrapf(ErrFrame, "body of %d bytes exceeds the limit of %d", len(frame)-headerSize, maxBody)
 	}
 	putHeader(frame)
 	return frame, nil
 }
 
-// decodeMessage reads a frame's body.
+// decodeMessage decodes a frame's body.
 func decodeMessage(body []byte) (*message, error) {
 	var m message
 	if err := msgpack.Unmarshal(body, &m); err != nil {
--- a/peer/options.go
+++ b/peer/options.go
@@ -6,38 +6,37 @@
 	"time"
 )
 
-// Options bounds the connections of a Client or a Server. Zero fields take
-// the defaults below.
+// Options configures a Client or a Server. Zero fields take the defaults
+// below.
 type Options struct {
-	// Host is this entry host's name, told to the other side.
+	// Host is the name of this entry host, which it sends in its hello.
 	Host string
 	// MaxFrame is the largest frame body, in bytes.
 	MaxFrame int
-	// MaxInFlight is the largest number of unanswered requests in one
-	// connection.
+	// MaxInFlight is the largest number of unanswered requests per connection.
 	MaxInFlight int
 	// WriteQueue is the largest number of frames waiting to be written.
 	WriteQueue int
-	// UserTimeout bounds how long sent bytes stay unacknowledged before the
-	// kernel gives the connection up (TCP_USER_TIMEOUT). It should be
-	// shorter than the session of a lease. Zero leaves the kernel's own.
+	// UserTimeout is how long sent bytes may stay unacknowledged before the
+	// kernel closes the connection (TCP_USER_TIMEOUT). It should be shorter
+	// than the lease session. Zero leaves the kernel's default.
 	UserTimeout time.Duration
-	// Handshake bounds dialing and the exchange of hellos.
+	// HandshakeTimeout limits dialing and the handshake together.
 	HandshakeTimeout time.Duration
-	// MinBackoff and MaxBackoff bound the wait between failed dials.
+	// MinBackoff and MaxBackoff limit the wait after a failed dial.
 	MinBackoff, MaxBackoff time.Duration
-	// AcceptAnyHost lets a client talk to whichever host answers at an address,
-	// for callers that know hosts by address only.
+	// AcceptAnyHost makes a client skip the check of the peer's host name, for
+	// callers that know peers by address only.
 	AcceptAnyHost bool
-	// TLS, if set, encrypts and authenticates both directions. It is asked
-	// for the settings of each new connection, so a renewed certificate is
-	// used from the next connection on.
+	// TLS, if set, returns the configuration for mutual authentication. It is
+	// called for each new connection, so that renewed certificates take effect
+	// without a restart.
 	TLS func() (*tls.Config, error)
-	// Log takes events; nil discards them.
+	// Log receives events; nil discards them.
 	Log *slog.Logger
 }
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultMaxFrame    = 4 << 20
 	DefaultMaxInFlight = 1024
@@ -47,7 +46,7 @@
 	defaultMaxBackoff  = 2 * time.Second
 )
 
-// withDefaults returns o with zero fields filled in.
+// withDefaults returns a copy of o with zero fields set to their defaults.
 func (o Options) withDefaults() Options {
 	if o.MaxFrame == 0 {
 		o.MaxFrame = DefaultMaxFrame
--- a/peer/server.go
+++ b/peer/server.go
@@ -17,34 +17,35 @@
 // Admit reports whether a host of this name may connect from this address.
 type Admit func(name string, remote netip.Addr) bool
 
-// Server answers requests of peers. It implements Mux.
+// Server handles requests of peers. It implements Mux.
 type Server struct {
 	opts     Options
 	admit    Admit
 	handlers map[Method]Handler
 
-	stop  chan struct{}
-	conns sync.WaitGroup
+	stopCh chan struct{}
+	connWG sync.WaitGroup
 
 	mu      sync.Mutex
 	stopped bool
-	// open holds every connection, with nil until its handshake is over.
-	open     map[net.Conn]*serverConn
-	listener net.Listener
+	// connections holds all open connections; the value is nil during the
+	// handshake.
+	connections map[net.Conn]*serverConn
+	listener    net.Listener
 }
 
-// NewServer returns a server that accepts only the peers that admit allows.
+// NewServer returns a server that accepts the peers that admit allows.
 func NewServer(o Options, admit Admit) *Server {
 	return &Server{
-		opts:     o.withDefaults(),
-		admit:    admit,
-		handlers: map[Method]Handler{},
-		stop:     make(chan struct{}),
-		open:     map[net.Conn]*serverConn{},
+		opts:        o.withDefaults(),
+		admit:       admit,
+		handlers:    map[Method]Handler{},
+		stopCh:      make(chan struct{}),
+		connections: map[net.Conn]*serverConn{},
 	}
 }
 
-// Handle implements Mux. It must not be called once Serve has begun.
+// Handle implements Mux. It must not be called after Serve.
 func (s *Server) Handle(method Method, h Handler) {
 	if _, dup := s.handlers[method]; dup {
 		panic("peer: method registered twice: " + string(method))
@@ -52,13 +53,12 @@
 	s.handlers[method] = h
 }
 
-// handler returns the handler of a method, nil if there is none.
 func (s *Server) handler(m Method) Handler { return s.handlers[m] }
 
 // stopping reports whether Shutdown was called.
 func (s *Server) stopping() bool {
 	select {
-	case <-s.stop:
+	case <-s.stopCh:
 		return true
 	default:
 		return false
@@ -66,9 +66,9 @@
 }
 
 // Serve accepts connections until the listener closes or Shutdown is called,
-// for which it returns nil. The context is that of every handler.
+// in which case it returns nil. Handlers run with a context derived from ctx.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
-	if !s.listen(ln) {
+	if !s.setListener(ln) {
 		_ = ln.Close()
 		return nil
 	}
@@ -78,7 +78,7 @@
 			if s.stopping() {
 				return nil
 			}
-			return errors.Wrap(err, "accept")
+			return errors.Wrap(err, "accept peer connection")
 		}
 		if !s.track(raw) {
 			_ = raw.Close()
@@ -88,75 +88,78 @@
 	}
 }
 
-// listen keeps the listener for Shutdown; false after Shutdown.
-func (s *Server) listen(ln net.Listener) bool {
+// setListener stores the listener for Shutdown. It returns false after
+// Shutdown.
+func (s *Server) setListener(ln net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listener = ln
 	return !s.stopped
 }
 
-// track counts a connection; false after Shutdown.
+// track registers a connection. It returns false after Shutdown.
 func (s *Server) track(raw net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopped {
 		return false
 	}
-	s.open[raw] = nil
-	s.conns.Add(1)
+	s.connections[raw] = nil
+	s.connWG.Add(1)
 	return true
 }
 
-// serveConn runs one connection from handshake to end.
+// serveConn performs the handshake and serves the connection until it closes.
 func (s *Server) serveConn(ctx context.Context, raw net.Conn) {
-	defer s.conns.Done()
+	defer s.connWG.Done()
 	defer func() {
 		_ = raw.Close()
 		s.mu.Lock()
-		delete(s.open, raw)
+		delete(s.connections, raw)
 		s.mu.Unlock()
 	}()
-	conn, from, err := s.welcome(ctx, raw)
+	conn, from, err := s.handshake(ctx, raw)
 	if err != nil {
 		event.PeerRefused.Log(s.opts.Log, slog.String("remote", raw.RemoteAddr().String()), slog.Any("error", err))
 		return
 	}
 	event.PeerAccepted.Log(s.opts.Log, slog.String("peer", from))
 	c := newServerConn(s, conn, from)
-	if !s.greeted(raw, c) {
+	if !s.markHandshakeDone(raw, c) {
 		return
 	}
 	err = c.run(ctx)
 	event.PeerDisconnected.Log(s.opts.Log, slog.String("peer", from), slog.Any("cause", err))
 }
 
-// greeted notes that a handshake is over; false after Shutdown.
-func (s *Server) greeted(raw net.Conn, c *serverConn) bool {
+// markHandshakeDone registers the connection as in use. It returns false after
+// Shutdown.
+func (s *Server) markHandshakeDone(raw net.Conn, c *serverConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open[raw] = c
+	s.connections[raw] = c
 	return !s.stopped
 }
 
-// welcome secures an accepted connection, exchanges hellos and checks that the
-// peer may connect.
-func (s *Server) welcome(ctx context.Context, raw net.Conn) (net.Conn, string, error) {
+// handshake performs the TLS handshake, if enabled, exchanges hellos and
+// checks that the peer is admitted. It returns the connection and the peer's
+// host name.
+func (s *Server) handshake(ctx context.Context, raw net.Conn) (net.Conn, string, error) {
 	if err := setUserTimeout(raw, s.opts.UserTimeout); err != nil {
 		return nil, "", err
 	}
-	if err := handshakeDeadline(raw, s.opts.HandshakeTimeout); err != nil {
+	if err := setHandshakeDeadline(raw, s.opts.HandshakeTimeout); err != nil {
 		return nil, "", err
 	}
 	conn := raw
 	if s.opts.TLS != nil {
 		config, err := s.opts.TLS()
 		if err != nil {
-			return nil, "", errors.Wrap(err, "tls")
+			return nil, "", errors.Wrap(err, "TLS configuration")
 		}
 		secure := tls.Server(raw, config)
 		if err := secure.HandshakeContext(ctx); err != nil {
-			return nil, "", errors.Wrap(err, "tls")
+			return nil, "", errors.Wrap(err, "TLS handshake")
 		}
 		conn = secure
 	}
@@ -164,11 +167,11 @@
 	if err != nil {
 		return nil, "", err
 	}
-	if err := certifies(conn, h.Host); err != nil {
+	if err := verifyCertificate(conn, h.Host); err != nil {
 		return nil, "", err
 	}
 	if !s.admit(h.Host, remoteAddr(raw)) {
-		return nil, "", errors.Wrapf(ErrHandshake, "host %q not known", h.Host)
+		return nil, "", errors.Wrapf(ErrHandshake, "host %q not admitted", h.Host)
 	}
 	if err := writeHello(conn, s.opts.Host, supportedVersions); err != nil {
 		return nil, "", err
@@ -176,8 +179,7 @@
 	return conn, h.Host, errors.Wrap(conn.SetDeadline(time.Time{}), "clear deadline")
 }
 
-// remoteAddr returns the IP address of the other side, the zero Addr if it
-// has none.
+// remoteAddr returns the peer's IP address, or the zero Addr if it has none.
 func remoteAddr(conn net.Conn) netip.Addr {
 	ap, err := netip.ParseAddrPort(conn.RemoteAddr().String())
 	if err != nil {
@@ -186,42 +188,43 @@
 	return ap.Addr().Unmap()
 }
 
-// Shutdown stops accepting connections and requests, asks the peers to close
-// theirs, and waits for the handlers in flight and their answers. When the
-// context ends first the rest is cut off and its error returned.
+// Shutdown stops accepting connections and requests, sends close notices to
+// the peers and waits for handlers in flight and their replies. If the context
+// ends first, it closes the remaining connections and returns the context's
+// error.
 func (s *Server) Shutdown(ctx context.Context) error {
-	for _, c := range s.beginStop() {
-		go c.farewell()
+	for _, c := range s.startShutdown() {
+		go c.sendCloseNotice()
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.conns.Wait()
+		s.connWG.Wait()
 	}()
 	select {
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		s.closeAll()
+		s.closeConnections()
 		return errors.Wrap(ctx.Err(), "peer server shutdown")
 	}
 }
 
-// beginStop ends the accept loop and every handshake under way, and returns
-// the connections in use.
-func (s *Server) beginStop() []*serverConn {
+// startShutdown closes the listener and the connections whose handshake is in
+// progress, and returns the others.
+func (s *Server) startShutdown() []*serverConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopped {
 		return nil
 	}
 	s.stopped = true
-	close(s.stop)
+	close(s.stopCh)
 	if s.listener != nil {
 		_ = s.listener.Close()
 	}
 	var inUse []*serverConn
-	for raw, c := range s.open {
+	for raw, c := range s.connections {
 		if c == nil {
 			_ = raw.Close()
 			continue
@@ -231,11 +234,10 @@
 	return inUse
 }
 
-// closeAll cuts every connection off.
-func (s *Server) closeAll() {
+func (s *Server) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for conn := range s.open {
+	for conn := range s.connections {
 		_ = conn.Close()
 	}
 }
--- a/peer/serverconn.go
+++ b/peer/serverconn.go
@@ -11,41 +11,41 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// goodbyePatience is how long a peer has to close its connection once it was
-// asked to.
-const goodbyePatience = 2 * time.Second
+// closeNoticeTimeout is how long a peer may take to close its connection after
+// a close notice.
+const closeNoticeTimeout = 2 * time.Second
 
 // serverConn is one connection from a peer.
 type serverConn struct {
-	server *Server
-	conn   net.Conn
-	from   string
-	// slots bounds the handlers that run at once.
-	slots chan struct{}
-	// replies are frames for the writer.
+	server   *Server
+	conn     net.Conn
+	peerName string
+	// handlerSlots limits concurrent handlers.
+	handlerSlots chan struct{}
+	// replies are the frames queued for the writer.
 	replies chan []byte
-	// handlers counts those that may still send a reply.
+	// handlers counts running handlers.
 	handlers sync.WaitGroup
 	// unsent counts the replies that are queued or being written.
 	unsent atomic.Int64
-	// broken closes with the connection.
-	broken   chan struct{}
-	breakOne sync.Once
+	// closed is closed with the connection.
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-// newServerConn returns a connection whose handshake is over.
+// newServerConn returns a connection after its handshake.
 func newServerConn(s *Server, conn net.Conn, from string) *serverConn {
 	return &serverConn{
-		server:  s,
-		conn:    conn,
-		from:    from,
-		slots:   make(chan struct{}, s.opts.MaxInFlight),
-		replies: make(chan []byte, s.opts.WriteQueue),
-		broken:  make(chan struct{}),
+		server:       s,
+		conn:         conn,
+		peerName:     from,
+		handlerSlots: make(chan struct{}, s.opts.MaxInFlight),
+		replies:      make(chan []byte, s.opts.WriteQueue),
+		closed:       make(chan struct{}),
 	}
 }
 
-// run serves the connection until it ends, and waits for its handlers.
+// run serves the connection until it closes and waits for its handlers.
 func (c *serverConn) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -55,43 +55,43 @@
 		c.writeReplies()
 	}()
 	err := c.readRequests(ctx)
-	// Nobody reads the answers any more.
+	// The connection has failed, so no reply can be sent.
 	cancel()
-	c.abort()
+	c.disconnect()
 	c.handlers.Wait()
 	<-written
 	return err
 }
 
-// farewell asks the peer to send nothing new and to close the connection. One
-// that does not, because its process is paused, is not waited for once nothing
-// of it is in flight here.
-func (c *serverConn) farewell() {
-	c.send(&message{Kind: kindGoodbye})
-	patience := time.NewTicker(goodbyePatience)
-	defer patience.Stop()
+// sendCloseNotice asks the peer to send no new requests and to close the
+// connection. It closes the connection itself if the peer, for example a
+// paused process, doesn't do so although no request is in flight.
+func (c *serverConn) sendCloseNotice() {
+	c.send(&message{Kind: kindCloseNotice})
+	ticker := time.NewTicker(closeNoticeTimeout)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-c.broken:
+		case <-c.closed:
 			return
-		case <-patience.C:
+		case <-ticker.C:
 		}
-		if len(c.slots) == 0 && c.unsent.Load() == 0 {
-			c.abort()
+		if len(c.handlerSlots) == 0 && c.unsent.Load() == 0 {
+			c.disconnect()
 			return
 		}
 	}
 }
 
-// abort closes the connection now.
-func (c *serverConn) abort() {
-	c.breakOne.Do(func() {
-		close(c.broken)
+func (c *serverConn) disconnect() {
+	c.closeOnce.Do(func() {
+		close(c.closed)
 		_ = c.conn.Close()
 	})
 }
 
-// readRequests starts handlers until the stream ends or can't be trusted.
+// readRequests starts handlers until the connection ends or an invalid frame
+// arrives.
 func (c *serverConn) readRequests(ctx context.Context) error {
 	r := newFrameReader(c.conn)
 	for {
@@ -104,13 +104,13 @@
 			return err
 		}
 		if m.Kind != kindRequest {
-			return errors.Wrap(ErrFrame, "not a request")
+			return errors.Wrapf(ErrFrame, "message kind %d, expected a request", m.Kind)
 		}
 		c.dispatch(ctx, m)
 	}
 }
 
-// dispatch runs the handler of a request, or refuses it unprocessed.
+// dispatch starts the handler of a request, or refuses the request.
 func (c *serverConn) dispatch(ctx context.Context, m *message) {
 	h := c.server.handler(m.Method)
 	if h == nil {
@@ -122,7 +122,7 @@
 		return
 	}
 	select {
-	case c.slots <- struct{}{}:
+	case c.handlerSlots <- struct{}{}:
 	default:
 		c.refuse(m, "too many requests in flight")
 		return
@@ -130,12 +130,12 @@
 	c.handlers.Add(1)
 	go func() {
 		defer c.handlers.Done()
-		defer func() { <-c.slots }()
+		defer func() { <-c.handlerSlots }()
 		c.handle(ctx, h, m)
 	}()
 }
 
-// handle calls one handler and sends its reply.
+// handle runs a handler and sends its reply.
 func (c *serverConn) handle(ctx context.Context, h Handler, m *message) {
 	if m.RemainingMS > 0 {
 		var cancel context.CancelFunc
@@ -143,7 +143,7 @@
 		defer cancel()
 	}
 	decode := func(into any) error { return errors.Wrap(msgpack.Unmarshal(m.Body, into), "decode request") }
-	value, err := h(ctx, c.from, decode)
+	value, err := h(ctx, c.peerName, decode)
 	if err != nil {
 		c.send(&message{Kind: kindReply, ID: m.ID, Status: statusFailed, Error: err.Error()})
 		return
@@ -156,42 +156,42 @@
 	c.send(&message{Kind: kindReply, ID: m.ID, Status: statusAnswered, Body: body})
 }
 
-// refuse answers that no handler was called.
+// refuse replies that no handler was run.
 func (c *serverConn) refuse(m *message, reason string) {
 	c.send(&message{Kind: kindReply, ID: m.ID, Status: statusRefused, Error: reason})
 }
 
-// send queues a reply; it waits while the queue is full, which holds back the
-// peer's further requests.
+// send queues a reply. It blocks while the queue is full, which also stops the
+// reading of further requests.
 func (c *serverConn) send(m *message) {
 	frame, err := encodeMessage(m, c.server.opts.MaxFrame)
 	if err != nil {
 		frame, err = encodeMessage(&message{Kind: kindReply, ID: m.ID, Status: statusFailed, Error: err.Error()}, c.server.opts.MaxFrame)
 		if err != nil {
-			c.abort()
+			c.disconnect()
 			return
 		}
 	}
 	c.unsent.Add(1)
 	select {
 	case c.replies <- frame:
-	case <-c.broken:
+	case <-c.closed:
 	}
 }
 
-// writeReplies writes queued replies until the connection breaks, as many as
-// are queued with one call of the kernel.
+// writeReplies writes queued replies until the connection closes. It combines
+// queued frames into one write.
 func (c *serverConn) writeReplies() {
 	var out []byte
 	for {
 		select {
-		case <-c.broken:
+		case <-c.closed:
 			return
 		case frame := <-c.replies:
 			var frames int64
-			out, frames = c.gather(out[:0], frame)
+			out, frames = c.appendBatch(out[:0], frame)
 			if _, err := c.conn.Write(out); err != nil {
-				c.abort()
+				c.disconnect()
 				return
 			}
 			c.unsent.Add(-frames)
@@ -199,11 +199,12 @@
 	}
 }
 
-// gather appends a frame and those queued behind it, and counts them.
-func (c *serverConn) gather(out, frame []byte) ([]byte, int64) {
+// appendBatch appends frame and queued frames up to maxBatchBytes, and returns
+// the number of frames.
+func (c *serverConn) appendBatch(out, frame []byte) ([]byte, int64) {
 	for n := int64(1); ; n++ {
 		out = append(out, frame...)
-		if len(out) >= gatherBytes {
+		if len(out) >= maxBatchBytes {
 			return out, n
 		}
 		select {
--- a/peer/socket.go
+++ b/peer/socket.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// setUserTimeout sets TCP_USER_TIMEOUT, so that bytes stuck in a send buffer
-// through a partition are given up rather than delivered late. Other kinds of
-// connection are left alone.
+// setUserTimeout sets TCP_USER_TIMEOUT, so that bytes unacknowledged during a
+// partition are discarded instead of delivered late. It has no effect on
+// connections other than TCP.
 func setUserTimeout(conn net.Conn, limit time.Duration) error {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok || limit <= 0 {
@@ -19,7 +19,7 @@
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return errors.Wrap(err, "raw connection")
+		return errors.Wrap(err, "access raw connection")
 	}
 	var setErr error
 	err = raw.Control(func(fd uintptr) {
@@ -28,19 +28,19 @@
 	return errors.Wrap(errors.CombineErrors(err, setErr), "set TCP_USER_TIMEOUT")
 }
 
-// certifies reports whether the other side may call itself host: always on
-// plain TCP, by its certificate on TLS.
-func certifies(conn net.Conn, host string) error {
+// verifyCertificate checks that the peer's certificate is valid for host.
+// Connections without TLS are not checked.
+func verifyCertificate(conn net.Conn, host string) error {
 	secure, ok := conn.(*tls.Conn)
 	if !ok {
 		return nil
 	}
 	certs := secure.ConnectionState().PeerCertificates
 	if len(certs) == 0 {
-		return errors.Wrap(ErrHandshake, "no certificate")
+		return errors.Wrap(ErrHandshake, "peer sent no certificate")
 	}
 	if err := certs[0].VerifyHostname(host); err != nil {
-		return errors.Wrapf(ErrHandshake, "certificate: %v", err)
+		return errors.Wrapf(ErrHandshake, "verify certificate for host %q: %v", host, err)
 	}
 	return nil
 }
--- a/peer/tls_test.go
+++ b/peer/tls_test.go
@@ -13,9 +13,9 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// identity makes a certificate for a host that signs itself, and a TLS
-// configuration in which it trusts those of the pool and asks for one.
-func identity(t *testing.T, host string, pool *x509.CertPool) *tls.Config {
+// newTLSConfig creates a self-signed certificate for host, adds it to pool and
+// returns a configuration for mutual TLS that trusts pool.
+func newTLSConfig(t *testing.T, host string, pool *x509.CertPool) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -40,30 +40,30 @@
 	}
 }
 
-// fixed are settings that never change.
-func fixed(c *tls.Config) func() (*tls.Config, error) {
+// staticConfig returns an Options.TLS function that always returns c.
+func staticConfig(c *tls.Config) func() (*tls.Config, error) {
 	return func() (*tls.Config, error) { return c, nil }
 }
 
-func TestCertificateNamesTheHost(t *testing.T) {
+func TestCertificateMatchesHostName(t *testing.T) {
 	pool := x509.NewCertPool()
-	a, b := identity(t, "a", pool), identity(t, "b", pool)
-	_, address := serve(t, Options{Host: "b", TLS: fixed(b)}, anyone, nil)
+	a, b := newTLSConfig(t, "a", pool), newTLSConfig(t, "b", pool)
+	_, address := serve(t, Options{Host: "b", TLS: staticConfig(b)}, admitAll, nil)
 	cases := map[string]struct {
 		options Options
 		want    outcome.Kind
 	}{
-		"its own name":    {Options{Host: "a", TLS: fixed(a)}, outcome.Answered},
-		"another's name":  {Options{Host: "c", TLS: fixed(a)}, outcome.NotRun},
-		"no certificate":  {Options{Host: "a", TLS: fixed(&tls.Config{RootCAs: pool})}, outcome.NotRun},
+		"its own name":    {Options{Host: "a", TLS: staticConfig(a)}, outcome.Answered},
+		"another's name":  {Options{Host: "c", TLS: staticConfig(a)}, outcome.NotRun},
+		"no certificate":  {Options{Host: "a", TLS: staticConfig(&tls.Config{RootCAs: pool})}, outcome.NotRun},
 		"no TLS":          {Options{Host: "a"}, outcome.NotRun},
-		"unknown signer":  {Options{Host: "a", TLS: fixed(identity(t, "a", x509.NewCertPool()))}, outcome.NotRun},
-		"its name, again": {Options{Host: "a", TLS: fixed(a)}, outcome.Answered},
+		"unknown signer":  {Options{Host: "a", TLS: staticConfig(newTLSConfig(t, "a", x509.NewCertPool()))}, outcome.NotRun},
+		"its name, again": {Options{Host: "a", TLS: staticConfig(a)}, outcome.Answered},
 	}
 	for name, tc := range cases {
 		c := dialer(t, tc.options, address)
-		if r := c.Call(t.Context(), "b", "echo", text{}, nil); r.Kind != tc.want {
-			t.Errorf("%s: %+v", name, r)
+		if r := c.Call(t.Context(), "b", "echo", echoMessage{}, nil); r.Kind != tc.want {
+			t.Errorf("%s: unexpected result %+v", name, r)
 		}
 	}
 }
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -1,5 +1,6 @@
-// Package peer carries messages between entry hosts: framed msgpack over
-// TCP, with correlation, deadlines carried as remaining time, and bounds.
+// Package peer implements requests between entry hosts: framed msgpack over
+// TCP with request IDs, propagated deadlines and limits on size and
+// concurrency.
 package peer
 
 import (
@@ -8,32 +9,33 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// Method names a kind of request between entry hosts.
+// Method identifies a kind of request between entry hosts.
 type Method string
 
-// Result says what became of a request to a peer.
+// Result is the outcome of a request to a peer.
 type Result struct {
-	// Kind is Answered when the peer's whole answer was read; NotRun when no
-	// byte of the request was sent or the peer refused it before any handler
-	// saw it; Unknown otherwise, also when the handler returned an error.
+	// Kind is Answered if the complete reply was read, NotRun if no byte of
+	// the request was sent or the peer refused it before any handler ran, and
+	// Unknown otherwise, including when the handler returned an error.
 	Kind outcome.Kind
-	// Err is the transport's or the handler's error, nil when answered.
+	// Err is the error of the transport or the handler, nil if answered.
 	Err error
 }
 
 // Transport sends requests to entry hosts by name.
 type Transport interface {
-	// Call sends request (a msgpack-encodable struct) and decodes the answer
-	// into reply, a pointer. The context's deadline travels as remaining
-	// time.
+	// Call sends request, a msgpack-encodable struct, and decodes the answer
+	// into reply, a pointer. The peer's handler gets the time left until the
+	// context's deadline.
 	Call(ctx context.Context, host string, method Method, request, reply any) Result
 }
 
-// Handler answers one request. The decode function reads the request into a
-// pointer; the value returned is encoded as the answer.
+// Handler handles one request. The decode function decodes the request into a
+// pointer; the returned value is encoded as the answer.
 type Handler func(ctx context.Context, from string, decode func(any) error) (any, error)
 
-// Mux takes handlers by method. Register before the server starts.
+// Mux registers handlers by method. Handlers must be registered before the
+// server starts.
 type Mux interface {
 	Handle(method Method, h Handler)
 }
