--- a/internal/memtable/table.go
+++ b/internal/memtable/table.go
@@ -1,5 +1,5 @@
-// Package memtable is an in-memory table service with faults, for tests of
-// the packages that write to the table.
+// Package memtable is an in-memory table service with fault injection, for
+// tests.
 package memtable
 
 import (
@@ -13,50 +13,50 @@
 	"github.com/fireflygate/fireflygate/internal/pause"
 )
 
-// Table is an in-memory infra.Table. Set the exported fields before use or
-// through Set.
+// Table is an in-memory infra.Table. Set changes its faults.
 type Table struct {
 	mu      sync.Mutex
 	rows    map[string]infra.Row
 	version uint64
-	late    []infra.Transaction
+	held    []infra.Transaction
 
-	// Faults are the faults now in force.
+	// The current faults; see Set.
 	faults Faults
 	stats  Stats
 }
 
-// Faults are what goes wrong.
+// Faults are the injected faults.
 type Faults struct {
-	// Delay is how long each request takes.
+	// Delay is the duration of each request.
 	Delay time.Duration
-	// Down refuses all requests.
+	// Down makes all requests fail.
 	Down bool
-	// LoseAnswers is how many commits take effect without an answer.
+	// LoseAnswers is the number of commits that are applied but return an
+	// unknown status.
 	LoseAnswers int
-	// HoldCommits is how many commits get no answer and take effect only
-	// with Deliver.
+	// HoldCommits is the number of commits that return an unknown status and
+	// are applied only by DeliverHeld.
 	HoldCommits int
 }
 
 // Stats counts requests.
 type Stats struct {
-	// Commits counts transactions that arrived while the table was up.
+	// Commits counts transactions that were applied or conflicted.
 	Commits int
-	// Refused counts transactions that arrived while it was down.
+	// Refused counts transactions refused because of Down.
 	Refused int
 	// Rows counts rows written.
 	Rows int
 	// Reads counts Get and Scan requests.
 	Reads int
-	// LargestRows is the largest number of rows in one transaction.
+	// LargestRows is the largest number of rows written by one transaction.
 	LargestRows int
 }
 
 // New returns an empty table.
 func New() *Table { return &Table{rows: map[string]infra.Row{}} }
 
-// Set changes the faults.
+// Set changes the faults for later requests.
 func (t *Table) Set(f func(*Faults)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,14 +70,14 @@
 	return t.stats
 }
 
-// Deliver has the held commits arrive now.
+// DeliverHeld applies the held commits.
 func (t *Table) DeliverHeld() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, tx := range t.late {
+	for _, tx := range t.held {
 		t.apply(tx)
 	}
-	t.late = nil
+	t.held = nil
 }
 
 // Put writes a row without conditions and returns its version.
@@ -87,7 +87,7 @@
 	return t.apply(infra.Transaction{Writes: []infra.Write{{Key: key, Value: value}}}).Version
 }
 
-// wait lets the delay pass; false when ctx ended first.
+// wait sleeps for Delay. It returns false if ctx ends first.
 func (t *Table) wait(ctx context.Context) bool {
 	t.mu.Lock()
 	delay := t.faults.Delay
@@ -111,7 +111,7 @@
 		return infra.CommitResult{Status: infra.CommitNotApplied}
 	case t.faults.HoldCommits > 0:
 		t.faults.HoldCommits--
-		t.late = append(t.late, tx)
+		t.held = append(t.held, tx)
 		return infra.CommitResult{}
 	case t.faults.LoseAnswers > 0:
 		t.faults.LoseAnswers--
@@ -122,7 +122,7 @@
 	}
 }
 
-// apply carries out a transaction.
+// apply commits a transaction if its conditions hold. t.mu must be held.
 func (t *Table) apply(tx infra.Transaction) infra.CommitResult {
 	t.stats.Commits++
 	t.stats.LargestRows = max(t.stats.LargestRows, len(tx.Writes))
@@ -147,7 +147,7 @@
 	return infra.CommitResult{Status: infra.CommitApplied, Version: t.version}
 }
 
-// row returns a row, or an absent one.
+// row returns a row, or an absent one with version 0.
 func (t *Table) row(key string) infra.Row {
 	if row, ok := t.rows[key]; ok {
 		return row
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause lets time pass while a context may end.
+// Package pause provides a sleep that ends with a context.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d; it reports false when the context ended first.
+// For sleeps for d. It returns false if the context ends first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/peernet/network.go
+++ b/internal/peernet/network.go
@@ -1,5 +1,5 @@
-// Package peernet joins entry hosts within one process, through msgpack as
-// over TCP, for tests and benchmarks.
+// Package peernet connects entry hosts within one process for tests and
+// benchmarks. It encodes messages with msgpack as the TCP transport does.
 package peernet
 
 import (
@@ -12,37 +12,38 @@
 	"github.com/fireflygate/fireflygate/peer"
 )
 
-// Network carries requests between hosts by name. It is safe for concurrent
+// Network delivers requests between hosts by name. It is safe for concurrent
 // use.
 type Network struct {
 	mu       sync.Mutex
 	handlers map[string]map[peer.Method]peer.Handler
-	fate     func(from, to string, m peer.Method) Fault
+	fault    func(from, to string, m peer.Method) Fault
 }
 
-// New returns a network on which everything arrives.
+// New returns a network without faults.
 func New() *Network {
 	return &Network{
 		handlers: map[string]map[peer.Method]peer.Handler{},
-		fate:     func(string, string, peer.Method) Fault { return NoFault },
+		fault:    func(string, string, peer.Method) Fault { return NoFault },
 	}
 }
 
-// SetFault has f decide what becomes of each request from now on.
+// SetFault sets the function that determines the fault of each later request.
 func (n *Network) SetFault(f func(from, to string, m peer.Method) Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.fate = f
+	n.fault = f
 }
 
-// Remove forgets a method of a host, as a host of an older version has it.
+// RemoveMethod unregisters a method of a host, which simulates a host of an
+// older version.
 func (n *Network) RemoveMethod(host string, m peer.Method) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.handlers[host], m)
 }
 
-// Port returns a host's end of the network.
+// Port returns the transport and mux of a host.
 func (n *Network) Port(host string) Port { return Port{net: n, host: host} }
 
 func (n *Network) handle(host string, m peer.Method, h peer.Handler) {
@@ -54,34 +55,33 @@
 	n.handlers[host][m] = h
 }
 
-// route returns the handler of a request and its fate.
+// route returns the handler of a request and its fault.
 func (n *Network) route(from, to string, m peer.Method) (peer.Handler, Fault) {
 	n.mu.Lock()
-	h, fate := n.handlers[to][m], n.fate
+	h, fault := n.handlers[to][m], n.fault
 	n.mu.Unlock()
 	if h == nil {
 		return nil, Unreachable
 	}
-	return h, fate(from, to, m)
+	return h, fault(from, to, m)
 }
 
-// call carries one request.
 func (n *Network) call(ctx context.Context, from, to string, m peer.Method, request, reply any) peer.Result {
-	h, fate := n.route(from, to, m)
-	if fate == Unreachable {
+	h, fault := n.route(from, to, m)
+	if fault == Unreachable {
 		return peer.Result{Kind: outcome.NotRun, Err: peer.ErrUnreachable}
 	}
 	in, err := msgpack.Marshal(request)
 	if err != nil {
-		panic("peernet: a request can't be encoded: " + err.Error())
+		panic("peernet: encode request: " + err.Error())
 	}
 	answer, err := h(ctx, from, func(v any) error { return msgpack.Unmarshal(in, v) })
-	if err != nil || fate == ReplyLost || ctx.Err() != nil {
+	if err != nil || fault == ReplyLost || ctx.Err() != nil {
 		return peer.Result{Kind: outcome.Unknown, Err: err}
 	}
 	out, err := msgpack.Marshal(answer)
 	if err != nil {
-		panic("peernet: an answer can't be encoded: " + err.Error())
+		panic("peernet: encode reply: " + err.Error())
 	}
 	return peer.Result{Kind: outcome.Answered, Err: msgpack.Unmarshal(out, reply)}
 }
--- a/internal/peernet/port.go
+++ b/internal/peernet/port.go
@@ -6,7 +6,8 @@
 	"github.com/fireflygate/fireflygate/peer"
 )
 
-// Port is one host's end of a network: a peer.Transport and a peer.Mux.
+// Port is one host's access to a network. It implements peer.Transport and
+// peer.Mux.
 type Port struct {
 	net  *Network
 	host string
--- a/internal/witness/witness.go
+++ b/internal/witness/witness.go
@@ -1,5 +1,5 @@
-// Package witness records what callers see of their requests, for package
-// check. The demonstration and the integration tests share it.
+// Package witness creates records of what callers observe of their requests,
+// for package check.
 package witness
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// Sent names the request to the endpoint that gets it, and returns the record
-// of its sending to an entry host.
+// SentRecord sets the header that identifies the request to the endpoint, and
+// returns the record of its sending to an entry host.
 func SentRecord(r *http.Request, x load.Exchange, host string) check.Record {
 	r.Header.Set(standin.CallHeader, x.ID)
 	return check.Record{Sent: &check.Sent{
@@ -21,7 +21,7 @@
 	}}
 }
 
-// Answered returns the record of how a request ended for its caller.
+// AnsweredRecord returns the record of a request's outcome.
 func AnsweredRecord(x load.Exchange) check.Record {
 	a := &check.Answered{Call: x.ID, Outcome: x.Outcome.String()}
 	if x.Outcome != outcome.Answered {
