--- a/access/access_test.go
+++ b/access/access_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestGuard checks that only the credential opens the port, and that a new
-// credential in the file takes over without a restart.
+// TestGuard checks that only the credential is accepted and that a changed
+// file takes effect without a restart.
 func TestGuard(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "secret")
 	write(t, path, "first-credential-0000\n", time.Unix(1000, 0))
@@ -20,21 +20,21 @@
 		t.Fatal(err)
 	}
 	h := g.Wrap(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
-	expect(t, h, "", http.StatusUnauthorized)
-	expect(t, h, "Bearer wrong", http.StatusUnauthorized)
-	expect(t, h, "first-credential-0000", http.StatusUnauthorized)
-	expect(t, h, "Bearer first-credential-0000", http.StatusOK)
+	expectStatus(t, h, "", http.StatusUnauthorized)
+	expectStatus(t, h, "Bearer wrong", http.StatusUnauthorized)
+	expectStatus(t, h, "first-credential-0000", http.StatusUnauthorized)
+	expectStatus(t, h, "Bearer first-credential-0000", http.StatusOK)
 
 	write(t, path, "second-credential-111", time.Unix(2000, 0))
-	now = now.Add(2 * lookInterval)
-	expect(t, h, "Bearer first-credential-0000", http.StatusUnauthorized)
-	expect(t, h, "Bearer second-credential-111", http.StatusOK)
+	now = now.Add(2 * checkInterval)
+	expectStatus(t, h, "Bearer first-credential-0000", http.StatusUnauthorized)
+	expectStatus(t, h, "Bearer second-credential-111", http.StatusOK)
 
-	// A change that can't be used leaves the old one in force.
+	// An invalid change leaves the old credential in force.
 	write(t, path, "short", time.Unix(3000, 0))
-	now = now.Add(2 * lookInterval)
-	expect(t, h, "Bearer short", http.StatusUnauthorized)
-	expect(t, h, "Bearer second-credential-111", http.StatusOK)
+	now = now.Add(2 * checkInterval)
+	expectStatus(t, h, "Bearer short", http.StatusUnauthorized)
+	expectStatus(t, h, "Bearer second-credential-111", http.StatusOK)
 }
 
 func TestGuardRefusesShortCredential(t *testing.T) {
@@ -55,7 +55,7 @@
 	}
 }
 
-func expect(t *testing.T, h http.Handler, authorization string, status int) {
+func expectStatus(t *testing.T, h http.Handler, authorization string, status int) {
 	t.Helper()
 	r := httptest.NewRequest(http.MethodGet, "/status", nil)
 	if authorization != "" {
--- a/access/doc.go
+++ b/access/doc.go
@@ -1,4 +1,4 @@
-// Package access guards an entry host's ports: a credential for operators and
-// mutual TLS between peers, both read from files that may change while the
-// process runs.
+// Package access controls access to an entry host's ports with a credential
+// for operators and mutual TLS between peers. Both are read from files and
+// reloaded when the files change.
 package access
--- a/access/file.go
+++ b/access/file.go
@@ -8,33 +8,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// lookInterval is how often a file is looked at for a change.
-const lookInterval = time.Second
+// checkInterval is the minimum time between two checks of a file for changes.
+const checkInterval = time.Second
 
-// file keeps what was parsed from a file and parses it again when the file
-// changes. A change that can't be parsed leaves the old value in force.
-type file[T any] struct {
+// watchedFile caches the value parsed from a file and parses the file again
+// when its modification time changes. If that fails, the old value stays in
+// use.
+type watchedFile[T any] struct {
 	path  string
 	parse func(data []byte) (T, error)
 	now   func() time.Time
 
-	mu      sync.Mutex // guards the fields below
-	value   T
-	looked  time.Time
-	changed time.Time
-	loaded  bool
+	mu        sync.Mutex // guards the fields below
+	value     T
+	checkedAt time.Time
+	modTime   time.Time
+	loaded    bool
 }
 
-// get returns the newest value that could be parsed; an error only if there
-// never was one.
-func (f *file[T]) get() (T, error) {
+// get returns the latest value that was parsed. It returns an error only if
+// the file has never been parsed.
+func (f *watchedFile[T]) get() (T, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if f.loaded && now.Sub(f.looked) < lookInterval {
+	if f.loaded && now.Sub(f.checkedAt) < checkInterval {
 		return f.value, nil
 	}
-	f.looked = now
+	f.checkedAt = now
 	err := f.load()
 	if f.loaded {
 		return f.value, nil
@@ -42,22 +43,22 @@
 	return f.value, err
 }
 
-func (f *file[T]) load() error {
+func (f *watchedFile[T]) load() error {
 	info, err := os.Stat(f.path)
 	if err != nil {
-		return errors.Wrap(err, "access file")
+		return errors.Wrap(err, "stat access file")
 	}
-	if f.loaded && info.ModTime().Equal(f.changed) {
+	if f.loaded && info.ModTime().Equal(f.modTime) {
 		return nil
 	}
 	data, err := os.ReadFile(f.path)
 	if err != nil {
-		return errors.Wrap(err, "access file")
+		return errors.Wrap(err, "read access file")
 	}
 	value, err := f.parse(data)
 	if err != nil {
-		return errors.Wrapf(err, "access file %s", f.path)
+		return errors.Wrapf(err, "parse access file %s", f.path)
 	}
-	f.value, f.changed, f.loaded = value, info.ModTime(), true
+	f.value, f.modTime, f.loaded = value, info.ModTime(), true
 	return nil
 }
--- a/access/tls.go
+++ b/access/tls.go
@@ -10,26 +10,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Identity is a host's certificate and the authorities that it trusts, read
-// again when their files change.
+// Identity is a host's certificate and its trusted certificate authorities,
+// which are reloaded when their files change.
 type Identity struct {
-	certificate *file[tls.Certificate]
-	authorities *file[*x509.CertPool]
+	certificate *watchedFile[tls.Certificate]
+	authorities *watchedFile[*x509.CertPool]
 }
 
 // NewIdentity reads a certificate, its key and the authorities from PEM files.
-// A new certificate and key are taken when the certificate's file changes, so
-// the key is to be written first.
+// Only a change of the certificate file reloads the key, so the key must be
+// written first.
 func NewIdentity(certificate, key, authorities string, now func() time.Time) (*Identity, error) {
 	id := &Identity{
-		certificate: &file[tls.Certificate]{path: certificate, now: now, parse: func(data []byte) (tls.Certificate, error) {
+		certificate: &watchedFile[tls.Certificate]{path: certificate, now: now, parse: func(data []byte) (tls.Certificate, error) {
 			keyPEM, err := os.ReadFile(key)
 			if err != nil {
 				return tls.Certificate{}, err
 			}
 			return tls.X509KeyPair(data, keyPEM)
 		}},
-		authorities: &file[*x509.CertPool]{path: authorities, now: now, parse: parsePool},
+		authorities: &watchedFile[*x509.CertPool]{path: authorities, now: now, parse: parsePool},
 	}
 	if _, err := id.certificate.get(); err != nil {
 		return nil, err
@@ -41,23 +41,24 @@
 func parsePool(data []byte) (*x509.CertPool, error) {
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(bytes.TrimSpace(data)) {
-		return nil, errors.New("no certificate in it")
+		return nil, errors.New("no valid PEM certificate found")
 	}
 	return pool, nil
 }
 
-// Server returns the TLS settings of a port that shows this host's
-// certificate. With mutual, clients must show one that an authority signed.
+// ServerConfig returns the TLS configuration of a port that presents this
+// host's certificate. If mutual is set, clients must present a certificate
+// that a trusted authority signed.
 func (id *Identity) ServerConfig(mutual bool) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return id.serverNow(mutual)
+			return id.currentServerConfig(mutual)
 		},
 	}
 }
 
-func (id *Identity) serverNow(mutual bool) (*tls.Config, error) {
+func (id *Identity) currentServerConfig(mutual bool) (*tls.Config, error) {
 	certificate, err := id.certificate.get()
 	if err != nil {
 		return nil, err
@@ -71,8 +72,8 @@
 	return c, err
 }
 
-// Client returns the TLS settings for connections to peers, with the files as
-// they are now.
+// ClientConfig returns the TLS configuration for connections to peers, with
+// the current certificate and authorities.
 func (id *Identity) ClientConfig() (*tls.Config, error) {
 	certificate, err := id.certificate.get()
 	if err != nil {
