--- a/burn/doc.go
+++ b/burn/doc.go
@@ -1,3 +1,3 @@
-// Package burn measures how fast services spend their error budgets. It is
-// pure: counts go in with their time, reports come out.
+// Package burn computes the rate at which services spend their error budgets.
+// It does no I/O and reads no clock.
 package burn
--- a/burn/history.go
+++ b/burn/history.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// HistoryStep and HistoryLength are the step and the length of a report's
-// history.
+// HistoryStep and HistoryLength are the resolution and the length of a
+// report's history.
 const (
 	HistoryStep   = 5 * time.Minute
 	HistoryLength = 6 * time.Hour
 )
 
-// Point is the calls of one step of the history.
+// Point is the number of calls in one step of the history.
 type Point struct {
 	Start       time.Time
 	Good, Total int64
 }
 
-// history sums the sheets by step; the last step is the one that now is in.
-func history(o Objective, sheets []HourCounts, now time.Time) []Point {
+// history sums the counts by step. The last step contains now.
+func history(o Objective, counts []HourCounts, now time.Time) []Point {
 	step := HistoryStep.Milliseconds()
 	count := int(HistoryLength / HistoryStep)
 	first := (now.UnixMilli()/step - int64(count) + 1) * step
@@ -24,7 +24,7 @@
 	for i := range points {
 		points[i].Start = time.UnixMilli(first + int64(i)*step)
 	}
-	for _, s := range sheets {
+	for _, s := range counts {
 		if s.Objective != o.Name {
 			continue
 		}
--- a/burn/sheet.go
+++ b/burn/hourcounts.go
@@ -1,20 +1,21 @@
 package burn
 
-// Sheet is one entry host's counts for one objective in one hour. It is what
-// a host keeps in the platform's table, so that a report outlives the host.
+// HourCounts holds one entry host's counts for one objective in one hour. It
+// is stored in the platform's table, so that reports include hosts that have
+// stopped.
 type HourCounts struct {
 	Objective string `msgpack:"o"`
 	Host      string `msgpack:"h"`
-	// Hour is the number of the hour since the Unix epoch.
+	// Hour is the number of hours since the Unix epoch.
 	Hour int64 `msgpack:"n"`
 	// Good and Total count calls by minute of the hour.
 	Good  [minutesPerHour]int64 `msgpack:"g"`
 	Total [minutesPerHour]int64 `msgpack:"t"`
-	// FirstUnixMS and LastUnixMS bound the time that the sheet speaks of.
+	// FirstUnixMS and LastUnixMS limit the time that the counts cover.
 	FirstUnixMS int64 `msgpack:"f"`
 	LastUnixMS  int64 `msgpack:"l"`
-	// Closed is set by a host that stopped as planned or began the next
-	// hour: nothing of the hour is missing.
+	// Closed is set when the counts are final: the host stopped in an orderly
+	// way or the hour has ended.
 	Closed bool `msgpack:"c"`
 }
 
@@ -24,8 +25,8 @@
 	msPerHour      = minutesPerHour * msPerMinute
 )
 
-// HourOf returns the hour that a time in Unix milliseconds falls in.
+// HourOf returns the hour of a time in Unix milliseconds.
 func HourOf(unixMS int64) int64 { return unixMS / msPerHour }
 
-// minuteOf returns the minute of its hour that a time falls in.
+// minuteOf returns the minute of the hour of a time in Unix milliseconds.
 func minuteOf(unixMS int64) int64 { return unixMS % msPerHour / msPerMinute }
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -6,43 +6,44 @@
 // concurrent use.
 type Recorder struct {
 	host   string
-	sheets map[sheetKey]*HourCounts
+	counts map[hourKey]*HourCounts
 }
 
-type sheetKey struct {
+type hourKey struct {
 	objective string
 	hour      int64
 }
 
 // NewRecorder returns an empty recorder for a host.
 func NewRecorder(host string) *Recorder {
-	return &Recorder{host: host, sheets: map[sheetKey]*HourCounts{}}
+	return &Recorder{host: host, counts: map[hourKey]*HourCounts{}}
 }
 
-// Add counts calls of an objective at now.
+// Add adds calls of an objective at the time now.
 func (r *Recorder) Add(now time.Time, objective string, good, total int64) {
-	s := r.sheet(now, objective)
+	s := r.hourCounts(now, objective)
 	minute := minuteOf(now.UnixMilli())
 	s.Good[minute] += good
 	s.Total[minute] += total
 	s.LastUnixMS = now.UnixMilli()
 }
 
-// Touch notes that the host was counting at now, also without calls.
+// Touch records that the host was counting calls at the time now, even if
+// there were none.
 func (r *Recorder) Touch(now time.Time, objective string) {
-	r.sheet(now, objective).LastUnixMS = now.UnixMilli()
+	r.hourCounts(now, objective).LastUnixMS = now.UnixMilli()
 }
 
-// Flush returns the sheets to be written at now and forgets the hours that
-// are over. With closing, the newest are marked closed too.
+// Flush returns the counts to be written and drops those of past hours, which
+// it marks as closed. With closing, the current hour is marked as closed too.
 func (r *Recorder) Flush(now time.Time, closing bool) []HourCounts {
 	hour := HourOf(now.UnixMilli())
 	var out []HourCounts
-	for key, s := range r.sheets {
+	for key, s := range r.counts {
 		if key.hour < hour {
 			s.Closed = true
 			s.LastUnixMS = (key.hour + 1) * msPerHour
-			delete(r.sheets, key)
+			delete(r.counts, key)
 		}
 		s.Closed = s.Closed || closing
 		out = append(out, *s)
@@ -50,30 +51,30 @@
 	return out
 }
 
-// Restore puts back a sheet whose write failed, so that the next flush
-// carries it again.
+// Restore adds counts whose write failed to the next flush, unless there are
+// newer ones.
 func (r *Recorder) Restore(s HourCounts) {
-	key := sheetKey{s.Objective, s.Hour}
-	if _, newer := r.sheets[key]; !newer {
-		r.sheets[key] = &s
+	key := hourKey{s.Objective, s.Hour}
+	if _, newer := r.counts[key]; !newer {
+		r.counts[key] = &s
 	}
 }
 
-func (r *Recorder) sheet(now time.Time, objective string) *HourCounts {
+func (r *Recorder) hourCounts(now time.Time, objective string) *HourCounts {
 	ms := now.UnixMilli()
-	key := sheetKey{objective, HourOf(ms)}
-	s := r.sheets[key]
+	key := hourKey{objective, HourOf(ms)}
+	s := r.counts[key]
 	if s == nil {
 		s = &HourCounts{Objective: objective, Host: r.host, Hour: key.hour, FirstUnixMS: ms, LastUnixMS: ms}
-		r.sheets[key] = s
+		r.counts[key] = s
 	}
 	return s
 }
 
-// Snapshot returns the sheets as they are.
+// Snapshot returns a copy of all current counts.
 func (r *Recorder) Snapshot() []HourCounts {
-	out := make([]HourCounts, 0, len(r.sheets))
-	for _, s := range r.sheets {
+	out := make([]HourCounts, 0, len(r.counts))
+	for _, s := range r.counts {
 		out = append(out, *s)
 	}
 	return out
--- a/burn/report.go
+++ b/burn/report.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// Objective is what is asked of a service.
+// Objective is a service-level objective.
 type Objective struct {
 	Name    string
 	Service string
-	// Target is the share of calls that must be good.
+	// Target is the fraction of calls that must be good, below 1.
 	Target float64
 }
 
-// Report is the burn of one objective.
+// Report is the error budget burn of one objective.
 type Report struct {
 	Objective Objective
 	Windows   []Window
 	Alert     Alert
-	// Unseen lists hosts that stopped without closing their sheet: up to one
-	// flush interval of their calls is missing.
+	// Unseen lists hosts that stopped without closing their counts. Calls
+	// since their last flush are missing from the report.
 	Unseen []string
-	// History is the calls of the last HistoryLength, oldest first.
+	// History holds the calls of the last HistoryLength, oldest first.
 	History []Point
 }
 
-// Evaluate reports one objective at now from the sheets of all hosts. A sheet
-// not written for longer than stale and not closed counts as unseen.
-func Evaluate(o Objective, sheets []HourCounts, now time.Time, stale time.Duration) Report {
+// Evaluate reports on one objective at the time now from the counts of all
+// hosts. A host is unseen if its counts are neither closed nor written within
+// stale.
+func Evaluate(o Objective, counts []HourCounts, now time.Time, stale time.Duration) Report {
 	r := Report{Objective: o}
 	for _, length := range Windows {
-		r.Windows = append(r.Windows, window(o, sheets, now, length))
+		r.Windows = append(r.Windows, newWindow(o, counts, now, length))
 	}
 	r.Alert = alertOf(r.Windows)
-	r.History = history(o, sheets, now)
+	r.History = history(o, counts, now)
 	oldest := now.Add(-Windows[len(Windows)-1]).UnixMilli()
-	for _, s := range sheets {
-		lost := !s.Closed && now.UnixMilli()-s.LastUnixMS > stale.Milliseconds()
-		if s.Objective == o.Name && lost && s.LastUnixMS > oldest && !slices.Contains(r.Unseen, s.Host) {
+	for _, s := range counts {
+		unseen := !s.Closed && now.UnixMilli()-s.LastUnixMS > stale.Milliseconds()
+		if s.Objective == o.Name && unseen && s.LastUnixMS > oldest && !slices.Contains(r.Unseen, s.Host) {
 			r.Unseen = append(r.Unseen, s.Host)
 		}
 	}
@@ -45,14 +46,14 @@
 	return r
 }
 
-// window sums the whole minutes that lie in the window, the current one
-// included.
-func window(o Objective, sheets []HourCounts, now time.Time, length time.Duration) Window {
+// newWindow sums the whole minutes within the window, including the current
+// one.
+func newWindow(o Objective, counts []HourCounts, now time.Time, length time.Duration) Window {
 	w := Window{Length: length}
 	end := now.UnixMilli()
 	start := end - length.Milliseconds()
 	first := end
-	for _, s := range sheets {
+	for _, s := range counts {
 		if s.Objective != o.Name {
 			continue
 		}
@@ -69,12 +70,12 @@
 		}
 	}
 	w.Covered = time.Duration(end-max(first, start)) * time.Millisecond
-	w.Burn = rate(w.Good, w.Total, o.Target)
+	w.Burn = burnRate(w.Good, w.Total, o.Target)
 	return w
 }
 
-// rate returns the burn rate; 0 where there were no calls.
-func rate(good, total int64, target float64) float64 {
+// burnRate returns the burn rate, or 0 if there were no calls.
+func burnRate(good, total int64, target float64) float64 {
 	if total == 0 {
 		return 0
 	}
--- a/burnpage/doc.go
+++ b/burnpage/doc.go
@@ -1,3 +1,3 @@
-// Package burnpage renders burn reports as one HTML page that needs nothing
-// else: the plots are SVG within it, and it loads nothing from anywhere.
+// Package burnpage renders burn reports as one self-contained HTML page with
+// embedded SVG plots. The page loads no other resources.
 package burnpage
--- a/burnpage/page.go
+++ b/burnpage/page.go
@@ -18,23 +18,24 @@
 	"length": func(ms int64) string { return lengthText(ms) },
 }).Parse(pageText))
 
-// section is one objective on the page.
+// section is the part of the page for one objective.
 type section struct {
 	*operations.BurnReport
 	Burn, Calls template.HTML
 }
 
-// Write writes the page of the reports as read at a time from an entry host.
+// Write writes a page of the reports, which an entry host returned at the time
+// at.
 func Write(w io.Writer, reports []*operations.BurnReport, at time.Time) error {
 	sections := make([]section, 0, len(reports))
 	for _, r := range reports {
 		burn, err := burnPlot(r)
 		if err != nil {
-			return errors.Wrapf(err, "burn of %s", r.Objective)
+			return errors.Wrapf(err, "plot burn of objective %s", r.Objective)
 		}
 		calls, err := callsPlot(r)
 		if err != nil {
-			return errors.Wrapf(err, "calls of %s", r.Objective)
+			return errors.Wrapf(err, "plot calls of objective %s", r.Objective)
 		}
 		sections = append(sections, section{BurnReport: r, Burn: burn, Calls: calls})
 	}
@@ -42,10 +43,11 @@
 		At       string
 		Sections []section
 	}{at.UTC().Format(time.RFC3339), sections})
-	return errors.Wrap(err, "page")
+	return errors.Wrap(err, "write burn page")
 }
 
-// lengthText writes a window's length as operators name it: 5m, 1h, 3d.
+// lengthText formats a duration in milliseconds as a short text such as 5m, 1h
+// or 3d.
 func lengthText(ms int64) string {
 	d := time.Duration(ms) * time.Millisecond
 	const day = 24 * time.Hour
--- a/burnpage/page_test.go
+++ b/burnpage/page_test.go
@@ -13,9 +13,9 @@
 	"github.com/fireflygate/fireflygate/gen/operations"
 )
 
-// TestPageStandsAlone checks that the page shows what the report says, is
-// well-formed, escapes names, and names no other place.
-func TestPageStandsAlone(t *testing.T) {
+// TestPageIsSelfContained checks that the page shows the report's values, is
+// well-formed, escapes names and refers to no other resource.
+func TestPageIsSelfContained(t *testing.T) {
 	at := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
 	r := &operations.BurnReport{
 		Objective: "gate<script>", Service: "dispatch", Target: 0.99, Alert: "page", Unseen: []string{"gate-7"},
@@ -38,21 +38,21 @@
 	text := out.String()
 	for _, want := range []string{"2026-12-02T10:00:00Z", "gate-7", "<td>1203</td>", "<td>20.12</td>", "<td>3d</td>", "14.4", "page at 14.4", "gate&lt;script&gt;"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("page does not contain %q", want)
 		}
 	}
 	for _, bad := range []string{"http:", "https:", "//", "<script", "src=", "href=", "url(", "@import"} {
 		if strings.Contains(text, bad) {
-			t.Errorf("the page holds %q", bad)
+			t.Errorf("page contains %q", bad)
 		}
 	}
 	if n := strings.Count(text, "<svg"); n != 2 {
-		t.Errorf("%d plots, want two: the new objective has nothing to draw yet", n)
+		t.Errorf("%d plots, want 2: the objective without data has none", n)
 	}
-	wellFormed(t, text)
+	checkWellFormed(t, text)
 }
 
-func wellFormed(t *testing.T, text string) {
+func checkWellFormed(t *testing.T, text string) {
 	t.Helper()
 	d := xml.NewDecoder(strings.NewReader(text))
 	d.Strict, d.AutoClose, d.Entity = false, xml.HTMLAutoClose, xml.HTMLEntity
--- a/slo/counter.go
+++ b/slo/counter.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// counter counts the calls of one objective on the traffic path.
+// counter counts the calls of one objective.
 type counter struct {
 	latency     time.Duration
 	good, total atomic.Int64
 }
 
-// drain returns the counts and starts again from zero.
+// drain returns the counts and resets them.
 func (c *counter) drain() (good, total int64) {
 	total = c.total.Swap(0)
 	good = c.good.Swap(0)
--- a/slo/counters.go
+++ b/slo/counters.go
@@ -2,15 +2,16 @@
 
 import "github.com/fireflygate/fireflygate/settings"
 
-// counters is the immutable set of counters that the traffic path reads.
+// counters is the set of counters for Observe. It is immutable, so that
+// Observe needs no lock.
 type counters struct {
 	byName    map[string]*counter
 	byService map[string][]*counter
 }
 
-// next returns the counters for new objectives; those whose objective is
-// unchanged go on.
-func (old *counters) next(objectives map[string]settings.Objective) *counters {
+// withObjectives returns the counters for new objectives. It keeps the
+// counters of objectives whose latency bound is unchanged.
+func (old *counters) withObjectives(objectives map[string]settings.Objective) *counters {
 	c := &counters{byName: map[string]*counter{}, byService: map[string][]*counter{}}
 	for name, o := range objectives {
 		one := &counter{latency: o.Latency.D()}
--- a/slo/doc.go
+++ b/slo/doc.go
@@ -1,3 +1,3 @@
-// Package slo counts calls against the service-level objectives, keeps the
-// counts in the platform's table, and reports burn over all entry hosts.
+// Package slo counts calls against service-level objectives, stores the counts
+// in the platform's table and reports the burn over all entry hosts.
 package slo
--- a/slo/metrics.go
+++ b/slo/metrics.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the counts of this host by objective. The configuration bounds
-// the objectives.
+// metrics holds this host's counters by objective. The configuration limits
+// the number of objectives.
 type metrics struct {
 	good, total *prometheus.CounterVec
 }
@@ -23,7 +23,6 @@
 	return m
 }
 
-// add counts calls of an objective.
 func (m *metrics) add(objective string, good, total int64) {
 	m.good.WithLabelValues(objective).Add(float64(good))
 	m.total.WithLabelValues(objective).Add(float64(total))
