--- a/gate/authority_test.go
+++ b/gate/authority_test.go
@@ -18,7 +18,7 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// authority signs certificates for a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	t    *testing.T
 	cert *x509.Certificate
@@ -71,7 +71,7 @@
 	return encode("CERTIFICATE", der), encode("PRIVATE KEY", keyDER)
 }
 
-// pair returns a certificate for a host as a process holds it.
+// pair returns a certificate and key for a host, as used in a tls.Config.
 func (a *authority) pair(host string) []tls.Certificate {
 	a.t.Helper()
 	certificate, err := tls.X509KeyPair(a.sign(host, 1))
@@ -87,7 +87,8 @@
 	return pool
 }
 
-// write writes a host's certificate, key and authorities into a folder.
+// write writes a host's certificate and key, and the authority's certificate,
+// to a folder.
 func (a *authority) write(dir, host string, serial int64) settings.TLS {
 	a.t.Helper()
 	files := settings.TLS{
@@ -98,7 +99,8 @@
 	a.file(files.Authorities, encode("CERTIFICATE", a.cert.Raw))
 	a.file(files.Key, key)
 	a.file(files.Certificate, certificate)
-	// The serial stands for the time of the change, however fast it came.
+	// The serial is used as the modification time, so that renewals within the
+	// file system's time resolution are noticed.
 	changed := time.Unix(serial, 0)
 	if err := os.Chtimes(files.Certificate, changed, changed); err != nil {
 		a.t.Fatal(err)
@@ -106,7 +108,7 @@
 	return files
 }
 
-// file replaces a file at once, so that no reader sees half of it.
+// file replaces a file atomically.
 func (a *authority) file(path string, data []byte) {
 	a.t.Helper()
 	if err := os.WriteFile(path+".new", data, 0o600); err != nil {
--- a/gate/capacity_bench_test.go
+++ b/gate/capacity_bench_test.go
@@ -18,30 +18,30 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// hopDelay is what a message between two hosts takes, regions included.
+// hopDelay is the one-way delay of a message between two hosts.
 const hopDelay = 20 * time.Millisecond
 
-// spreadNet carries calls between spreaders and counts them.
-type spreadNet struct {
+// fakeNet delivers calls between configSyncs in one process and counts them.
+type fakeNet struct {
 	handlers map[string]map[peer.Method]peer.Handler
 	messages atomic.Int64
 	offers   atomic.Int64
 	bytes    atomic.Int64
 }
 
-type spreadPort struct {
-	net  *spreadNet
+type fakePort struct {
+	net  *fakeNet
 	host string
 }
 
-func (p spreadPort) Handle(m peer.Method, h peer.Handler) {
+func (p fakePort) Handle(m peer.Method, h peer.Handler) {
 	if p.net.handlers[p.host] == nil {
 		p.net.handlers[p.host] = map[peer.Method]peer.Handler{}
 	}
 	p.net.handlers[p.host][m] = h
 }
 
-func (p spreadPort) Call(ctx context.Context, host string, m peer.Method, request, reply any) peer.Result {
+func (p fakePort) Call(ctx context.Context, host string, m peer.Method, request, reply any) peer.Result {
 	<-time.After(hopDelay)
 	in, err := msgpack.Marshal(request)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return peer.Result{Kind: outcome.Answered, Err: msgpack.Unmarshal(out, reply)}
 }
 
-// sizedPolicy is a policy with so many teams, a service, an objective and a
-// class for every five of them, and an event for every four.
+// sizedPolicy returns a policy with the given number of teams, with a service,
+// an objective and a class for every five teams and an event for every four.
 func sizedPolicy(b *testing.B, teams int) string {
 	s := settings.Default()
 	s.Services, s.Objectives = map[string]settings.Service{}, map[string]settings.Objective{}
@@ -96,8 +96,8 @@
 	return content
 }
 
-// BenchmarkPolicy measures a policy's size and what it costs a host to bring
-// it into force.
+// BenchmarkPolicy measures the size of a policy and the cost of applying it on a
+// host.
 func BenchmarkPolicy(b *testing.B) {
 	for _, teams := range []int{3, 12, 46} {
 		b.Run(fmt.Sprint(teams, "teams"), func(b *testing.B) {
@@ -108,7 +108,7 @@
 			for b.Loop() {
 				version++
 				if !w.ApplyIfNewer(offerOf(version, content)) {
-					b.Fatal("not taken")
+					b.Fatal("a newer version was not applied")
 				}
 			}
 			b.ReportMetric(float64(len(content)), "bytes")
@@ -123,53 +123,52 @@
 	}
 }
 
-// BenchmarkSpread measures how long a version of 46 teams takes to be in force
-// on every host without the table, and the bytes and
-// messages.
+// BenchmarkSpread measures the time, messages and bytes until a new version is
+// in force on every host when it spreads through peers only.
 func BenchmarkSpread(b *testing.B) {
 	for _, hosts := range []int{9, 40, 100} {
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
 			var slowest time.Duration
 			for i := range b.N {
-				slowest = max(slowest, spreadOnce(b, hosts, uint64(i)))
+				slowest = max(slowest, pushOnce(b, hosts, uint64(i)))
 			}
 			b.ReportMetric(slowest.Seconds()*1000, "slowest-ms")
 		})
 	}
 }
 
-func spreadOnce(b *testing.B, hosts int, seed uint64) time.Duration {
+func pushOnce(b *testing.B, hosts int, seed uint64) time.Duration {
 	content := sizedPolicy(b, 46)
-	n := &spreadNet{handlers: map[string]map[peer.Method]peer.Handler{}}
+	n := &fakeNet{handlers: map[string]map[peer.Method]peer.Handler{}}
 	var names []string
 	for i := range hosts {
 		names = append(names, fmt.Sprintf("gate-%03d", i))
 	}
 	ctx, cancel := context.WithCancel(b.Context())
 	var running, inForce sync.WaitGroup
-	var spreaders []*spreader
+	var syncs []*configSync
 	log := slog.New(slog.DiscardHandler)
 	for i, name := range names {
 		w := configstore.NewWatcher(nil, settings.Default(), log)
 		w.ApplyIfNewer(offerOf(1, content))
 		inForce.Add(1)
 		w.Subscribe(func(configstore.Current) { inForce.Done() })
-		s := newSpreader(spreadPort{n, name}, spreadPort{n, name}, w, rand.New(rand.NewPCG(seed, uint64(i))))
+		s := newConfigSync(fakePort{n, name}, fakePort{n, name}, w, rand.New(rand.NewPCG(seed, uint64(i))))
 		s.setHosts(append(append([]string{}, names[:i]...), names[i+1:]...))
-		spreaders = append(spreaders, s)
+		syncs = append(syncs, s)
 	}
-	for _, s := range spreaders {
+	for _, s := range syncs {
 		running.Go(func() { s.run(ctx) })
 	}
-	<-time.After(1500 * time.Millisecond) // between two rounds of comparing
+	<-time.After(1500 * time.Millisecond) // between two rounds of anti-entropy
 	n.messages.Store(0)
 	n.bytes.Store(0)
 	began := time.Now()
-	spreaders[0].watcher.ApplyIfNewer(offerOf(2, content))
-	running.Go(func() { spreaders[0].spread(ctx) })
+	syncs[0].watcher.ApplyIfNewer(offerOf(2, content))
+	running.Go(func() { syncs[0].push(ctx) })
 	inForce.Wait()
 	took := time.Since(began)
-	<-time.After(500 * time.Millisecond) // the rest of the offers
+	<-time.After(500 * time.Millisecond) // wait for offers still in flight
 	b.ReportMetric(float64(n.messages.Load())/float64(hosts), "messages/host")
 	b.ReportMetric(float64(n.bytes.Load())/float64(hosts), "B/host")
 	cancel()
--- a/gate/fetch.go
+++ b/gate/configfetch.go
@@ -9,33 +9,34 @@
 	"github.com/fireflygate/fireflygate/peer"
 )
 
-// methodConfigFetch asks a peer for what it has in force.
+// methodConfigFetch requests the configuration in force on a peer.
 const methodConfigFetch peer.Method = "config.fetch"
 
-// fetchFanout bounds how many peers a starting host asks at a time.
+// fetchFanout is the largest number of peers that a starting host queries.
 const fetchFanout = 16
 
-// fetchReply is what a peer has in force; a starting one has nothing.
+// fetchReply is the configuration in force on a peer. Known is false while the
+// peer is starting.
 type fetchReply struct {
 	Known bool         `msgpack:"k"`
 	Offer offerMessage `msgpack:"o"`
 }
 
-// fetch finds a starting host its configuration while the store does not
-// answer. A single peer may have been parted from the others and be behind, so
-// the newest of what most of them have is taken: an accepted version reaches
-// all that are joined within seconds.
-func (s *spreader) fetch(ctx context.Context) {
+// fetchFromPeers applies the newest configuration known to peers while the host
+// starts and the store is unavailable. It needs replies from a majority of the
+// queried peers, because a single peer may be partitioned and have an old
+// version.
+func (s *configSync) fetchFromPeers(ctx context.Context) {
 	if !s.watcher.LastReadFailed() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	hosts := s.pick(fetchFanout, anyVersion)
+	hosts := s.pickPeers(fetchFanout, anyVersion)
 	var mu sync.Mutex
 	var newest fetchReply
 	answered := 0
-	s.each(hosts, func(host string) {
+	s.forEach(hosts, func(host string) {
 		var reply fetchReply
 		r := s.transport.Call(ctx, host, methodConfigFetch, versionMessage{}, &reply)
 		if r.Kind != outcome.Answered {
@@ -51,12 +52,12 @@
 	if 2*answered <= len(hosts) || !newest.Known {
 		return
 	}
-	if o, err := newest.Offer.offer(); err == nil {
+	if o, err := newest.Offer.unpack(); err == nil {
 		s.watcher.ApplyIfNewer(o)
 	}
 }
 
-func (s *spreader) handleFetch(context.Context, string, func(any) error) (any, error) {
+func (s *configSync) handleFetch(context.Context, string, func(any) error) (any, error) {
 	current, ok := s.watcher.Current()
 	if !ok {
 		return fetchReply{}, nil
--- a/gate/fetch_test.go
+++ b/gate/configfetch_test.go
@@ -10,11 +10,11 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// TestStartingHostTakesWhatMostHave starts a host while the store is down and
-// a peer that was parted from the others is behind. The peer's word alone must
-// not bring its older version back.
-func TestStartingHostTakesWhatMostHave(t *testing.T) {
-	c := newCrowd(6)
+// TestStartingHostNeedsMajority checks that a host that starts while the store
+// is down applies a configuration only if a majority of its peers respond, since
+// a single peer that was partitioned may have an old version.
+func TestStartingHostNeedsMajority(t *testing.T) {
+	c := newCluster(6)
 	for _, name := range []string{"h1", "h2", "h3", "h4"} {
 		c.hosts[name].watcher.ApplyIfNewer(offered(t, 2))
 	}
@@ -25,20 +25,20 @@
 	starting.watcher = configstore.NewWatcher(
 		&configstore.Store{Table: table, Objects: standin.NewObjects(), Now: time.Now}, settings.Default(), slog.New(slog.DiscardHandler))
 
-	starting.fetch(t.Context())
+	starting.fetchFromPeers(t.Context())
 	if v := starting.version(); v != 0 {
-		t.Errorf("version %d before the store was asked", v)
+		t.Errorf("version %d in force before a read of the store has failed, want none", v)
 	}
 	starting.watcher.Poll(t.Context())
-	c.dead = map[string]bool{"h1": true, "h2": true, "h3": true}
-	c.hosts["h5"].offer(t.Context(), "h0")
-	starting.fetch(t.Context())
+	c.unreachable = map[string]bool{"h1": true, "h2": true, "h3": true}
+	c.hosts["h5"].sendOffer(t.Context(), "h0")
+	starting.fetchFromPeers(t.Context())
 	if v := starting.version(); v != 0 {
-		t.Errorf("version %d from a minority of the peers", v)
+		t.Errorf("version %d in force with replies from a minority of the peers, want none", v)
 	}
-	c.dead = nil
-	starting.fetch(t.Context())
+	c.unreachable = nil
+	starting.fetchFromPeers(t.Context())
 	if v := starting.version(); v != 2 {
-		t.Errorf("version %d from all peers, want 2", v)
+		t.Errorf("version %d in force with replies from all peers, want 2", v)
 	}
 }
--- a/gate/configs.go
+++ b/gate/configs.go
@@ -16,14 +16,13 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// versionsShown is how many versions a listing shows.
-const versionsShown = 100
+const maxVersionsListed = 100
 
-// configsService implements the goa service configs.
+// configsService implements configs.Service.
 type configsService struct {
 	store   *configstore.Store
 	watcher *configstore.Watcher
-	spread  func(context.Context)
+	push    func(context.Context)
 	log     *slog.Logger
 }
 
@@ -41,7 +40,7 @@
 	if p.DryRun != nil && *p.DryRun {
 		return s.dryRun(change)
 	}
-	return s.answer(ctx, content, s.store.Apply(ctx, change))
+	return s.respond(ctx, content, s.store.Apply(ctx, change))
 }
 
 // Rollback implements configs.Service.
@@ -50,7 +49,7 @@
 	if errors.Is(result.Err, infra.ErrNotFound) {
 		return nil, configProblem("not_found", result.Err.Error(), "to")
 	}
-	return s.answer(ctx, content, result)
+	return s.respond(ctx, content, result)
 }
 
 // Show implements configs.Service.
@@ -68,7 +67,7 @@
 
 // Versions implements configs.Service.
 func (s *configsService) Versions(ctx context.Context) ([]*configs.ConfigVersion, error) {
-	heads, err := s.store.Versions(ctx, versionsShown)
+	heads, err := s.store.Versions(ctx, maxVersionsListed)
 	if err != nil {
 		return nil, configProblem("unavailable", err.Error(), "")
 	}
@@ -79,7 +78,7 @@
 	return out, nil
 }
 
-// dryRun compares a change with what is in force here.
+// dryRun compares a change with the configuration in force on this host.
 func (s *configsService) dryRun(c configstore.Change) (*configs.ConfigVersion, error) {
 	current, ok := s.watcher.Current()
 	if !ok {
@@ -91,14 +90,14 @@
 	return v, nil
 }
 
-// answer brings an accepted change into force here and tells peers, or says
-// why it was not accepted.
-func (s *configsService) answer(ctx context.Context, content string, r configstore.Result) (*configs.ConfigVersion, error) {
+// respond applies an accepted change on this host and pushes it to peers. For
+// any other result it returns the problem to send to the operator.
+func (s *configsService) respond(ctx context.Context, content string, r configstore.Result) (*configs.ConfigVersion, error) {
 	switch r.Status {
 	case configstore.Accepted:
 		event.ConfigAccepted.Log(s.log, slog.Uint64("version", r.Head.Version), slog.String("author", r.Head.Author))
 		s.watcher.ApplyIfNewer(configstore.Offer{Head: r.Head, Content: content})
-		go s.spread(context.WithoutCancel(ctx))
+		go s.push(context.WithoutCancel(ctx))
 		return versionOf(r.Head), nil
 	case configstore.Conflict:
 		event.ConfigConflict.Log(s.log, slog.Uint64("winner", r.Head.Version), slog.String("author", r.Head.Author))
@@ -119,7 +118,7 @@
 	}
 }
 
-// configProblem is a refusal of a change that was not applied.
+// configProblem returns the problem for a request that was not applied.
 func configProblem(name, title, field string) error {
 	p := &configs.Problem{Name: name, Title: title, Outcome: outcome.NotRun.String()}
 	if field != "" {
--- a/gate/peers.go
+++ b/gate/configsync.go
@@ -12,37 +12,36 @@
 	"github.com/fireflygate/fireflygate/peer"
 )
 
-// Peer methods of the configuration's anti-entropy.
+// Peer methods of configuration anti-entropy.
 const (
 	methodConfigVersion peer.Method = "config.version"
 	methodConfigOffer   peer.Method = "config.offer"
 )
 
-// Spreading of configurations among peers.
 const (
-	// versionInterval is how often a few peers are asked for their version.
+	// versionInterval is how often a few peers are queried for their version.
 	versionInterval = 500 * time.Millisecond
-	// versionFanout is how many are asked at a time; for each that does not
-	// answer, up to versionRetries others are asked.
+	// versionFanout is how many peers are queried concurrently. For each that
+	// doesn't respond, up to versionRetries others are queried.
 	versionFanout  = 2
 	versionRetries = 2
-	// offerFanout is how many peers a host tells of a version that is new to
-	// it; each of them does the same.
+	// offerFanout is how many peers a host pushes a new version to; each of
+	// them does the same.
 	offerFanout = 4
-	// peerTimeout bounds one exchange with a peer.
+	// peerTimeout bounds one request to a peer.
 	peerTimeout = time.Second
-	// anyVersion is above every version.
+	// anyVersion, passed to pickPeers, selects peers whatever their version.
 	anyVersion = math.MaxUint64
 )
 
-// versionMessage tells which configuration is in force on a host.
+// versionMessage is the configuration version in force on a host.
 type versionMessage struct {
 	Version uint64 `msgpack:"v"`
 }
 
-// spreader brings configurations to peers without the store, and knows which
-// version each peer last told.
-type spreader struct {
+// configSync replicates configurations among entry hosts without the store, by
+// push and by periodic anti-entropy, and records each peer's version.
+type configSync struct {
 	transport peer.Transport
 	watcher   *configstore.Watcher
 	mu        sync.Mutex // guards the fields below
@@ -51,8 +50,8 @@
 	versions  map[string]uint64
 }
 
-func newSpreader(t peer.Transport, mux peer.Mux, w *configstore.Watcher, rng *rand.Rand) *spreader {
-	s := &spreader{transport: t, watcher: w, rng: rng, versions: map[string]uint64{}}
+func newConfigSync(t peer.Transport, mux peer.Mux, w *configstore.Watcher, rng *rand.Rand) *configSync {
+	s := &configSync{transport: t, watcher: w, rng: rng, versions: map[string]uint64{}}
 	mux.Handle(methodConfigVersion, s.handleVersion)
 	mux.Handle(methodConfigOffer, s.handleOffer)
 	mux.Handle(methodConfigFetch, s.handleFetch)
@@ -60,7 +59,7 @@
 }
 
 // setHosts replaces the peers' names.
-func (s *spreader) setHosts(hosts []string) {
+func (s *configSync) setHosts(hosts []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts = hosts
@@ -71,8 +70,8 @@
 	s.versions = known
 }
 
-// known returns the version that each peer last told.
-func (s *spreader) known() map[string]uint64 {
+// peerVersions returns the version last reported by each peer.
+func (s *configSync) peerVersions() map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]uint64, len(s.versions))
@@ -82,8 +81,9 @@
 	return out
 }
 
-// run asks a few peers at each interval and mends differences either way.
-func (s *spreader) run(ctx context.Context) {
+// run exchanges versions with a few peers at each interval until ctx ends. While
+// the host has no configuration, it fetches one from peers instead.
+func (s *configSync) run(ctx context.Context) {
 	ticker := time.NewTicker(versionInterval)
 	defer ticker.Stop()
 	for {
@@ -93,16 +93,16 @@
 		case <-ticker.C:
 		}
 		if _, started := s.watcher.Version(); started {
-			s.round(ctx)
+			s.syncRound(ctx)
 		} else {
-			s.fetch(ctx)
+			s.fetchFromPeers(ctx)
 		}
 	}
 }
 
-// round compares versions with a few random peers.
-func (s *spreader) round(ctx context.Context) {
-	hosts := s.pick(versionFanout*(1+versionRetries), anyVersion)
+// syncRound compares versions with a few random peers.
+func (s *configSync) syncRound(ctx context.Context) {
+	hosts := s.pickPeers(versionFanout*(1+versionRetries), anyVersion)
 	lanes := min(versionFanout, len(hosts))
 	var wg sync.WaitGroup
 	for lane := range lanes {
@@ -117,9 +117,8 @@
 	wg.Wait()
 }
 
-// each calls f for all hosts at once and waits, so that one that does not
-// answer holds up no other.
-func (s *spreader) each(hosts []string, f func(host string)) {
+// forEach calls f concurrently for all hosts and waits for all calls.
+func (s *configSync) forEach(hosts []string, f func(host string)) {
 	var wg sync.WaitGroup
 	for _, host := range hosts {
 		wg.Go(func() { f(host) })
@@ -127,16 +126,16 @@
 	wg.Wait()
 }
 
-// spread tells a few peers that are not known to have what is in force. Each is
-// asked for its version first: most offers would come second, and an offer
-// carries the whole content.
-func (s *spreader) spread(ctx context.Context) {
-	s.each(s.pick(offerFanout, s.version()), func(host string) { s.compare(ctx, host) })
+// push sends the version in force to a few peers that aren't known to have it.
+// It queries their version first, because an offer carries the whole content and
+// another host has often sent it already.
+func (s *configSync) push(ctx context.Context) {
+	s.forEach(s.pickPeers(offerFanout, s.version()), func(host string) { s.compare(ctx, host) })
 }
 
-// compare asks a peer for its version; an older one is offered ours, and a
-// newer one sends its own. It reports whether the peer answered.
-func (s *spreader) compare(ctx context.Context, host string) bool {
+// compare exchanges versions with a peer. The host with the newer one sends it
+// to the other. It reports whether the peer responded.
+func (s *configSync) compare(ctx context.Context, host string) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	mine := s.version()
@@ -145,66 +144,66 @@
 	if r.Kind != outcome.Answered {
 		return false
 	}
-	s.learn(host, theirs.Version)
+	s.recordVersion(host, theirs.Version)
 	if theirs.Version < mine {
-		s.offer(ctx, host)
+		s.sendOffer(ctx, host)
 	}
 	return true
 }
 
-func (s *spreader) offer(ctx context.Context, host string) {
+func (s *configSync) sendOffer(ctx context.Context, host string) {
 	current, ok := s.watcher.Current()
 	if !ok {
 		return
 	}
 	o, err := packOffer(configstore.Offer{Head: current.Head, Content: current.Content})
 	if err != nil {
-		return // the table's copy reaches the peer
+		return // the peer reads it from the table
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var theirs versionMessage
 	if r := s.transport.Call(ctx, host, methodConfigOffer, o, &theirs); r.Kind == outcome.Answered {
-		s.learn(host, theirs.Version)
+		s.recordVersion(host, theirs.Version)
 	}
 }
 
-func (s *spreader) handleVersion(ctx context.Context, from string, decode func(any) error) (any, error) {
+func (s *configSync) handleVersion(ctx context.Context, from string, decode func(any) error) (any, error) {
 	var m versionMessage
 	if err := decode(&m); err != nil {
 		return nil, err
 	}
-	s.learn(from, m.Version)
+	s.recordVersion(from, m.Version)
 	mine := s.version()
 	if m.Version < mine {
-		go s.offer(context.WithoutCancel(ctx), from)
+		go s.sendOffer(context.WithoutCancel(ctx), from)
 	}
 	return versionMessage{Version: mine}, nil
 }
 
-func (s *spreader) handleOffer(ctx context.Context, from string, decode func(any) error) (any, error) {
+func (s *configSync) handleOffer(ctx context.Context, from string, decode func(any) error) (any, error) {
 	var m offerMessage
 	if err := decode(&m); err != nil {
 		return nil, err
 	}
-	o, err := m.offer()
+	o, err := m.unpack()
 	if err != nil {
 		return nil, err
 	}
-	s.learn(from, o.Head.Version)
-	// A starting host does not take the word of one peer, see fetch.
+	s.recordVersion(from, o.Head.Version)
+	// A starting host doesn't rely on a single peer, see fetchFromPeers.
 	if _, started := s.watcher.Version(); started && s.watcher.ApplyIfNewer(o) {
-		go s.spread(context.WithoutCancel(ctx))
+		go s.push(context.WithoutCancel(ctx))
 	}
 	return versionMessage{Version: s.version()}, nil
 }
 
-func (s *spreader) version() uint64 {
+func (s *configSync) version() uint64 {
 	version, _ := s.watcher.Version()
 	return version
 }
 
-func (s *spreader) learn(host string, version uint64) {
+func (s *configSync) recordVersion(host string, version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, known := s.versions[host]; known {
@@ -212,9 +211,9 @@
 	}
 }
 
-// pick returns up to n different peers at random, of those that are not known
-// to have the version.
-func (s *spreader) pick(n int, version uint64) []string {
+// pickPeers returns up to n random peers whose last reported version is older
+// than version.
+func (s *configSync) pickPeers(n int, version uint64) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var hosts []string
--- a/gate/deps.go
+++ b/gate/deps.go
@@ -7,7 +7,7 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Deps are the outside systems that an entry host reaches.
+// Deps are the external dependencies of an entry host.
 type Deps struct {
 	Table   infra.Table
 	Objects infra.Objects
@@ -16,6 +16,6 @@
 	Log     *slog.Logger
 	// Now is the clock; its readings must be monotonic.
 	Now func() time.Time
-	// Build is the program's version, for status.
+	// Build is the program's version, shown by the status command.
 	Build string
 }
--- a/gate/doc.go
+++ b/gate/doc.go
@@ -1,4 +1,4 @@
-// Package gate wires one entry host together: it starts its parts, feeds them
-// the membership list and the configuration, serves callers, peers and
+// Package gate assembles one entry host. It starts the components, applies the
+// membership list and the configuration to them, serves callers, peers and
 // operators, and drains on a planned stop.
 package gate
--- a/gate/drain.go
+++ b/gate/drain.go
@@ -11,10 +11,9 @@
 	"github.com/fireflygate/fireflygate/internal/pause"
 )
 
-// drain stops the host without cutting anything off: it tells the balancer,
-// goes on serving until the balancer has noticed, hands over what it owns
-// while peers take over, finishes what is in flight, and writes what is still
-// to be kept.
+// drain stops the host without aborting requests. It reports not ready, keeps
+// serving for DrainDelay until the balancer has noticed, hands over its
+// shards, finishes requests in flight and flushes pending records.
 func (g *Gate) drain(ctx context.Context, s servers) error {
 	event.DrainStarted.Log(g.deps.Log, slog.String("host", g.local.Host.Name))
 	began := g.deps.Now()
@@ -22,14 +21,14 @@
 	ctx, cancel := context.WithTimeout(ctx, g.local.Host.DrainTimeout.D())
 	defer cancel()
 	pause.For(ctx, g.local.Host.DrainDelay.D())
-	handed := g.handOver(ctx)
+	handOverErr := g.handOver(ctx)
 	shutDown(ctx, s.callers)
-	stopped := g.gateway.Stop(ctx)
-	flushed := g.book.Flush(ctx)
+	gatewayErr := g.gateway.Stop(ctx)
+	flushErr := g.bookings.Flush(ctx)
 	g.slo.Close(ctx)
-	err := errors.CombineErrors(errors.CombineErrors(handed, stopped), flushed)
-	if peers := g.peerServer.Shutdown(ctx); peers != nil {
-		err = errors.CombineErrors(err, peers)
+	err := errors.CombineErrors(errors.CombineErrors(handOverErr, gatewayErr), flushErr)
+	if peersErr := g.peerServer.Shutdown(ctx); peersErr != nil {
+		err = errors.CombineErrors(err, peersErr)
 	}
 	g.peers.Close()
 	shutDown(ctx, s.operators)
@@ -37,9 +36,10 @@
 	return errors.Wrap(err, "drain")
 }
 
-// handOver gives up what the host owns, in at most half of the time that is
-// left: while the table is down nothing can be handed over, and what is in
-// flight must still be finished. Others take over once the session has lapsed.
+// handOver hands over the host's shards. It takes at most half of the remaining
+// drain time, because a handover can't succeed while the table is down and
+// requests in flight must still finish. Shards that were not handed over are
+// taken over by other hosts once the session has expired.
 func (g *Gate) handOver(ctx context.Context) error {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -47,5 +47,5 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Until(deadline)/2)
 	defer cancel()
-	return g.keeper.HandOver(ctx)
+	return g.ownershipDriver.HandOver(ctx)
 }
--- a/gate/events.go
+++ b/gate/events.go
@@ -13,14 +13,16 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// events returns the next start of every event of the policy, and those before
-// it whose work is still on record, over all entry hosts that answer.
+// events returns the status of the next start of every event of the policy, and
+// of earlier starts with recorded work. The work is that of all entry hosts
+// that respond.
 func (g *Gate) events(ctx context.Context) []*operations.EventStatus {
-	work, silent := g.eventWork(ctx)
-	return eventStatuses(time.Now(), g.policy().Events, work, silent)
+	work, unresponsive := g.eventWork(ctx)
+	return eventStatuses(time.Now(), g.policy().Events, work, unresponsive)
 }
 
-// eventWork sums the work by start and lists the hosts that did not answer.
+// eventWork returns the work of all entry hosts by start, and the hosts that
+// did not respond.
 func (g *Gate) eventWork(ctx context.Context) (map[batch.EventStart]batch.EventWork, []string) {
 	work := map[batch.EventStart]batch.EventWork{}
 	add := func(list []batch.EventWork) {
@@ -30,23 +32,24 @@
 	}
 	own, _ := g.batch.EventWork(ctx)
 	add(own)
-	var silent []string
-	for host := range g.spreader.known() {
+	var unresponsive []string
+	for host := range g.configSync.peerVersions() {
 		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 		list, err := g.batch.PeerEventWork(ctx, host)
 		cancel()
 		if err != nil {
-			silent = append(silent, host)
+			unresponsive = append(unresponsive, host)
 			continue
 		}
 		add(list)
 	}
-	slices.Sort(silent)
-	return work, silent
+	slices.Sort(unresponsive)
+	return work, unresponsive
 }
 
-// eventStatuses judges each start at now.
-func eventStatuses(now time.Time, events map[string]settings.Event, work map[batch.EventStart]batch.EventWork, silent []string) []*operations.EventStatus {
+// eventStatuses returns the status at now of each known start, sorted by event
+// and start.
+func eventStatuses(now time.Time, events map[string]settings.Event, work map[batch.EventStart]batch.EventWork, unresponsive []string) []*operations.EventStatus {
 	out := []*operations.EventStatus{}
 	for name, e := range events {
 		next, err := e.Next(now)
@@ -56,12 +59,12 @@
 		}
 		start := batch.EventStart{Event: name, UnixMS: next.UnixMilli()}
 		if _, ok := work[start]; !ok {
-			out = append(out, eventStatus(now, start, batch.EventWork{}, silent))
+			out = append(out, eventStatus(now, start, batch.EventWork{}, unresponsive))
 		}
 	}
 	for start, w := range work {
 		if _, ok := events[start.Event]; ok {
-			out = append(out, eventStatus(now, start, w, silent))
+			out = append(out, eventStatus(now, start, w, unresponsive))
 		}
 	}
 	slices.SortFunc(out, func(a, b *operations.EventStatus) int {
@@ -70,20 +73,21 @@
 	return out
 }
 
-// eventStatus judges one start at now.
-func eventStatus(now time.Time, start batch.EventStart, w batch.EventWork, silent []string) *operations.EventStatus {
+// eventStatus returns the status of one start at now.
+func eventStatus(now time.Time, start batch.EventStart, w batch.EventWork, unresponsive []string) *operations.EventStatus {
 	s := &operations.EventStatus{Name: start.Event, StartUnixMs: start.UnixMS, Jobs: w.Jobs, Done: w.Done}
 	var verdict forecast.Verdict
-	verdict, s.Reason = judge(now, time.UnixMilli(start.UnixMS), w)
+	verdict, s.Reason = eventVerdict(now, time.UnixMilli(start.UnixMS), w)
 	s.Forecast = string(verdict)
-	if len(silent) > 0 {
-		s.Reason += fmt.Sprintf("; not heard from %v", silent)
+	if len(unresponsive) > 0 {
+		s.Reason += fmt.Sprintf("; not heard from %v", unresponsive)
 	}
 	return s
 }
 
-// judge says whether the work will be, or was, done by the start, and why.
-func judge(now, start time.Time, w batch.EventWork) (forecast.Verdict, string) {
+// eventVerdict reports whether the work will be done by the start, or was, and
+// the reason.
+func eventVerdict(now, start time.Time, w batch.EventWork) (forecast.Verdict, string) {
 	passed := now.After(start)
 	switch {
 	case w.Late > 0:
--- a/gate/events_test.go
+++ b/gate/events_test.go
@@ -9,7 +9,7 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-func TestJudge(t *testing.T) {
+func TestEventVerdict(t *testing.T) {
 	now := time.Date(2026, 6, 1, 5, 0, 0, 0, time.UTC)
 	ahead, past := now.Add(time.Hour), now.Add(-time.Hour)
 	for _, tt := range []struct {
@@ -28,7 +28,7 @@
 		{past, batch.EventWork{Jobs: 2, Done: 1, Verdict: forecast.WillMeet}, forecast.Missed},
 		{past, batch.EventWork{Jobs: 2, Done: 1, Parked: 1}, forecast.Missed},
 	} {
-		if got, reason := judge(now, tt.start, tt.work); got != tt.want {
+		if got, reason := eventVerdict(now, tt.start, tt.work); got != tt.want {
 			t.Errorf("%+v: %s (%s), want %s", tt.work, got, reason, tt.want)
 		}
 	}
@@ -43,6 +43,6 @@
 	}
 	list := eventStatuses(now, map[string]settings.Event{"rounds": {Start: "04:00", Location: "UTC"}}, work, nil)
 	if len(list) != 2 || list[0].StartUnixMs != past.UnixMS || list[0].Forecast != "met" || list[1].Forecast != "will_meet" {
-		t.Errorf("%d statuses, the first %+v", len(list), list[0])
+		t.Errorf("%d statuses, the first %+v; want 2, the past start first", len(list), list[0])
 	}
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -37,44 +37,44 @@
 	identity    *access.Identity
 	guard       *access.Guard
 
-	state   atomic.Int32
-	roster  atomic.Pointer[roster.Roster]
-	feeding sync.Mutex // serializes feedKeeper
-	// taken belongs to the goroutine that polls the members.
-	taken takenList
-	// drained is closed, by drainOnce, when a drain is asked for.
-	drained   chan struct{}
-	drainOnce sync.Once
-
-	peers      *peer.Client
-	peerServer *peer.Server
-	journal    *journal.Journal
-	keeper     *tenure.Driver
-	gateway    *gateway.Gateway
-	book       *booking.Registry
-	batch      *batch.Manager
-	slo        *slo.Tracker
-	store      *configstore.Store
-	watcher    *configstore.Watcher
-	spreader   *spreader
+	state       atomic.Int32
+	roster      atomic.Pointer[roster.Roster]
+	ownershipMu sync.Mutex // serializes updateOwnership
+	// applied is accessed only by the goroutine that polls the membership list.
+	applied appliedMembership
+	// drainRequested is closed, by drainOnce, when a drain is requested.
+	drainRequested chan struct{}
+	drainOnce      sync.Once
+
+	peers           *peer.Client
+	peerServer      *peer.Server
+	journal         *journal.Journal
+	ownershipDriver *tenure.Driver
+	gateway         *gateway.Gateway
+	bookings        *booking.Registry
+	batch           *batch.Manager
+	slo             *slo.Tracker
+	store           *configstore.Store
+	watcher         *configstore.Watcher
+	configSync      *configSync
 }
 
-// peerUserTimeout is how long bytes sent to a peer may stay unacknowledged.
+// peerUserTimeout is how long data sent to a peer may stay unacknowledged
+// before its connection is closed.
 const peerUserTimeout = 2 * time.Second
 
-// digestFanOut is how many peers are told of free slots at a time. Up to nine
-// hosts that is all of them; beyond, each is told in turn, and messages no
-// longer grow with the square of the hosts.
+// digestFanOut is how many peers receive each digest of free slots. It is
+// bounded so that messages don't grow with the square of the number of hosts.
 const digestFanOut = 8
 
-// New builds an entry host from its own settings; Run starts it.
+// New returns an entry host with its process settings; Run starts it.
 func New(local settings.Settings, deps Deps) (*Gate, error) {
 	g := &Gate{
-		local:       local,
-		deps:        deps,
-		incarnation: uuid.NewString(),
-		registry:    prometheus.NewRegistry(),
-		drained:     make(chan struct{}),
+		local:          local,
+		deps:           deps,
+		incarnation:    uuid.NewString(),
+		registry:       prometheus.NewRegistry(),
+		drainRequested: make(chan struct{}),
 	}
 	g.roster.Store(&roster.Roster{})
 	g.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -84,20 +84,20 @@
 	g.buildPeers()
 	g.store = &configstore.Store{Table: deps.Table, Objects: deps.Objects, Now: time.Now}
 	g.watcher = configstore.NewWatcher(g.store, local, deps.Log)
-	g.spreader = newSpreader(g.peers, g.peerServer, g.watcher, g.rng())
+	g.configSync = newConfigSync(g.peers, g.peerServer, g.watcher, g.rng())
 	g.journal = journal.New(journal.Config{
 		Table: deps.Table, Incarnation: g.incarnation, Settings: local.Batch,
 		Timeout: local.Platform.Timeout.D(), Log: deps.Log, Now: deps.Now, Registerer: g.registry,
 	})
 	g.slo = slo.NewTracker(local.Host.Name+"#"+g.incarnation, deps.Table, g.journal, g.registry, deps.Log, time.Now)
-	g.buildKeeper()
+	g.buildOwnership()
 	g.buildGateway()
 	g.buildBatch()
 	g.registerMetrics()
 	return g, nil
 }
 
-// rng returns a new generator for choices that need not repeat.
+// rng returns a randomly seeded generator.
 func (g *Gate) rng() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 func (g *Gate) buildAccess() error {
@@ -124,8 +124,8 @@
 	g.peerServer = peer.NewServer(server, g.admitPeer)
 }
 
-// admitPeer lets in the entry hosts that the membership list names, from the
-// address that it gives.
+// admitPeer reports whether the membership list has an entry host of this name
+// with this IP address.
 func (g *Gate) admitPeer(name string, remote netip.Addr) bool {
 	m, ok := g.roster.Load().Member(name)
 	if !ok || !g.roster.Load().Listed(name) {
@@ -135,8 +135,8 @@
 	return err == nil && address.Addr().Unmap() == remote.Unmap()
 }
 
-func (g *Gate) buildKeeper() {
-	g.keeper = tenure.New(tenure.Config{
+func (g *Gate) buildOwnership() {
+	g.ownershipDriver = tenure.New(tenure.Config{
 		Host: g.local.Host.Name, Incarnation: g.incarnation,
 		Table: g.deps.Table, Transport: g.peers, Mux: g.peerServer,
 		Lease: g.local.Lease, Log: g.deps.Log, Now: g.deps.Now,
@@ -145,17 +145,17 @@
 }
 
 func (g *Gate) buildGateway() {
-	g.book = booking.New(booking.Options{
+	g.bookings = booking.New(booking.Options{
 		Host: g.local.Host.Name, Incarnation: g.incarnation,
 		Committer: g.journal, Reader: g.deps.Table, Objects: g.deps.Objects, Peers: g.peers,
-		Alive:  g.keeper.Alive,
+		Alive:  g.ownershipDriver.Alive,
 		Window: func() time.Duration { return g.watcher.Calls().BookingWindow.D() }, Now: time.Now, Log: g.deps.Log,
 	})
-	g.book.Register(g.peerServer)
+	g.bookings.Register(g.peerServer)
 	g.gateway = gateway.New(gateway.Options{
 		Host: g.local.Host.Name, Zone: g.local.Host.Zone, Calls: g.local.Calls, MaxRun: g.local.Lease.MaxRun.D(),
-		Service: g.watcher.Service, Ownership: g.keeper, TableAvailable: g.keeper.StoreOK, Peers: g.peers, DigestFanOut: digestFanOut, Bookings: g.book,
-		Observe: g.observe, Registerer: g.registry, Log: g.deps.Log, Seed: rand.Uint64(),
+		Service: g.watcher.Service, Ownership: g.ownershipDriver, TableAvailable: g.ownershipDriver.StoreOK, Peers: g.peers, DigestFanOut: digestFanOut, Bookings: g.bookings,
+		Observe: g.observeCall, Registerer: g.registry, Log: g.deps.Log, Seed: rand.Uint64(),
 	})
 	g.gateway.Register(g.peerServer)
 }
@@ -167,25 +167,25 @@
 		Settings: g.local.Batch, TaskLease: g.local.Lease.TaskLease.D(), ClockRate: g.local.Lease.ClockRate, Timeout: g.local.Platform.Timeout.D(),
 		Log: g.deps.Log, Now: g.deps.Now, Rand: g.rng(), Registerer: g.registry,
 	})
-	g.batch.SetPolicy(g.local.Batch, planning(g.local))
+	g.batch.SetPolicy(g.local.Batch, plannerOptions(g.local))
 }
 
-// newPlanner returns an empty planner with the policy now in force.
+// newPlanner returns an empty planner with the policy in force.
 func (g *Gate) newPlanner(string) placement.Planner {
-	o := planning(g.policy())
+	o := plannerOptions(g.policy())
 	o.Seed = rand.Uint64()
 	return placement.New(o)
 }
 
-// planning returns what planners take of a policy.
-func planning(p settings.Settings) placement.Options {
+// plannerOptions returns the planner options for a policy.
+func plannerOptions(p settings.Settings) placement.Options {
 	return placement.Options{
 		Headroom: p.Batch.Headroom, Teams: p.Teams, Events: p.Events,
 		Colocation: p.Colocation, ObjectivesMS: classObjectives(p.Classes),
 	}
 }
 
-// classObjectives returns the tail latency that each class must keep, in
+// classObjectives returns the tail latency objective of each class in
 // milliseconds.
 func classObjectives(classes map[string]settings.Class) map[string]float64 {
 	out := make(map[string]float64, len(classes))
@@ -204,13 +204,14 @@
 	return current.Settings
 }
 
-// observe counts a finished call against the objectives. What the caller got
-// wrong does not count.
-func (g *Gate) observe(service string, took time.Duration, kind outcome.Kind) {
+// observeCall counts a finished call for the service-level objectives. Only
+// answered calls can meet them.
+func (g *Gate) observeCall(service string, took time.Duration, kind outcome.Kind) {
 	g.slo.Observe(service, took, kind == outcome.Answered)
 }
 
-// drainShard waits until nothing of a shard is in flight, for a hand-over.
+// drainShard stops a shard for a handover and waits until none of its requests
+// is in flight.
 func (g *Gate) drainShard(ctx context.Context, shard string) error {
 	if isWorkerShard(shard) {
 		return g.batch.Release(ctx, shard)
@@ -218,5 +219,5 @@
 	return g.gateway.Drain(ctx, shard)
 }
 
-// State returns where the host is in its life.
+// State returns the host's lifecycle state.
 func (g *Gate) State() State { return State(g.state.Load()) }
--- a/gate/rig_test.go
+++ b/gate/harness_test.go
@@ -12,22 +12,23 @@
 	"github.com/fireflygate/fireflygate/standin/httpclient"
 )
 
-// startGate runs one entry host over stand-ins until the test ends.
+// startGate runs one entry host with stand-ins until the test ends.
 func startGate(t *testing.T, edit func(*settings.Settings)) (*Gate, *standin.Platform, Listeners) {
 	t.Helper()
 	return startGateAt(t, func(*standin.Config) {}, edit, func(err error) {
 		if err != nil {
-			t.Errorf("the host's drain: %v", err)
+			t.Errorf("drain: %v", err)
 		}
 	})
 }
 
-// startGateAt is startGate over other stand-ins; ended gets what Run returned.
-func startGateAt(t *testing.T, site func(*standin.Config), edit func(*settings.Settings), ended func(error)) (*Gate, *standin.Platform, Listeners) {
+// startGateAt is startGate with a changed configuration of the stand-ins. It
+// passes the result of Run to ended.
+func startGateAt(t *testing.T, configure func(*standin.Config), edit func(*settings.Settings), onReturn func(error)) (*Gate, *standin.Platform, Listeners) {
 	t.Helper()
 	c := standin.DefaultConfig()
 	c.Services, c.Workers.Count = nil, 0
-	site(&c)
+	configure(&c)
 	p, err := standin.Start(c)
 	if err != nil {
 		t.Fatal(err)
@@ -56,13 +57,12 @@
 	go func() { returned <- g.Run(ctx, l) }()
 	t.Cleanup(func() {
 		stop()
-		ended(<-returned)
+		onReturn(<-returned)
 	})
 	return g, p, l
 }
 
-// eventually polls until ok holds, for at most a limit that only a hang
-// reaches.
+// eventually polls until ok returns true. It fails the test after a timeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -72,7 +72,7 @@
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			t.Fatal("never seen: " + what)
+			t.Fatal("timed out waiting until: " + what)
 		case <-ticker.C:
 		}
 	}
--- a/gate/inspect.go
+++ b/gate/inspect.go
@@ -2,11 +2,12 @@
 
 import "github.com/fireflygate/fireflygate/ownership"
 
-// FullyOwnedShards returns how many shards this host may use in full now.
+// FullyOwnedShards returns the number of shards that this host owns and may use
+// in full.
 func (g *Gate) FullyOwnedShards() int {
 	n := 0
 	now := g.deps.Now()
-	for _, grant := range g.keeper.Snapshot().Grants {
+	for _, grant := range g.ownershipDriver.Snapshot().Grants {
 		if grant.At(now) == ownership.Full {
 			n++
 		}
@@ -14,5 +15,5 @@
 	return n
 }
 
-// Shards returns how many shards the membership list gives.
+// ShardCount returns the number of shards of the membership list.
 func (g *Gate) ShardCount() int { return len(g.roster.Load().Shards()) }
--- a/gate/janitor.go
+++ b/gate/janitor.go
@@ -11,45 +11,43 @@
 	"github.com/fireflygate/fireflygate/ownership"
 )
 
-// Pace of the janitor.
 const (
-	// janitorInterval is the time between two rounds.
-	janitorInterval = time.Minute
-	// janitorScans bounds its scans a second.
-	janitorScans = 2
-	// janitorPage is how many rows one scan reads.
-	janitorPage = 200
-	// journalKeep is how long a journal's row must be seen unchanged, and its
-	// process gone, before it is deleted.
-	journalKeep = time.Hour
-	// sessionKeep is the same for the session row of a host that left the
-	// membership list.
-	sessionKeep = time.Hour
-	// janitorDuty is the name by which one host is chosen for the work.
+	// janitorInterval is the time between two sweeps.
+	janitorInterval       = time.Minute
+	janitorScansPerSecond = 2
+	// janitorPageSize is the largest number of rows that one scan reads.
+	janitorPageSize = 200
+	// journalRetention is how long a journal's row must be unchanged, and its
+	// process without a session, before the row is deleted.
+	journalRetention = time.Hour
+	// sessionRetention is how long the session row of a host that isn't in the
+	// membership list must be unchanged before it is deleted.
+	sessionRetention = time.Hour
+	// janitorDuty is the key that selects the host that runs the janitor.
 	janitorDuty = "duty/janitor"
-	// journalPrefix begins the keys of the journals' rows.
+	// journalPrefix is the key prefix of journal rows.
 	journalPrefix = "journal/"
 )
 
-// janitor deletes rows that nobody needs any more: old claims, old burn
-// sheets, journals of processes that are gone. One host at a time does it;
-// two would only do the same work twice, since every deletion is safe.
+// janitor deletes obsolete rows: old booking claims, old burn counts, journals
+// of terminated processes and sessions of departed hosts. One host runs it at a
+// time. Deletions are conditional, so two janitors only duplicate work.
 type janitor struct {
-	gate *Gate
-	pace *rate.Limiter
-	// seen is when each row of a process that is gone was first seen at its
-	// version, of journals and of sessions.
-	seen, seenSessions map[string]sighting
+	gate    *Gate
+	limiter *rate.Limiter
+	// The last sweep's observations by row key, for journals without a session
+	// and for sessions of departed hosts.
+	seenJournals, seenSessions map[string]observation
 }
 
-// sighting is a version of a row and when it was first seen.
-type sighting struct {
+// observation is the version of a row and when that version was first seen.
+type observation struct {
 	version uint64
 	since   time.Time
 }
 
 func newJanitor(g *Gate) *janitor {
-	return &janitor{gate: g, pace: rate.NewLimiter(janitorScans, 1), seen: map[string]sighting{}}
+	return &janitor{gate: g, limiter: rate.NewLimiter(janitorScansPerSecond, 1), seenJournals: map[string]observation{}}
 }
 
 func (j *janitor) run(ctx context.Context) {
@@ -61,43 +59,43 @@
 			return
 		case <-ticker.C:
 		}
-		if !j.mine("") {
+		if !j.onDuty("") {
 			continue
 		}
 		for service := range j.gate.policy().Services {
-			_, _ = j.gate.book.Sweep(ctx, service, j.pace, j.mine)
+			_, _ = j.gate.bookings.Sweep(ctx, service, j.limiter, j.onDuty)
 		}
 		j.gate.slo.Sweep(ctx)
 		j.sweepJournals(ctx)
 	}
 }
 
-// mine reports whether this host has the duty now.
-func (j *janitor) mine(string) bool {
+// onDuty reports whether this host is ready and the one that runs the janitor.
+func (j *janitor) onDuty(string) bool {
 	order := j.gate.roster.Load().PreferredOwners(janitorDuty)
 	return len(order) > 0 && order[0] == j.gate.local.Host.Name && j.gate.State() == Ready
 }
 
-// sweepSessions deletes the rows of hosts that left the membership list, once
-// they have not changed for long. A process that runs after all finds its row
-// gone and opens its session anew.
+// sweepSessions deletes the session rows of hosts that left the membership list
+// after sessionRetention without a change. A process that still runs finds its
+// row deleted and opens a new session.
 func (j *janitor) sweepSessions(ctx context.Context, rows []infra.Row) {
 	r := j.gate.roster.Load()
-	next := map[string]sighting{}
+	next := map[string]observation{}
 	for _, row := range rows {
 		if !r.Known() || r.Listed(strings.TrimPrefix(row.Key, ownership.SessionPrefix)) {
 			continue
 		}
-		next[row.Key] = j.sight(j.seenSessions, row)
-		if j.gate.deps.Now().Sub(next[row.Key].since) > sessionKeep {
-			j.remove(ctx, row)
+		next[row.Key] = j.observe(j.seenSessions, row)
+		if j.gate.deps.Now().Sub(next[row.Key].since) > sessionRetention {
+			j.deleteRow(ctx, row)
 		}
 	}
 	j.seenSessions = next
 }
 
-// sweepJournals deletes the rows of journals that have not changed for long
-// and whose process has no session.
+// sweepJournals deletes the journal rows of processes without a session after
+// journalRetention without a change. It also sweeps sessions.
 func (j *janitor) sweepJournals(ctx context.Context) {
 	sessions, ok := j.sessions(ctx)
 	if !ok {
@@ -105,10 +103,10 @@
 	}
 	j.sweepSessions(ctx, sessions)
 	live := incarnations(sessions)
-	next := map[string]sighting{}
+	next := map[string]observation{}
 	after := ""
 	for {
-		rows, ok := j.page(ctx, journalPrefix, after)
+		rows, ok := j.scanPage(ctx, journalPrefix, after)
 		if !ok {
 			return
 		}
@@ -117,50 +115,50 @@
 			if live[strings.TrimPrefix(row.Key, journalPrefix)] {
 				continue
 			}
-			next[row.Key] = j.sight(j.seen, row)
-			if j.gate.deps.Now().Sub(next[row.Key].since) > journalKeep {
-				j.remove(ctx, row)
+			next[row.Key] = j.observe(j.seenJournals, row)
+			if j.gate.deps.Now().Sub(next[row.Key].since) > journalRetention {
+				j.deleteRow(ctx, row)
 			}
 		}
-		if len(rows) < janitorPage {
-			j.seen = next
+		if len(rows) < janitorPageSize {
+			j.seenJournals = next
 			return
 		}
 	}
 }
 
-// sight returns since when a row has been seen unchanged.
-func (j *janitor) sight(seen map[string]sighting, row infra.Row) sighting {
+// observe returns since when a row has been unchanged.
+func (j *janitor) observe(seen map[string]observation, row infra.Row) observation {
 	if s, ok := seen[row.Key]; ok && s.version == row.Version {
 		return s
 	}
-	return sighting{version: row.Version, since: j.gate.deps.Now()}
+	return observation{version: row.Version, since: j.gate.deps.Now()}
 }
 
-func (j *janitor) remove(ctx context.Context, row infra.Row) {
+func (j *janitor) deleteRow(ctx context.Context, row infra.Row) {
 	j.gate.journal.Commit(ctx,
 		[]infra.Condition{{Key: row.Key, Version: row.Version}},
 		[]infra.Write{{Key: row.Key, Delete: true}})
 }
 
-// sessions returns every session row.
+// sessions returns all session rows; false if a scan failed.
 func (j *janitor) sessions(ctx context.Context) ([]infra.Row, bool) {
 	var all []infra.Row
 	after := ""
 	for {
-		rows, ok := j.page(ctx, ownership.SessionPrefix, after)
+		rows, ok := j.scanPage(ctx, ownership.SessionPrefix, after)
 		if !ok {
 			return nil, false
 		}
 		all = append(all, rows...)
-		if len(rows) < janitorPage {
+		if len(rows) < janitorPageSize {
 			return all, true
 		}
 		after = rows[len(rows)-1].Key
 	}
 }
 
-// incarnations returns the processes that have a session row.
+// incarnations returns the incarnations that have a session row.
 func incarnations(rows []infra.Row) map[string]bool {
 	live := map[string]bool{}
 	for _, row := range rows {
@@ -171,13 +169,14 @@
 	return live
 }
 
-// page reads one page of rows at the janitor's pace.
-func (j *janitor) page(ctx context.Context, prefix, after string) ([]infra.Row, bool) {
-	if err := j.pace.Wait(ctx); err != nil {
+// scanPage reads one page of rows, subject to the rate limit. It returns false
+// if the scan failed or ctx ended.
+func (j *janitor) scanPage(ctx context.Context, prefix, after string) ([]infra.Row, bool) {
+	if err := j.limiter.Wait(ctx); err != nil {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, j.gate.local.Platform.Timeout.D())
 	defer cancel()
-	rows, err := j.gate.deps.Table.Scan(ctx, prefix, after, janitorPage)
+	rows, err := j.gate.deps.Table.Scan(ctx, prefix, after, janitorPageSize)
 	return rows, err == nil
 }
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -12,7 +12,7 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// jobsService implements the goa service jobs.
+// jobsService implements jobs.Service.
 type jobsService struct {
 	manager *batch.Manager
 	watcher *configstore.Watcher
@@ -27,27 +27,27 @@
 	if spec.Event != "" && !s.watcher.HasEvent(spec.Event) {
 		return nil, jobProblem("bad_request", "no event of that name in the settings", "event", outcome.NotRun)
 	}
-	return s.answer(s.manager.Submit(ctx, spec))
+	return s.respond(s.manager.Submit(ctx, spec))
 }
 
 // Cancel implements jobs.Service.
 func (s *jobsService) Cancel(ctx context.Context, p *jobs.CancelPayload) (*jobs.JobStatus, error) {
-	return s.answer(s.manager.Cancel(ctx, p.ID))
+	return s.respond(s.manager.Cancel(ctx, p.ID))
 }
 
 // Show implements jobs.Service.
 func (s *jobsService) Show(ctx context.Context, p *jobs.ShowPayload) (*jobs.JobStatus, error) {
-	return s.answer(s.manager.Show(ctx, p.ID))
+	return s.respond(s.manager.Show(ctx, p.ID))
 }
 
-func (s *jobsService) answer(st batch.Status, kind outcome.Kind, reason string) (*jobs.JobStatus, error) {
+func (s *jobsService) respond(st batch.Status, kind outcome.Kind, reason string) (*jobs.JobStatus, error) {
 	if kind == outcome.Answered {
 		return jobStatusOf(st), nil
 	}
 	return nil, jobProblem(problemName(reason), reason, "", kind)
 }
 
-// problemName returns the kind of problem that a reason of package batch is.
+// problemName returns the problem name for a reason given by package batch.
 func problemName(reason string) string {
 	code, _, _ := strings.Cut(reason, ":")
 	switch code {
--- a/gate/listeners.go
+++ b/gate/listeners.go
@@ -8,14 +8,15 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// Listeners are the ports of one entry host.
+// Listeners are the listening sockets of one entry host.
 type Listeners struct {
 	Callers   net.Listener
 	Operators net.Listener
 	Peers     net.Listener
 }
 
-// Listen opens the ports that the settings name.
+// Listen listens on the addresses in the settings. On an error it closes the
+// listeners that are already open.
 func Listen(h settings.Host) (Listeners, error) {
 	var l Listeners
 	var err error
@@ -32,7 +33,7 @@
 	return l, nil
 }
 
-// Close closes those that are open.
+// Close closes the listeners that are open.
 func (l Listeners) Close() {
 	for _, one := range []net.Listener{l.Callers, l.Operators, l.Peers} {
 		if one != nil {
--- a/gate/members.go
+++ b/gate/members.go
@@ -9,10 +9,11 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// membersStaleAfter is when a list that could not be read anew is logged.
+// membersStaleAfter is the age of the last successful read at which failing
+// reads are logged.
 const membersStaleAfter = 10 * time.Second
 
-// memberPoller reads the membership list at an interval.
+// memberPoller reads the membership list at a fixed interval.
 type memberPoller struct {
 	members  infra.Members
 	interval time.Duration
--- a/gate/membership.go
+++ b/gate/membership.go
@@ -10,46 +10,48 @@
 	"github.com/fireflygate/fireflygate/routing"
 )
 
-// refeedAfter is when the parts are fed again with a list that did not change,
-// so that whatever one of them missed while the host started is made good.
-const refeedAfter = 10 * time.Second
+// reapplyInterval is how often an unchanged membership list is applied again,
+// in case a component missed it while the host started.
+const reapplyInterval = 10 * time.Second
 
-// takenList is the membership list, and the version of the configuration, that
-// every part was last fed with.
-type takenList struct {
+// appliedMembership is the membership list and configuration version that were
+// last applied to all components.
+type appliedMembership struct {
 	list   infra.MemberList
 	config uint64
 	at     time.Time
 }
 
-// same reports whether feeding the parts again would change nothing. Members
-// are compared too: a service that lost its state may count revisions anew.
-func (t takenList) same(list infra.MemberList, config uint64) bool {
+// matches reports whether the list and the configuration version are already
+// applied. It also compares the members, since a membership service that lost
+// its state may restart its revisions.
+func (t appliedMembership) matches(list infra.MemberList, config uint64) bool {
 	return t.config == config && t.list.Revision == list.Revision && slices.Equal(t.list.Members, list.Members)
 }
 
-// takeList feeds every part with a membership list. The poller calls it. While
-// a roster doubts absences each reading counts, changed or not.
-func (g *Gate) takeList(list infra.MemberList) {
+// applyMembers applies a membership list to all components. The poller calls
+// it. While the roster has unconfirmed removals it applies every reading,
+// because unchanged readings confirm them.
+func (g *Gate) applyMembers(list infra.MemberList) {
 	before := g.roster.Load()
 	version, _ := g.watcher.Version()
 	now := g.deps.Now()
-	fresh := now.Sub(g.taken.at) < refeedAfter
-	if before.Known() && !before.HasUnconfirmedRemovals() && fresh && g.taken.same(list, version) {
+	fresh := now.Sub(g.applied.at) < reapplyInterval
+	if before.Known() && !before.HasUnconfirmedRemovals() && fresh && g.applied.matches(list, version) {
 		return
 	}
-	g.taken = takenList{list: list, config: version, at: now}
+	g.applied = appliedMembership{list: list, config: version, at: now}
 	r := roster.Build(*before, list, g.local.Lease)
 	g.roster.Store(&r)
-	g.feedPeers(r)
+	g.updatePeers(r)
 	g.gateway.SetEndpoints(endpointsOf(r))
 	g.batch.SetWorkers(workersOf(r))
-	g.feedKeeper()
+	g.updateOwnership()
 	g.becomeReady()
 }
 
-// feedPeers tells every part of the other entry hosts.
-func (g *Gate) feedPeers(r roster.Roster) {
+// updatePeers passes the other entry hosts to the components.
+func (g *Gate) updatePeers(r roster.Roster) {
 	addresses := map[string]string{}
 	var hosts []gateway.PeerHost
 	var names []string
@@ -63,10 +65,10 @@
 	}
 	g.peers.SetPeers(addresses)
 	g.gateway.SetPeers(hosts)
-	g.spreader.setHosts(names)
+	g.configSync.setHosts(names)
 }
 
-// endpointsOf lists all endpoints with their shards.
+// endpointsOf returns all endpoints with their shards.
 func endpointsOf(r roster.Roster) []routing.Endpoint {
 	var out []routing.Endpoint
 	for _, shard := range r.Shards() {
--- a/gate/metrics.go
+++ b/gate/metrics.go
@@ -6,35 +6,35 @@
 	"github.com/fireflygate/fireflygate/ownership"
 )
 
-// shardsHeld describes the shards held, by what may be used of them.
+// shardsHeld describes the number of held shards by usable share.
 var shardsHeld = prometheus.NewDesc(
 	"fireflygate_shards_held", "Shards held, by the share of their capacity that may be used.", []string{"share"}, nil)
 
-// registerMetrics registers the gauges that read the host's own state.
+// registerMetrics registers the gauges of the host's state.
 func (g *Gate) registerMetrics() {
 	gauge := func(name, help string, read func() float64) {
 		g.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 	}
 	gauge("fireflygate_ready", "1 while the host takes requests, else 0.", func() float64 {
-		return oneIf(g.State() == Ready)
+		return boolToFloat(g.State() == Ready)
 	})
 	gauge("fireflygate_store_up", "1 while the platform's table answers, else 0.", func() float64 {
-		return oneIf(g.keeper.StoreOK())
+		return boolToFloat(g.ownershipDriver.StoreOK())
 	})
 	gauge("fireflygate_config_version", "Version of the configuration in force.", func() float64 {
-		return float64(g.spreader.version())
+		return float64(g.configSync.version())
 	})
 	g.registry.MustRegister(&shardsCollector{gate: g})
 }
 
-func oneIf(holds bool) float64 {
+func boolToFloat(holds bool) float64 {
 	if holds {
 		return 1
 	}
 	return 0
 }
 
-// shardsCollector counts the shards held by share at each scrape.
+// shardsCollector counts the held shards by share at each scrape.
 type shardsCollector struct{ gate *Gate }
 
 // Describe implements prometheus.Collector.
@@ -44,7 +44,7 @@
 func (c *shardsCollector) Collect(to chan<- prometheus.Metric) {
 	now := c.gate.deps.Now()
 	held := map[ownership.Share]int{ownership.Half: 0, ownership.Full: 0}
-	for _, grant := range c.gate.keeper.Snapshot().Grants {
+	for _, grant := range c.gate.ownershipDriver.Snapshot().Grants {
 		if share := grant.At(now); share != ownership.None {
 			held[share]++
 		}
--- a/gate/metrics_test.go
+++ b/gate/metrics_test.go
@@ -14,17 +14,17 @@
 )
 
 var (
-	// rowPattern is a row of the page: | `name{labels}` | type | meaning |.
+	// rowPattern matches a row of the page: | `name{labels}` | type | meaning |.
 	rowPattern = regexp.MustCompile("(?m)^\\| `(fireflygate_[a-z_]+)(?:\\{([a-z,]*)\\})?` \\| (?:counter|gauge|histogram) \\| .+ \\|$")
-	// descPattern is how a description prints itself.
+	// descPattern matches the text of a prometheus.Desc.
 	descPattern = regexp.MustCompile(`fqName: "([a-z_]+)", help: "(.*)", constLabels: \{\}, variableLabels: \{([a-z,]*)\}`)
-	// usePattern is a metric in the rules for alerts.
+	// usePattern matches a metric's name in the alerting rules.
 	usePattern = regexp.MustCompile(`fireflygate_[a-z_]+`)
 )
 
-// TestMetricsAreOnThePage checks that docs/METRICS.md lists just the metrics
-// of a running host with their labels, and that its rules use no others.
-func TestMetricsAreOnThePage(t *testing.T) {
+// TestMetricsMatchDocs checks that docs/METRICS.md lists exactly the metrics of
+// a host with their labels, and that its alerting rules use no others.
+func TestMetricsMatchDocs(t *testing.T) {
 	text, err := os.ReadFile("../docs/METRICS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -34,28 +34,28 @@
 		page[row[1]] = row[2]
 	}
 	g, _, _ := startGate(t, func(*settings.Settings) {})
-	have := described(t, g.registry)
-	if !maps.Equal(page, have) {
-		t.Errorf("the page lists %v", slices.Sorted(maps.Keys(page)))
-		t.Errorf("the host has %v", slices.Sorted(maps.Keys(have)))
+	registered := described(t, g.registry)
+	if !maps.Equal(page, registered) {
+		t.Errorf("docs/METRICS.md lists %v", slices.Sorted(maps.Keys(page)))
+		t.Errorf("the host registers %v", slices.Sorted(maps.Keys(registered)))
 	}
 	_, rules, _ := strings.Cut(string(text), "```yaml")
 	names := usePattern.FindAllString(rules, -1)
 	if len(names) == 0 {
-		t.Error("no rules on the page")
+		t.Error("no alerting rules in docs/METRICS.md")
 	}
 	for _, name := range names {
 		base := name
 		for _, suffix := range []string{"_bucket", "_sum", "_count"} {
 			base = strings.TrimSuffix(base, suffix)
 		}
-		if _, ok := have[base]; !ok {
-			t.Errorf("a rule uses %s, which no host has", name)
+		if _, ok := registered[base]; !ok {
+			t.Errorf("an alerting rule uses %s, which the host doesn't register", name)
 		}
 	}
 }
 
-// described returns the labels of a registry's metrics by name.
+// described returns the labels of a registry's metrics by metric name.
 func described(t *testing.T, r *prometheus.Registry) map[string]string {
 	t.Helper()
 	descs := make(chan *prometheus.Desc)
@@ -70,7 +70,7 @@
 		}
 		m := descPattern.FindStringSubmatch(d.String())
 		if m == nil {
-			t.Fatalf("unexpected: %s", d)
+			t.Fatalf("unexpected metric description: %s", d)
 		}
 		if m[2] == "" {
 			t.Errorf("%s has no help", m[1])
--- a/gate/offer.go
+++ b/gate/offer.go
@@ -10,17 +10,17 @@
 	"github.com/fireflygate/fireflygate/configstore"
 )
 
-// maxContent bounds the content of an offer, in bytes.
-const maxContent = 8 << 20
+// maxOfferContent bounds the uncompressed content of an offer, in bytes.
+const maxOfferContent = 8 << 20
 
-// offerMessage carries a configstore.Offer between entry hosts. Its content is
-// compressed: a policy is the largest of the messages that keep hosts alike.
+// offerMessage is the encoding of a configstore.Offer between entry hosts.
+// Content is compressed with DEFLATE.
 type offerMessage struct {
 	Head    configstore.Head `msgpack:"h"`
 	Content []byte           `msgpack:"c"`
 }
 
-// packOffer returns the message that carries an offer.
+// packOffer encodes an offer.
 func packOffer(o configstore.Offer) (offerMessage, error) {
 	var packed bytes.Buffer
 	w, err := flate.NewWriter(&packed, flate.BestCompression)
@@ -36,15 +36,15 @@
 	return offerMessage{Head: o.Head, Content: packed.Bytes()}, nil
 }
 
-// offer returns the offer that the message carries.
-func (m offerMessage) offer() (configstore.Offer, error) {
+// unpack decodes the offer. It fails if the content exceeds maxOfferContent.
+func (m offerMessage) unpack() (configstore.Offer, error) {
 	r := flate.NewReader(bytes.NewReader(m.Content))
-	content, err := io.ReadAll(io.LimitReader(r, maxContent+1))
+	content, err := io.ReadAll(io.LimitReader(r, maxOfferContent+1))
 	if err != nil {
 		return configstore.Offer{}, errors.Wrap(err, "unpack offer")
 	}
-	if len(content) > maxContent {
-		return configstore.Offer{}, errors.Newf("offer is larger than %d bytes", maxContent)
+	if len(content) > maxOfferContent {
+		return configstore.Offer{}, errors.Newf("unpack offer: content exceeds %d bytes", maxOfferContent)
 	}
 	return configstore.Offer{Head: m.Head, Content: string(content)}, nil
 }
--- a/gate/operations.go
+++ b/gate/operations.go
@@ -9,7 +9,7 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// operationsService implements the goa service operations.
+// operationsService implements operations.Service.
 type operationsService struct{ gate *Gate }
 
 // Status implements operations.Service.
@@ -21,7 +21,7 @@
 		Zone:      g.local.Host.Zone,
 		State:     g.State().String(),
 		Build:     g.deps.Build,
-		StoreOK:   g.keeper.StoreOK(),
+		StoreOK:   g.ownershipDriver.StoreOK(),
 		Leases:    s.leases(),
 		Peers:     map[string]int64{},
 		Endpoints: s.endpoints(),
@@ -32,17 +32,17 @@
 	version, _ := g.watcher.Version()
 	st.ConfigVersion = int64(version)
 	st.Peers[st.Name] = st.ConfigVersion
-	for host, version := range g.spreader.known() {
+	for host, version := range g.configSync.peerVersions() {
 		st.Peers[host] = int64(version)
 	}
 	return st, nil
 }
 
-// leases lists the shards held here, by name.
+// leases returns the shards held by this host, sorted by name.
 func (s *operationsService) leases() []*operations.LeaseStatus {
 	now := s.gate.deps.Now()
 	out := []*operations.LeaseStatus{}
-	for _, grant := range s.gate.keeper.Snapshot().Grants {
+	for _, grant := range s.gate.ownershipDriver.Snapshot().Grants {
 		out = append(out, &operations.LeaseStatus{
 			Shard: grant.Shard, Epoch: int64(grant.Epoch), Share: grant.At(now).String(),
 		})
@@ -51,11 +51,11 @@
 	return out
 }
 
-// endpoints counts the endpoints of the shards held here.
+// endpoints returns the number of endpoints in the shards held by this host.
 func (s *operationsService) endpoints() int {
 	n := 0
 	r := s.gate.roster.Load()
-	for shard := range s.gate.keeper.Snapshot().Grants {
+	for shard := range s.gate.ownershipDriver.Snapshot().Grants {
 		if strings.HasPrefix(shard, endpointShards) {
 			n += len(r.Members(shard))
 		}
--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -15,7 +15,7 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// apply brings a change of the policy in force.
+// apply stores a changed policy with the given base version.
 func apply(t *testing.T, g *Gate, base uint64, change func(*settings.Settings)) {
 	t.Helper()
 	s := g.policy()
@@ -30,15 +30,15 @@
 	}
 }
 
-// TestAppliedQuotaReachesPlanners applies a quota to running planners, then a
-// larger one.
+// TestAppliedQuotaReachesPlanners checks that running planners use a quota that
+// is applied, and then a larger one.
 func TestAppliedQuotaReachesPlanners(t *testing.T) {
-	site := func(c *standin.Config) { c.Workers.Count = 2 }
+	configure := func(c *standin.Config) { c.Workers.Count = 2 }
 	edit := func(s *settings.Settings) {
 		s.Platform.ConfigInterval = settings.Duration(50 * time.Millisecond)
 		s.Teams = map[string]settings.Team{"routes": {Weight: 1}}
 	}
-	g, _, _ := startGateAt(t, site, edit, func(error) {})
+	g, _, _ := startGateAt(t, configure, edit, func(error) {})
 	running := func(want int) func() bool { return func() bool { return g.batch.Counts().Running == want } }
 	submit := func(from, to int) {
 		for i := from; i < to; i++ {
@@ -46,7 +46,7 @@
 				ID: fmt.Sprint("job-", i), Key: fmt.Sprint("key-", i), Team: "routes", Class: "plan", QoS: task.Batch,
 				Resources: infra.Resources{MilliCPU: 1000, MemoryMB: 100}, RunMS: time.Hour.Milliseconds(),
 			}
-			eventually(t, spec.ID+" held", func() bool {
+			eventually(t, spec.ID+" is accepted", func() bool {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				_, kind, _ := g.batch.Submit(ctx, spec)
@@ -57,9 +57,9 @@
 	submit(0, 4)
 	eventually(t, "four jobs run without a quota", running(4))
 	apply(t, g, 0, func(s *settings.Settings) { s.Teams["routes"] = settings.Team{Weight: 1, MilliCPU: 2000} })
-	eventually(t, "the quota in force", func() bool { return g.policy().Teams["routes"].MilliCPU == 2000 })
-	// A version is in force before every part was told. An old one is never
-	// taken, but its turn comes only after that.
+	eventually(t, "the quota is in force", func() bool { return g.policy().Teams["routes"].MilliCPU == 2000 })
+	// Current returns a version before all subscribers were called with it. An
+	// offer is handled after that, even one that is too old to be applied.
 	g.watcher.ApplyIfNewer(configstore.Offer{})
 	submit(4, 8)
 	eventually(t, "a job waits for the quota", func() bool {
@@ -69,8 +69,8 @@
 		return kind == outcome.Answered && strings.Contains(s.Explanation, "quota of team routes is used up")
 	})
 	apply(t, g, 1, func(s *settings.Settings) { s.Teams["routes"] = settings.Team{Weight: 1, MilliCPU: 6000} })
-	eventually(t, "six jobs under a quota of six", running(6))
+	eventually(t, "six jobs run with a quota of six cores", running(6))
 	if c := g.batch.Counts(); c.Pending != 2 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v, want 2 pending jobs", c)
 	}
 }
--- a/gate/problem.go
+++ b/gate/problem.go
@@ -15,9 +15,9 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// problem is the body of a refused request, of every service. The generated
-// servers pass all errors through formatProblem: their own problems, and
-// those of decoding and validation, which know no outcome.
+// problem is the response body of a refused request. The generated servers pass
+// all errors through formatProblem: problems returned by the services, and
+// decoding and validation errors, which have no outcome.
 type problem struct {
 	Name         string `json:"name"`
 	Title        string `json:"title"`
@@ -27,11 +27,11 @@
 	status       int
 }
 
-// StatusCode implements goahttp.Statuser. It is used only for errors that the
-// design does not name; those it names have their status there.
+// StatusCode implements goahttp.Statuser. It is used only for errors that aren't
+// declared in the design.
 func (p *problem) StatusCode() int { return p.status }
 
-// formatProblem returns the body for an error of a service or of goa itself.
+// formatProblem returns the response body for an error of a service or of goa.
 func formatProblem(_ context.Context, err error) goahttp.Statuser {
 	var c *calls.Problem
 	var g *configs.Problem
@@ -51,7 +51,7 @@
 	}
 }
 
-// serviceProblem returns the body of a problem that a service named.
+// serviceProblem returns the response body for a problem returned by a service.
 func serviceProblem(name, title string, field *string, result string, retryAfterMS *int64) *problem {
 	p := &problem{Name: name, Title: title, Outcome: result, status: http.StatusInternalServerError}
 	if field != nil {
@@ -63,8 +63,8 @@
 	return p
 }
 
-// requestProblem returns the body for a request that goa did not pass on,
-// because it is malformed, or for a fault of ours.
+// requestProblem returns the response body for a malformed request that goa
+// rejected, or for an internal error.
 func requestProblem(err error) *problem {
 	var s *goa.ServiceError
 	if !errors.As(err, &s) || s.Fault {
--- a/gate/problem_test.go
+++ b/gate/problem_test.go
@@ -13,9 +13,9 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// TestProblemKeepsItsOutcome checks that a body never says "not run" of a
-// request that may have run. The generated servers hand every error to the
-// formatter, also those that name their outcome.
+// TestProblemKeepsItsOutcome checks that the formatter keeps the outcome that a
+// service returned, so that a request that may have run isn't reported as
+// not_run.
 func TestProblemKeepsItsOutcome(t *testing.T) {
 	field, after := "team", int64(250)
 	cases := map[string]struct {
--- a/gate/report.go
+++ b/gate/report.go
@@ -5,9 +5,9 @@
 	"github.com/fireflygate/fireflygate/gen/operations"
 )
 
-// reportOf returns a report as the API shows it. After a failed read it is of
-// this host alone, and says so.
-func reportOf(r burn.Report, failed error) *operations.BurnReport {
+// reportOf converts a report to its API type. If reading the other hosts' counts
+// failed, it lists them as unseen.
+func reportOf(r burn.Report, readErr error) *operations.BurnReport {
 	out := &operations.BurnReport{
 		Objective: r.Objective.Name,
 		Service:   r.Objective.Service,
@@ -15,8 +15,8 @@
 		Alert:     string(r.Alert),
 		Unseen:    r.Unseen,
 	}
-	if failed != nil {
-		out.Unseen = append(out.Unseen, "all other hosts: "+failed.Error())
+	if readErr != nil {
+		out.Unseen = append(out.Unseen, "all other hosts: "+readErr.Error())
 	}
 	for _, w := range r.Windows {
 		out.Windows = append(out.Windows, &operations.BurnWindow{
--- a/gate/run.go
+++ b/gate/run.go
@@ -15,16 +15,16 @@
 	"github.com/fireflygate/fireflygate/gateway"
 )
 
-// servers are the running servers of a host.
+// servers are the HTTP servers of a host.
 type servers struct {
 	callers   *http.Server
 	operators *http.Server
 }
 
-// Run serves on the listeners until ctx ends or a drain is asked for, then
-// drains and returns. The error is nil after a whole drain.
+// Run serves on the listeners until ctx ends or BeginDrain is called, then
+// drains the host. It returns nil if the drain completed.
 func (g *Gate) Run(ctx context.Context, l Listeners) error {
-	// Background work outlives ctx: a drain still needs it.
+	// The drain needs the background goroutines after ctx has ended.
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var wg sync.WaitGroup
@@ -35,17 +35,17 @@
 	g.startBackground(background, &wg)
 	select {
 	case <-ctx.Done():
-	case <-g.drained:
+	case <-g.drainRequested:
 	}
 	return g.drain(background, s)
 }
 
-// BeginDrain asks Run to drain and return.
+// BeginDrain makes Run drain the host and return.
 func (g *Gate) BeginDrain() {
-	g.drainOnce.Do(func() { close(g.drained) })
+	g.drainOnce.Do(func() { close(g.drainRequested) })
 }
 
-// serve starts the three servers.
+// serve starts the servers for callers, operators and peers.
 func (g *Gate) serve(ctx context.Context, wg *sync.WaitGroup, l Listeners) servers {
 	s := servers{
 		callers:   gateway.NewServer(g.callersHandler()),
@@ -55,14 +55,14 @@
 		event.OperatorPortOpen.Log(g.deps.Log, slog.String("address", l.Operators.Addr().String()))
 	}
 	callers := gateway.LimitConnections(l.Callers, func() int { return g.watcher.Calls().ConnectionsPerCaller })
-	g.goServe(wg, func() error { return s.callers.Serve(g.secure(callers)) })
-	g.goServe(wg, func() error { return s.operators.Serve(g.secure(l.Operators)) })
+	g.goServe(wg, func() error { return s.callers.Serve(g.withTLS(callers)) })
+	g.goServe(wg, func() error { return s.operators.Serve(g.withTLS(l.Operators)) })
 	g.goServe(wg, func() error { return g.peerServer.Serve(ctx, l.Peers) })
 	return s
 }
 
-// secure puts TLS on a listener if the host has a certificate.
-func (g *Gate) secure(l net.Listener) net.Listener {
+// withTLS wraps a listener in TLS if the host has a certificate.
+func (g *Gate) withTLS(l net.Listener) net.Listener {
 	if g.identity == nil {
 		return l
 	}
@@ -78,18 +78,18 @@
 	})
 }
 
-// startBackground starts everything that runs until the host stops.
+// startBackground starts the goroutines that run until ctx ends.
 func (g *Gate) startBackground(ctx context.Context, wg *sync.WaitGroup) {
-	g.watcher.Subscribe(g.takeConfig)
-	g.keeper.Subscribe(g.batch.SetOwnership)
+	g.watcher.Subscribe(g.applyConfig)
+	g.ownershipDriver.Subscribe(g.batch.SetOwnership)
 	poller := &memberPoller{
 		members: g.deps.Members, interval: g.local.Platform.MembersInterval.D(),
-		timeout: g.local.Platform.Timeout.D(), log: g.deps.Log, now: g.deps.Now, onList: g.takeList,
+		timeout: g.local.Platform.Timeout.D(), log: g.deps.Log, now: g.deps.Now, onList: g.applyMembers,
 	}
 	wg.Go(func() { g.journal.Run(ctx) })
 	wg.Go(func() { g.watcher.Run(ctx, g.local.Platform.ConfigInterval.D()) })
-	wg.Go(func() { g.spreader.run(ctx) })
-	wg.Go(func() { _ = g.keeper.Run(ctx) })
+	wg.Go(func() { g.configSync.run(ctx) })
+	wg.Go(func() { _ = g.ownershipDriver.Run(ctx) })
 	wg.Go(func() { _ = g.gateway.Run(ctx) })
 	wg.Go(func() { g.batch.Run(ctx) })
 	wg.Go(func() { g.slo.Run(ctx) })
@@ -97,33 +97,34 @@
 	wg.Go(func() { poller.run(ctx) })
 }
 
-// takeConfig brings a configuration into force in every part.
-func (g *Gate) takeConfig(c configstore.Current) {
+// applyConfig applies a configuration to all components.
+func (g *Gate) applyConfig(c configstore.Current) {
 	g.slo.SetObjectives(c.Settings.Objectives)
 	g.gateway.SetCalls(c.Settings.Calls)
 	g.journal.SetSettings(c.Settings.Batch)
-	g.batch.SetPolicy(c.Settings.Batch, planning(c.Settings))
+	g.batch.SetPolicy(c.Settings.Batch, plannerOptions(c.Settings))
 	g.becomeReady()
 }
 
-// feedKeeper gives the newest roster to whoever owns shards, once the host is
-// no longer starting. The lock keeps an older one from coming second.
-func (g *Gate) feedKeeper() {
-	g.feeding.Lock()
-	defer g.feeding.Unlock()
+// updateOwnership passes the newest roster to the ownership driver unless the
+// host is starting. The lock keeps an older roster from replacing a newer one.
+func (g *Gate) updateOwnership() {
+	g.ownershipMu.Lock()
+	defer g.ownershipMu.Unlock()
 	if g.State() != Starting {
-		g.keeper.SetRoster(*g.roster.Load())
+		g.ownershipDriver.SetRoster(*g.roster.Load())
 	}
 }
 
-// becomeReady takes requests and shards once the configuration and the members
-// are known: before, an older configuration would be brought back for them.
+// becomeReady makes the host accept requests and shards once the configuration
+// and the membership list are known. Before that it would serve them with an
+// outdated configuration.
 func (g *Gate) becomeReady() {
 	if _, ok := g.watcher.Version(); !ok || !g.roster.Load().Known() {
 		return
 	}
 	if g.state.CompareAndSwap(int32(Starting), int32(Ready)) {
-		g.feedKeeper()
+		g.updateOwnership()
 		event.HostReady.Log(g.deps.Log, slog.String("host", g.local.Host.Name))
 	}
 }
--- a/gate/servers.go
+++ b/gate/servers.go
@@ -22,13 +22,13 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// Paths that the balancer asks.
+// Paths of the balancer's health checks.
 const (
 	pathHealth = "/healthz"
 	pathReady  = "/readyz"
 )
 
-// operatorTimeout bounds the time in which an operator sends a request.
+// operatorTimeout bounds the time to read the headers of an operator's request.
 const operatorTimeout = 10 * time.Second
 
 // callersHandler serves calls and jobs.
@@ -42,13 +42,13 @@
 	j := jobsserver.New(jobs.NewEndpoints(service), mux, dec, enc, nil, formatProblem)
 	j.Mount(mux)
 	g.mountHealth(func(path string, h http.HandlerFunc) { mux.Handle(http.MethodGet, path, h) })
-	return g.refuseStarting(mux)
+	return g.rejectWhileStarting(mux)
 }
 
-// refuseStarting refuses what reaches a host that the balancer should not send
-// to yet, since it does not know the configuration in force.
-func (g *Gate) refuseStarting(next http.Handler) http.Handler {
-	const soon = 500 * time.Millisecond
+// rejectWhileStarting rejects callers' requests until the host knows the
+// configuration in force. Health checks pass.
+func (g *Gate) rejectWhileStarting(next http.Handler) http.Handler {
+	const retryAfter = 500 * time.Millisecond
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if g.State() != Starting || r.URL.Path == pathHealth || r.URL.Path == pathReady {
 			next.ServeHTTP(w, r)
@@ -56,21 +56,22 @@
 		}
 		p := problem{
 			Name: "unavailable", Title: "this host is starting", Outcome: outcome.NotRun.String(),
-			RetryAfterMS: soon.Milliseconds(),
+			RetryAfterMS: retryAfter.Milliseconds(),
 		}
 		w.Header().Set(outcome.Header, p.Outcome)
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		// The caller may have gone; nothing is left to do then.
+		// A write error means that the caller has disconnected.
 		_ = json.NewEncoder(w).Encode(p)
 	})
 }
 
-// operatorsHandler serves configuration, status, metrics and profiles.
+// operatorsHandler serves configuration, status, metrics and profiles. Only
+// health checks need no credential.
 func (g *Gate) operatorsHandler() http.Handler {
 	mux := goahttp.NewMuxer()
 	dec, enc := goahttp.RequestDecoder, goahttp.ResponseEncoder
-	service := &configsService{store: g.store, watcher: g.watcher, spread: g.spreader.spread, log: g.deps.Log}
+	service := &configsService{store: g.store, watcher: g.watcher, push: g.configSync.push, log: g.deps.Log}
 	c := configsserver.New(configs.NewEndpoints(service), mux, dec, enc, nil, formatProblem)
 	c.Mount(mux)
 	o := operationsserver.New(operations.NewEndpoints(&operationsService{gate: g}), mux, dec, enc, nil, formatProblem)
@@ -91,7 +92,7 @@
 	return health
 }
 
-// mountHealth adds what the balancer asks: alive, and ready for requests.
+// mountHealth registers the liveness and readiness checks.
 func (g *Gate) mountHealth(handle func(path string, h http.HandlerFunc)) {
 	handle(pathHealth, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
@@ -105,7 +106,7 @@
 	})
 }
 
-// shutDown stops a server once its requests have been answered.
+// shutDown stops a server gracefully, or closes its connections when ctx ends.
 func shutDown(ctx context.Context, s *http.Server) {
 	if err := s.Shutdown(ctx); err != nil {
 		_ = s.Close()
--- a/gate/shards.go
+++ b/gate/shards.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Prefixes of shard names, by what they hold.
+// Prefixes of shard names by kind of member.
 const (
 	endpointShards = "ep/"
 	workerShards   = "wk/"
--- a/gate/state.go
+++ b/gate/state.go
@@ -1,19 +1,19 @@
 package gate
 
-// State is where an entry host is in its life.
+// State is the lifecycle state of an entry host.
 type State int32
 
-// The states, in order.
+// The states in the order in which a host passes through them.
 const (
-	// Starting: not ready; the configuration or the members are not read yet.
+	// Starting: the configuration or the membership list isn't known yet.
 	Starting State = iota
-	// Ready: takes requests.
+	// Ready: accepts requests.
 	Ready
-	// Draining: takes no new work and hands over what it holds.
+	// Draining: hands over shards and finishes requests in flight.
 	Draining
 )
 
-// String returns the state as it is shown to operators.
+// String returns the state as shown to operators.
 func (s State) String() string {
 	switch s {
 	case Ready:
--- a/gate/tls_test.go
+++ b/gate/tls_test.go
@@ -19,8 +19,8 @@
 
 const testCredential = "a-credential-for-tests"
 
-// fakePeer is an entry host that notes the serial number of the certificate
-// that it was last shown.
+// fakePeer is an entry host that records the serial number of the last client
+// certificate it received.
 type fakePeer struct {
 	listener net.Listener
 	serial   atomic.Int64
@@ -41,7 +41,7 @@
 	return p
 }
 
-// run closes each connection after its handshake, so that the next one comes.
+// run closes each connection after its handshake, so that the client reconnects.
 func (p *fakePeer) run() {
 	for {
 		conn, err := p.listener.Accept()
@@ -56,11 +56,11 @@
 	}
 }
 
-// TestTLS checks an entry host with certificates and a credential: who is let
-// in, and that renewed certificates are used, as a server's and as a client's,
-// while the host runs.
+// TestTLS checks which peers and operators are admitted by an entry host with
+// certificates and a credential, and that it uses renewed certificates as server
+// and as client without a restart.
 func TestTLS(t *testing.T) {
-	trusted, stranger := newAuthority(t), newAuthority(t)
+	trusted, untrusted := newAuthority(t), newAuthority(t)
 	dir := t.TempDir()
 	files := trusted.write(dir, "gate-1", 100)
 	secret := filepath.Join(dir, "secret")
@@ -74,10 +74,10 @@
 	peers := l.Peers.Addr().String()
 	base := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: trusted.pool(), ServerName: "gate-1"}
 	if admitted(t, peers, base) {
-		t.Error("a peer without a certificate was let in")
+		t.Error("a peer without a certificate was admitted")
 	}
-	if admitted(t, peers, with(base, stranger.pair("gate-2"))) {
-		t.Error("a peer with a stranger's certificate was let in")
+	if admitted(t, peers, with(base, untrusted.pair("gate-2"))) {
+		t.Error("a peer with a certificate of an untrusted authority was admitted")
 	}
 	if !admitted(t, peers, with(base, trusted.pair("gate-2"))) {
 		t.Error("a peer with a trusted certificate was refused")
@@ -92,15 +92,15 @@
 		}
 	}
 	if got := statusOf(t, operators+"/readyz", "", base); got == 401 {
-		t.Error("the balancer's question wants a credential")
+		t.Error("the readiness check requires a credential")
 	}
 
-	eventually(t, "first certificate at the peer", func() bool { return other.serial.Load() == 100 })
+	eventually(t, "the peer receives the first certificate", func() bool { return other.serial.Load() == 100 })
 	trusted.write(dir, "gate-1", 200)
-	eventually(t, "renewed certificate on the operators' port", func() bool {
+	eventually(t, "the operators' port uses the renewed certificate", func() bool {
 		return serialAt(t, l.Operators.Addr().String(), base) == 200
 	})
-	eventually(t, "renewed certificate at the peer", func() bool { return other.serial.Load() == 200 })
+	eventually(t, "the peer receives the renewed certificate", func() bool { return other.serial.Load() == 200 })
 }
 
 func with(base *tls.Config, certificates []tls.Certificate) *tls.Config {
@@ -109,9 +109,9 @@
 	return c
 }
 
-// admitted reports whether the peers' port takes a client's certificate. TLS
-// 1.3 tells a client of a refusal at its first read; a client that was let in
-// and says nothing more sees the connection end.
+// admitted reports whether the peers' port accepts a client's certificate. With
+// TLS 1.3 a client learns of a rejection at its first read. An admitted client
+// that closes its side reads EOF.
 func admitted(t *testing.T, address string, config *tls.Config) bool {
 	t.Helper()
 	conn, err := tls.Dial("tcp", address, config)
@@ -121,12 +121,12 @@
 	defer func() { _ = conn.Close() }()
 	_ = conn.CloseWrite()
 	_, err = conn.Read(make([]byte, 1))
-	var refused *net.OpError
-	if errors.As(err, &refused) && refused.Op == "remote error" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "remote error" {
 		return false
 	}
 	if !errors.Is(err, io.EOF) {
-		t.Fatalf("neither let in nor refused: %v", err)
+		t.Fatalf("read after the handshake: %v, want EOF or a TLS alert", err)
 	}
 	return true
 }
