--- a/configstore/change.go
+++ b/configstore/change.go
@@ -1,10 +1,10 @@
 package configstore
 
-// Change is what an operator asks for.
+// Change is an operator's request for a new configuration.
 type Change struct {
-	// Base is the version that the change was made from.
+	// Base is the version that the change is based on.
 	Base uint64
-	// Author is who asks.
+	// Author is the operator's name.
 	Author string
 	// Content is the whole policy as TOML.
 	Content string
--- a/configstore/differ.go
+++ b/configstore/changedkeys.go
@@ -8,8 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Differ returns the dotted keys in which two TOML texts differ, sorted. Text
-// that is not TOML counts as empty.
+// ChangedKeys returns the dotted keys in which two TOML texts differ, sorted.
+// Text that isn't valid TOML counts as empty.
 func ChangedKeys(a, b string) []string {
 	left, right := flatten(a), flatten(b)
 	var keys []string
--- a/configstore/configstore_test.go
+++ b/configstore/configstore_test.go
@@ -21,14 +21,15 @@
 
 func content(queue int) string { return fmt.Sprintf("[calls]\nqueue = %d\n", queue) }
 
-// TestRacingOperators checks that of many changes made from one version just
-// one is accepted, and that the losers are told who won and what differs.
-func TestRacingOperators(t *testing.T) {
+// TestConcurrentChanges checks that exactly one of many changes with the same
+// base is accepted, and that the others return the accepted version and the keys
+// in which they differ from it.
+func TestConcurrentChanges(t *testing.T) {
 	store, _ := newStore()
-	const racers = 16
-	results := make([]Result, racers)
+	const changes = 16
+	results := make([]Result, changes)
 	var wg sync.WaitGroup
-	for i := range racers {
+	for i := range changes {
 		wg.Go(func() {
 			results[i] = store.Apply(t.Context(), Change{Author: fmt.Sprint(i), Content: content(i + 1)})
 		})
@@ -48,16 +49,16 @@
 			continue
 		}
 		if r.Status != Conflict || r.Head.Author != winner || len(r.ChangedKeys) != 1 || r.ChangedKeys[0] != "calls.queue" {
-			t.Errorf("racer %d: %+v, want it to have lost to %s over calls.queue", i, r, winner)
+			t.Errorf("change %d: %+v, want a conflict with the change of %s in calls.queue", i, r, winner)
 		}
 	}
 }
 
-// TestLostAnswerIsSettled checks that a change whose answer was lost after it
-// took effect is found accepted, once.
-func TestLostAnswerIsSettled(t *testing.T) {
+// TestLostReplyIsResolved checks that a change whose commit took effect but
+// whose reply was lost is reported as accepted, and is applied once.
+func TestLostReplyIsResolved(t *testing.T) {
 	store, table := newStore()
-	store.Table = answerLoser{table}
+	store.Table = replyLoser{table}
 	r := store.Apply(t.Context(), Change{Author: "a", Content: content(1)})
 	if r.Status != Accepted || r.Head.Version != 1 {
 		t.Fatalf("%+v, want version 1 accepted", r)
@@ -68,7 +69,8 @@
 	}
 }
 
-// TestStoreDownIsNotApplied checks that a refused change is not there later.
+// TestStoreDownIsNotApplied checks that a change is reported as not applied
+// while the table is unavailable, and doesn't take effect later.
 func TestStoreDownIsNotApplied(t *testing.T) {
 	store, table := newStore()
 	table.Set(standin.Faults{Down: true})
@@ -96,10 +98,10 @@
 	}
 }
 
-// TestNeverReverts offers versions in random orders, among them damaged ones
-// and reads of the store at any time, and checks that what is in force only
-// ever rises and ends at the newest.
-func TestNeverReverts(t *testing.T) {
+// TestVersionNeverDecreases offers versions in random order, with corrupted
+// offers and store reads between them, and checks that the version in force only
+// increases and ends at the newest.
+func TestVersionNeverDecreases(t *testing.T) {
 	for seed := range uint64(200) {
 		store, table := newStore()
 		offers := offersOf(t, store, 8)
@@ -130,7 +132,7 @@
 	}
 }
 
-// offersOf applies n changes and returns each as a peer would offer it.
+// offersOf applies n changes and returns an offer of each.
 func offersOf(t *testing.T, store *Store, n int) []Offer {
 	t.Helper()
 	var offers []Offer
@@ -144,8 +146,9 @@
 	return offers
 }
 
-// TestStartingHostWaitsForTheHead checks that a host does not fall back to its
-// own folder while the store can't be read: that could revert a version.
+// TestStartingHostWaitsForTheHead checks that a starting host doesn't apply the
+// policy of its settings folder while the store is unavailable, since the folder
+// may be older than the configuration in force.
 func TestStartingHostWaitsForTheHead(t *testing.T) {
 	store, table := newStore()
 	store.Apply(t.Context(), Change{Content: content(7)})
@@ -162,10 +165,10 @@
 	}
 }
 
-// answerLoser applies commits and loses their answers.
-type answerLoser struct{ *standin.Table }
+// replyLoser applies commits and drops their replies.
+type replyLoser struct{ *standin.Table }
 
-func (l answerLoser) Commit(ctx context.Context, tx infra.Transaction) infra.CommitResult {
+func (l replyLoser) Commit(ctx context.Context, tx infra.Transaction) infra.CommitResult {
 	l.Table.Commit(ctx, tx)
 	return infra.CommitResult{Status: infra.CommitUnknown}
 }
--- a/configstore/current.go
+++ b/configstore/current.go
@@ -11,11 +11,11 @@
 	Head Head
 	// Content is the policy's text; empty for version 0.
 	Content string
-	// Settings is the policy composed with this process's own part.
+	// Settings is the policy combined with this process's own settings.
 	Settings settings.Settings
 }
 
-// clone returns a copy that shares no map and no slice.
+// clone returns a deep copy.
 func (c Current) clone() Current {
 	c.Head.ChangedKeys = slices.Clone(c.Head.ChangedKeys)
 	c.Settings = c.Settings.Clone()
--- a/configstore/head.go
+++ b/configstore/head.go
@@ -9,24 +9,25 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// headKey is the row that holds the newest version.
+// headKey is the key of the row of the newest version.
 const headKey = "config/head"
 
-// versionPrefix begins the keys of the rows that keep each version.
+// versionPrefix is the key prefix of the rows of all versions.
 const versionPrefix = "config/version/"
 
 // Head describes one accepted configuration.
 type Head struct {
-	// Version is its number; 0 when nothing was ever applied.
+	// Version is its number; 0 before the first one is accepted.
 	Version uint64 `msgpack:"v"`
 	// Hash is the content's SHA-256 in hexadecimal.
 	Hash string `msgpack:"h"`
-	// Attempt is the unique id of the attempt that was accepted.
+	// AttemptID identifies the accepted attempt. It tells whether a commit whose
+	// reply was lost took effect.
 	AttemptID string `msgpack:"i"`
 	Author    string `msgpack:"a"`
 	// AppliedUnixMS is when it was accepted, in Unix milliseconds.
 	AppliedUnixMS int64 `msgpack:"t"`
-	// Differs lists the keys that differ from the version before.
+	// ChangedKeys lists the keys that differ from the previous version.
 	ChangedKeys []string `msgpack:"d,omitempty"`
 }
 
@@ -40,7 +41,7 @@
 	return versionPrefix + text
 }
 
-// decodeHead reads a head from a row; an absent row is version 0.
+// decodeHead decodes a row; an absent row is version 0.
 func decodeHead(row infra.Row) (Head, error) {
 	var h Head
 	if row.Version == 0 {
--- a/configstore/offer.go
+++ b/configstore/offer.go
@@ -1,7 +1,7 @@
 package configstore
 
-// Offer is a version that one entry host tells another of, with its content,
-// so that it comes into force also while the store is down.
+// Offer is a version with its content, as sent between entry hosts so that it
+// can be applied while the store is unavailable.
 type Offer struct {
 	Head    Head   `msgpack:"h"`
 	Content string `msgpack:"c"`
--- a/configstore/result.go
+++ b/configstore/result.go
@@ -1,30 +1,31 @@
 package configstore
 
-// Status says what became of a change.
+// Status is the result of a change.
 type Status uint8
 
-// The results of a change. The zero value is Unknown.
+// The zero value is Unknown.
 const (
-	// Unknown: the answer was lost and could not be settled; the change may
-	// be in force.
+	// Unknown: the reply was lost and the result could not be determined; the
+	// change may be in force.
 	Unknown Status = iota
-	// Accepted: it is the newest version and will be in force everywhere
-	// within seconds.
+	// Accepted: the change is the newest version; every host applies it within
+	// seconds.
 	Accepted
-	// Lost: another change was accepted first; nothing was written.
+	// Conflict: another change was accepted first; nothing was written.
 	Conflict
-	// NotApplied: the platform refused; nothing was written.
+	// NotApplied: the store was unavailable or the request invalid; the change
+	// was not made.
 	NotApplied
 )
 
-// Result is the answer to a change.
+// Result is the result of a change with its details.
 type Result struct {
 	Status Status
-	// Head is the accepted version, or with Lost the version that won.
+	// Head is the accepted version; for Conflict the one accepted instead.
 	Head Head
-	// Differs lists the keys in which the change differs from its base, or
-	// with Lost from the version that won.
+	// ChangedKeys lists the keys in which the change differs from its base; for
+	// Conflict from the version accepted instead.
 	ChangedKeys []string
-	// Err says why for NotApplied and Unknown.
+	// Err is the reason for NotApplied and Unknown.
 	Err error
 }
--- a/configstore/store.go
+++ b/configstore/store.go
@@ -14,21 +14,22 @@
 	"github.com/fireflygate/fireflygate/internal/pause"
 )
 
-// settleReads bounds how often a lost answer is looked up.
-const settleReads = 5
+// resolveReads is the number of reads that resolve makes.
+const resolveReads = 5
 
-// settlePause is the pause between two look-ups of a lost answer.
-const settlePause = 100 * time.Millisecond
+// resolvePause is the pause between two reads of resolve.
+const resolvePause = 100 * time.Millisecond
 
-// Store reads and changes the configuration in the platform's services.
+// Store reads and changes the configuration in the platform's table and object
+// store.
 type Store struct {
 	Table   infra.Table
 	Objects infra.Objects
-	// Now returns the time of day, for the record only.
+	// Now returns the wall-clock time recorded with a version.
 	Now func() time.Time
 }
 
-// Head reads the newest version.
+// Head reads the newest version; version 0 if there is none.
 func (s *Store) Head(ctx context.Context) (Head, error) {
 	head, _, err := s.head(ctx)
 	return head, err
@@ -43,7 +44,7 @@
 	return head, rows[0].Version, err
 }
 
-// Content reads the text of a version.
+// Content reads the text of a version and verifies its hash.
 func (s *Store) Content(ctx context.Context, h Head) (string, error) {
 	if h.Version == 0 {
 		return "", nil
@@ -58,7 +59,7 @@
 	return string(data), nil
 }
 
-// Versions lists up to limit versions, newest first.
+// Versions reads up to limit versions, newest first.
 func (s *Store) Versions(ctx context.Context, limit int) ([]Head, error) {
 	rows, err := s.Table.Scan(ctx, versionPrefix, "", limit)
 	if err != nil {
@@ -75,7 +76,8 @@
 	return heads, nil
 }
 
-// Version reads one version; ErrNotFound if it never was.
+// Version reads one version. It returns infra.ErrNotFound if there is none of
+// that number.
 func (s *Store) Version(ctx context.Context, version uint64) (Head, error) {
 	rows, err := s.Table.Get(ctx, versionKey(version))
 	if err != nil {
@@ -87,15 +89,15 @@
 	return decodeHead(rows[0])
 }
 
-// Apply makes the change the newest version if its base still is. The content
-// must have been validated.
+// Apply makes the change the newest version if its base is the newest one. The
+// content must have been validated.
 func (s *Store) Apply(ctx context.Context, c Change) Result {
 	head, rowVersion, err := s.head(ctx)
 	if err != nil {
 		return Result{Status: NotApplied, Err: err}
 	}
 	if head.Version != c.Base {
-		return s.lost(ctx, head, c)
+		return s.conflict(ctx, head, c)
 	}
 	before, err := s.Content(ctx, head)
 	if err != nil {
@@ -112,10 +114,11 @@
 	if err := s.Objects.Put(ctx, objectKey(next.Hash), []byte(c.Content)); err != nil {
 		return Result{Status: NotApplied, Err: err}
 	}
-	return s.swap(ctx, rowVersion, next, c)
+	return s.commit(ctx, rowVersion, next, c)
 }
 
-// Rollback accepts the content of an older version as a new one.
+// Rollback applies the content of an older version as a new version. It returns
+// that content.
 func (s *Store) Rollback(ctx context.Context, base, to uint64, author string) (string, Result) {
 	old, err := s.Version(ctx, to)
 	if err != nil {
@@ -128,8 +131,9 @@
 	return content, s.Apply(ctx, Change{Base: base, Author: author, Content: content})
 }
 
-// swap writes the new head on condition that the old one still stands.
-func (s *Store) swap(ctx context.Context, rowVersion uint64, next Head, c Change) Result {
+// commit writes the new head on condition that the row of the old one is
+// unchanged.
+func (s *Store) commit(ctx context.Context, rowVersion uint64, next Head, c Change) Result {
 	value, err := msgpack.Marshal(next)
 	if err != nil {
 		return Result{Status: NotApplied, Err: errors.Wrap(err, "encode configuration head")}
@@ -146,34 +150,34 @@
 		if err != nil {
 			return Result{Status: NotApplied, Err: err}
 		}
-		return s.lost(ctx, winner, c)
+		return s.conflict(ctx, winner, c)
 	case infra.CommitNotApplied:
 		return Result{Status: NotApplied, Err: infra.ErrUnavailable}
 	default:
-		return s.settle(ctx, next, c)
+		return s.resolve(ctx, next, c)
 	}
 }
 
-// settle finds out whether an attempt whose answer was lost took effect, by
-// reading back its id. It never writes again.
-func (s *Store) settle(ctx context.Context, next Head, c Change) Result {
-	for range settleReads {
-		at, err := s.Version(ctx, next.Version)
+// resolve determines whether an attempt whose reply was lost took effect by
+// reading back its id. It doesn't repeat the write.
+func (s *Store) resolve(ctx context.Context, next Head, c Change) Result {
+	for range resolveReads {
+		found, err := s.Version(ctx, next.Version)
 		switch {
-		case err == nil && at.AttemptID == next.AttemptID:
+		case err == nil && found.AttemptID == next.AttemptID:
 			return Result{Status: Accepted, Head: next, ChangedKeys: next.ChangedKeys}
 		case err == nil:
-			return s.lost(ctx, at, c)
+			return s.conflict(ctx, found, c)
 		}
-		if !pause.For(ctx, settlePause) {
+		if !pause.For(ctx, resolvePause) {
 			break
 		}
 	}
-	return Result{Status: Unknown, Head: next, Err: errors.Newf("the answer to attempt %s was lost", next.AttemptID)}
+	return Result{Status: Unknown, Head: next, Err: errors.Newf("commit configuration: no reply for attempt %s", next.AttemptID)}
 }
 
-// lost tells the loser of a race who won and what differs.
-func (s *Store) lost(ctx context.Context, winner Head, c Change) Result {
+// conflict returns the result of a change that lost against winner.
+func (s *Store) conflict(ctx context.Context, winner Head, c Change) Result {
 	r := Result{Status: Conflict, Head: winner}
 	if content, err := s.Content(ctx, winner); err == nil {
 		r.ChangedKeys = ChangedKeys(content, c.Content)
--- a/configstore/watcher.go
+++ b/configstore/watcher.go
@@ -17,26 +17,24 @@
 	local   settings.Settings
 	log     *slog.Logger
 	current atomic.Pointer[Current]
-	// failed is set while the head could not be read at the last try.
-	failed   atomic.Bool
-	mu       sync.Mutex // serializes replacing current, and subscribers' calls
-	onChange []func(Current)
+	// readFailed is set if the last read of the newest version failed.
+	readFailed  atomic.Bool
+	mu          sync.Mutex // serializes changes of current and calls of subscribers
+	subscribers []func(Current)
 }
 
-// NewWatcher returns a watcher; local is this process's own folder, whose
-// policy is in force as version 0 when nothing was ever applied.
+// NewWatcher returns a watcher. local is this process's own settings; their
+// policy is in force as version 0 until a configuration is applied.
 func NewWatcher(store *Store, local settings.Settings, log *slog.Logger) *Watcher {
 	return &Watcher{store: store, local: local.Clone(), log: log}
 }
 
-// Subscribe calls f with a copy of each configuration that comes into force.
-// Call it before Run.
-func (w *Watcher) Subscribe(f func(Current)) { w.onChange = append(w.onChange, f) }
+// Subscribe calls f with a copy of each configuration that is applied. It must be
+// called before Run.
+func (w *Watcher) Subscribe(f func(Current)) { w.subscribers = append(w.subscribers, f) }
 
-// Current returns a copy of what is in force; false until the first version was
-// read, since a host that guessed could bring back an older configuration. With
-// the maps themselves, a reader could bring a change into force that nobody had
-// accepted.
+// Current returns a copy of the configuration in force; false until the first
+// version was read, since this process's own policy may be older than it.
 func (w *Watcher) Current() (Current, bool) {
 	c := w.current.Load()
 	if c == nil {
@@ -45,8 +43,7 @@
 	return c.clone(), true
 }
 
-// Version returns the number of the version in force; false until the first
-// was read.
+// Version returns the version in force; false until the first one was read.
 func (w *Watcher) Version() (uint64, bool) {
 	c := w.current.Load()
 	if c == nil {
@@ -55,41 +52,41 @@
 	return c.Head.Version, true
 }
 
-// inForce returns the settings in force, by this process's own folder until the
-// first version was read. They must neither be changed nor leave the package.
-// What each call or job asks for is read from them, which spares a copy of all.
-func (w *Watcher) inForce() *settings.Settings {
+// shared returns the settings in force without a copy, or this process's own
+// settings until the first version was read. Callers must not modify them or
+// return references to them.
+func (w *Watcher) shared() *settings.Settings {
 	if c := w.current.Load(); c != nil {
 		return &c.Settings
 	}
 	return &w.local
 }
 
-// Service returns what is in force for a service.
-func (w *Watcher) Service(name string) settings.Service { return w.inForce().Services[name].Clone() }
+// Service returns a copy of the settings of a service.
+func (w *Watcher) Service(name string) settings.Service { return w.shared().Services[name].Clone() }
 
-// Calls returns the bounds of calls in force.
-func (w *Watcher) Calls() settings.Calls { return w.inForce().Calls }
+// Calls returns the settings of interactive requests.
+func (w *Watcher) Calls() settings.Calls { return w.shared().Calls }
 
-// AcceptsTeam reports whether jobs of a team are taken: it is among the teams in
-// force, or there are none.
+// AcceptsTeam reports whether jobs of a team are accepted: the settings name the
+// team, or they name none.
 func (w *Watcher) AcceptsTeam(name string) bool {
-	teams := w.inForce().Teams
+	teams := w.shared().Teams
 	_, ok := teams[name]
 	return ok || len(teams) == 0
 }
 
-// HasEvent reports whether an event of that name is in force.
+// HasEvent reports whether the settings have an event of that name.
 func (w *Watcher) HasEvent(name string) bool {
-	_, ok := w.inForce().Events[name]
+	_, ok := w.shared().Events[name]
 	return ok
 }
 
-// LastReadFailed reports whether the newest version could not be read at the last
-// try. It is false before the first try has ended.
-func (w *Watcher) LastReadFailed() bool { return w.failed.Load() }
+// LastReadFailed reports whether the last read of the newest version failed. It is
+// false before the first read has ended.
+func (w *Watcher) LastReadFailed() bool { return w.readFailed.Load() }
 
-// Run reads the head at each interval until the context ends.
+// Run polls the store at each interval until ctx ends.
 func (w *Watcher) Run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -103,24 +100,25 @@
 	}
 }
 
-// Poll reads the head once and takes it into force if it is newer.
+// Poll reads the newest version once and applies it if it is newer than the one
+// in force.
 func (w *Watcher) Poll(ctx context.Context) {
 	head, err := w.store.Head(ctx)
-	w.failed.Store(err != nil)
+	w.readFailed.Store(err != nil)
 	if err != nil || !w.newer(head) {
 		return
 	}
 	content, err := w.store.Content(ctx, head)
 	if err != nil {
-		w.failed.Store(true)
+		w.readFailed.Store(true)
 		event.ConfigUnreadable.Log(w.log, slog.Uint64("version", head.Version), slog.Any("error", err))
 		return
 	}
 	w.ApplyIfNewer(Offer{Head: head, Content: content})
 }
 
-// Take brings an offered version into force if it is newer than what is. It
-// reports whether it was.
+// ApplyIfNewer puts an offered version into force if it is valid and newer than
+// the one in force. It reports whether it did.
 func (w *Watcher) ApplyIfNewer(o Offer) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -129,7 +127,7 @@
 	}
 	next := Current{Head: o.Head, Content: o.Content, Settings: w.local}
 	if o.Head.Version > 0 {
-		policy, ok := w.read(o)
+		policy, ok := w.parse(o)
 		if !ok {
 			return false
 		}
@@ -137,14 +135,14 @@
 	}
 	w.current.Store(&next)
 	event.ConfigApplied.Log(w.log, slog.Uint64("version", o.Head.Version), slog.String("hash", o.Head.Hash))
-	for _, f := range w.onChange {
+	for _, f := range w.subscribers {
 		f(next.clone())
 	}
 	return true
 }
 
-// read parses an offered version and checks it against its hash.
-func (w *Watcher) read(o Offer) (settings.Settings, bool) {
+// parse verifies the hash of an offered version and parses it. It logs errors.
+func (w *Watcher) parse(o Offer) (settings.Settings, bool) {
 	if Hash(o.Content) != o.Head.Hash {
 		event.ConfigUnreadable.Log(w.log, slog.Uint64("version", o.Head.Version), slog.String("error", "hash differs"))
 		return settings.Settings{}, false
@@ -157,7 +155,7 @@
 	return policy, true
 }
 
-// newer reports whether a head is to replace what is in force.
+// newer reports whether a version is newer than the one in force.
 func (w *Watcher) newer(h Head) bool {
 	c := w.current.Load()
 	return c == nil || h.Version > c.Head.Version
--- a/configstore/inforce_test.go
+++ b/configstore/watcher_test.go
@@ -7,11 +7,9 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// TestReadersCantChangeThePolicy replays how a quota was in force that nobody
-// had accepted. Whoever read the policy in force got its maps themselves, so a
-// change made to them was read by all others at once. A caller that waited for a
-// lower quota saw it before the version with it was in force, and the jobs that it
-// was to hold back started: by the log they came 28 to 49 ms before that version.
+// TestReadersCantChangeThePolicy checks that changes to maps and slices returned
+// by Current and Service, or passed to subscribers, don't alter the policy in
+// force.
 func TestReadersCantChangeThePolicy(t *testing.T) {
 	local := settings.Default()
 	local.Teams = map[string]settings.Team{"routes": {Weight: 1, MilliCPU: 6000}}
@@ -27,14 +25,14 @@
 	w := NewWatcher(nil, local, slog.New(slog.DiscardHandler))
 	w.Subscribe(func(c Current) { change(c.Settings) })
 	change(local)
-	for version := range uint64(2) { // the process's own folder, and one that was applied
+	for version := range uint64(2) { // the policy of the settings folder, then an applied version
 		o := Offer{Head: Head{Version: version, ChangedKeys: []string{"teams"}}}
 		if version > 0 {
 			o.Head.Hash, o.Content = Hash(content), content
 		}
 		w.Service("dispatch").IdempotentMethods[0] = "POST"
 		if !w.ApplyIfNewer(o) {
-			t.Fatalf("version %d was not taken", version)
+			t.Fatalf("version %d was not applied", version)
 		}
 		read, _ := w.Current()
 		change(read.Settings)
@@ -49,7 +47,7 @@
 			t.Errorf("version %d: the idempotent method in force is %s, want GET", version, got)
 		}
 		if got := now.Head.ChangedKeys[0]; got != "teams" {
-			t.Errorf("version %d is said to differ in %s, want teams", version, got)
+			t.Errorf("version %d: the changed key is %s, want teams", version, got)
 		}
 	}
 }
