--- a/settings/batch.go
+++ b/settings/batch.go
@@ -1,6 +1,6 @@
 package settings
 
-// Batch bounds placement, task leases and the journal.
+// Batch configures placement, polling of workers, quarantine and the journal.
 type Batch struct {
 	// Exchange is how often a worker is asked when nothing is urgent.
 	Exchange Duration `toml:"exchange"`
--- a/settings/calls.go
+++ b/settings/calls.go
@@ -1,6 +1,6 @@
 package settings
 
-// Calls bounds interactive requests.
+// Calls configures interactive requests.
 type Calls struct {
 	// Timeout is the deadline of a request that names none.
 	Timeout Duration `toml:"timeout"`
--- a/settings/class.go
+++ b/settings/class.go
@@ -1,6 +1,6 @@
 package settings
 
-// Class is one class of latency-critical tasks on workers.
+// Class is a class of latency-critical tasks on workers.
 type Class struct {
 	// Latency is the tail latency that its tasks must keep beside batch work.
 	// Batch is kept off hosts where the tail is expected above some two
--- a/settings/clone_bench_test.go
+++ b/settings/clone_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// BenchmarkClone copies a policy of the size that the design is for: 46 teams,
-// ten services and classes, 20 events.
+// BenchmarkClone copies a policy of the design size: 46 teams, ten services and
+// classes, and 20 events.
 func BenchmarkClone(b *testing.B) {
 	s := settings.Default()
 	s.Teams, s.Services = map[string]settings.Team{}, map[string]settings.Service{}
@@ -26,7 +26,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if c := s.Clone(); len(c.Teams) != len(s.Teams) {
-			b.Fatal("teams are missing")
+			b.Fatal("the clone has fewer teams")
 		}
 	}
 }
--- a/settings/clone_test.go
+++ b/settings/clone_test.go
@@ -8,9 +8,9 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// TestCloneSharesNothing fills every field of the settings, and checks that a
-// clone is equal and that no map or slice of it is also one of the original's.
-// A field that is added later is covered.
+// TestCloneSharesNothing checks that a clone of settings with every field set is
+// equal and shares no map or slice with the original. Fields are found by
+// reflection, so that new ones are covered.
 func TestCloneSharesNothing(t *testing.T) {
 	var s settings.Settings
 	fill(t, reflect.ValueOf(&s).Elem())
@@ -21,7 +21,7 @@
 	held := map[uintptr]string{}
 	references(reflect.ValueOf(s), "settings", func(at uintptr, path string) { held[at] = path })
 	if len(held) == 0 {
-		t.Fatal("the settings hold no map or slice, the check can't find any")
+		t.Fatal("no maps or slices found in the settings")
 	}
 	references(reflect.ValueOf(c), "clone", func(at uintptr, path string) {
 		if of, shared := held[at]; shared {
@@ -30,14 +30,14 @@
 	})
 }
 
-// TestCloneKeepsNil checks that what isn't set stays so.
+// TestCloneKeepsNil checks that nil maps and slices stay nil.
 func TestCloneKeepsNil(t *testing.T) {
 	if c := (settings.Settings{}).Clone(); !reflect.DeepEqual(c, settings.Settings{}) {
-		t.Errorf("clone of nothing: %+v", c)
+		t.Errorf("clone of zero settings: %+v", c)
 	}
 }
 
-// fill sets every map, slice and text below a value.
+// fill sets every map, slice and string in a value, recursively.
 func fill(t *testing.T, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -58,12 +58,13 @@
 	case reflect.String:
 		v.SetString("text")
 	case reflect.Pointer, reflect.Interface, reflect.Chan, reflect.Func:
-		t.Fatalf("settings hold a %v, which Clone doesn't copy", v.Type())
+		t.Fatalf("settings contain a %v, which Clone doesn't copy", v.Type())
 	default:
 	}
 }
 
-// references calls f with the address of every map and slice below a value.
+// references calls f with the address of every map and slice in a value,
+// recursively.
 func references(v reflect.Value, path string, f func(at uintptr, path string)) {
 	switch v.Kind() {
 	case reflect.Struct:
--- a/settings/colocation.go
+++ b/settings/colocation.go
@@ -1,6 +1,6 @@
 package settings
 
-// Colocation tunes throttling and eviction.
+// Colocation configures throttling and eviction of batch tasks.
 type Colocation struct {
 	// UsageLag is how far reports of usage and latency lag behind.
 	UsageLag Duration `toml:"usage_lag"`
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -8,13 +8,14 @@
 	"strings"
 )
 
-// decoder fills a struct from a tree of TOML values and collects every
-// mistake, where a library's decoder stops at the first.
+// decoder fills a struct from a tree of TOML values. Unlike the TOML library's
+// decoder it doesn't stop at the first error but reports all of them.
 type decoder struct {
 	report func(key, want string)
 }
 
-// table fills the struct v from values; path is the dotted key of the table.
+// table fills the struct v from a TOML table; path is the dotted key of the
+// table.
 func (d *decoder) table(path string, values map[string]any, v reflect.Value) {
 	fields := fieldsByKey(v)
 	for _, key := range sortedKeys(values) {
@@ -31,14 +32,14 @@
 // value fills v from one TOML value.
 func (d *decoder) value(path string, value any, v reflect.Value) {
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		d.text(path, value, u)
+		d.textValue(path, value, u)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		d.structure(path, value, v)
+		d.structValue(path, value, v)
 	case reflect.Map:
-		d.named(path, value, v)
+		d.namedTables(path, value, v)
 	case reflect.Slice:
 		d.list(path, value, v)
 	default:
@@ -46,7 +47,7 @@
 	}
 }
 
-func (d *decoder) text(path string, value any, u encoding.TextUnmarshaler) {
+func (d *decoder) textValue(path string, value any, u encoding.TextUnmarshaler) {
 	text, ok := value.(string)
 	if !ok {
 		d.report(path, "expected a duration in quotes, such as \"250ms\"")
@@ -57,7 +58,7 @@
 	}
 }
 
-func (d *decoder) structure(path string, value any, v reflect.Value) {
+func (d *decoder) structValue(path string, value any, v reflect.Value) {
 	inner, ok := value.(map[string]any)
 	if !ok {
 		d.report(path, "expected a table")
@@ -66,8 +67,8 @@
 	d.table(path, inner, v)
 }
 
-// named fills a map from name to struct.
-func (d *decoder) named(path string, value any, v reflect.Value) {
+// namedTables fills a map from a table of named tables.
+func (d *decoder) namedTables(path string, value any, v reflect.Value) {
 	inner, ok := value.(map[string]any)
 	if !ok {
 		d.report(path, "expected a table of named tables")
@@ -126,7 +127,7 @@
 	d.report(path, "expected "+kindName(v.Kind()))
 }
 
-// kindName is what a person calls a kind of value.
+// kindName returns the description of a kind of value for error messages.
 func kindName(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
@@ -140,7 +141,7 @@
 	}
 }
 
-// fieldsByKey returns the settable fields of a struct by their TOML key.
+// fieldsByKey returns the fields of a struct by their TOML key.
 func fieldsByKey(v reflect.Value) map[string]reflect.Value {
 	fields := map[string]reflect.Value{}
 	for i := range v.NumField() {
--- a/settings/default.go
+++ b/settings/default.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Default returns the settings that hold where a folder says nothing.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		Host: Host{
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,4 +1,4 @@
-// Package settings holds the typed settings of an entry host and the
-// configuration that operators apply: structs, defaults and validation in one
-// place, and the loading of a folder of TOML files merged in name order.
+// Package settings defines the settings of an entry host and the configuration
+// that operators apply, with their defaults and validation. Settings are loaded
+// from a folder of TOML files, which are merged in the order of their names.
 package settings
--- a/settings/duration.go
+++ b/settings/duration.go
@@ -9,7 +9,7 @@
 // Duration is a time.Duration written in TOML as text, such as "250ms".
 type Duration time.Duration
 
-// UnmarshalText reads what time.ParseDuration reads.
+// UnmarshalText parses text in the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -19,10 +19,10 @@
 	return nil
 }
 
-// MarshalText writes the duration as UnmarshalText reads it.
+// MarshalText formats the duration for UnmarshalText.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// D returns the duration as the standard type.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
--- a/settings/event.go
+++ b/settings/event.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Event is a named start with work due by then.
+// Event is a named event with a start time by which jobs can be due.
 type Event struct {
 	// Start is its time as RFC 3339, or "15:04" for every day.
 	Start string `toml:"start"`
@@ -21,11 +21,11 @@
 	After  Duration `toml:"after"`
 }
 
-// dailyLayout is how a daily start is written.
+// dailyLayout is the time layout of a daily start.
 const dailyLayout = "15:04"
 
-// Next returns the first start that is not before now. A start given with a
-// date is returned also when it has passed.
+// Next returns the first start of a daily event that is not before now. The start
+// of an event with a date is returned even if it has passed.
 func (e Event) Next(now time.Time) (time.Time, error) {
 	if at, err := time.Parse(time.RFC3339, e.Start); err == nil {
 		return at, nil
--- a/settings/host.go
+++ b/settings/host.go
@@ -1,6 +1,6 @@
 package settings
 
-// Host is what one process needs to know of itself.
+// Host configures one entry host process.
 type Host struct {
 	// Name is the entry host's name in the membership list.
 	Name string `toml:"name"`
--- a/settings/lease.go
+++ b/settings/lease.go
@@ -1,9 +1,9 @@
 package settings
 
-// Lease holds the times and sizes on which hosts rely of each other. They are
-// read when a process starts; a configuration that is applied leaves them as
-// they are. Session, Renew and MaxRun may differ between hosts for the time of
-// a rolling restart; the others are to be alike on all hosts.
+// Lease configures leases and shards. Hosts rely on each other's values. They
+// are read when a process starts and aren't changed by an applied configuration.
+// Session, Renew and MaxRun may differ between hosts during a rolling restart;
+// the others must be equal on all hosts.
 type Lease struct {
 	// Session is how long an entry host's session lives without renewal.
 	Session Duration `toml:"session"`
--- a/settings/load.go
+++ b/settings/load.go
@@ -11,10 +11,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// suffix is how the names of settings files end; other files are left alone.
+// suffix is the file name extension of settings files; other files are ignored.
 const suffix = ".toml"
 
-// File is one file of a folder.
+// File is a settings file.
 type File struct {
 	Name string
 	Data []byte
@@ -39,13 +39,13 @@
 	}
 	slices.SortFunc(files, func(a, b File) int { return strings.Compare(a.Name, b.Name) })
 	if len(files) == 0 {
-		return nil, errors.Newf("settings folder %s holds no %s file", dir, suffix)
+		return nil, errors.Newf("settings folder %s contains no %s file", dir, suffix)
 	}
 	return files, nil
 }
 
-// Load reads, merges and validates a folder. The error is Problems when the
-// content is wrong; nothing is applied by halves.
+// Load reads, merges and validates the files of a folder. If their content is
+// invalid, the error is of type Problems.
 func Load(dir string, scope Scope) (Settings, error) {
 	files, err := ReadFolder(dir)
 	if err != nil {
@@ -54,9 +54,9 @@
 	return Parse(dir, files, scope)
 }
 
-// Parse merges files in the order given, a later one refining an earlier one,
-// over the defaults, and validates the result. The name stands for the whole
-// in problems about a missing key.
+// Parse merges files over the defaults and validates the result. Later files
+// override earlier ones. Problems with missing keys use name as their file. If
+// the content is invalid, the error is of type Problems.
 func Parse(name string, files []File, scope Scope) (Settings, error) {
 	tree, where, problems := merge(files)
 	report := func(key, want string) {
@@ -75,32 +75,33 @@
 	return result, nil
 }
 
-// merge lays the files over each other and notes where each key was last set.
+// merge merges the files and returns the position at which each key was last
+// set.
 func merge(files []File) (map[string]any, map[string]position, Problems) {
 	tree := map[string]any{}
 	where := map[string]position{}
 	var problems Problems
 	for _, f := range files {
-		var one map[string]any
-		if err := toml.Unmarshal(f.Data, &one); err != nil {
+		var parsed map[string]any
+		if err := toml.Unmarshal(f.Data, &parsed); err != nil {
 			problems = append(problems, syntaxProblem(f.Name, err))
 			continue
 		}
 		for key, p := range positions(f.Name, f.Data) {
 			where[key] = p
 		}
-		overlay(tree, one)
+		overlay(tree, parsed)
 	}
 	return tree, where, problems
 }
 
-// overlay lays table b over table a.
+// overlay merges table b into table a; values of b take precedence.
 func overlay(a, b map[string]any) {
 	for key, value := range b {
 		inner, isTable := value.(map[string]any)
-		below, wasTable := a[key].(map[string]any)
+		existing, wasTable := a[key].(map[string]any)
 		if isTable && wasTable {
-			overlay(below, inner)
+			overlay(existing, inner)
 			continue
 		}
 		a[key] = value
@@ -117,7 +118,8 @@
 	return p
 }
 
-// locate finds a key, or the nearest table above it that was written.
+// locate returns the position of a key, or else of the nearest enclosing table
+// in the files.
 func locate(where map[string]position, key, name string) position {
 	for {
 		if i := strings.IndexByte(key, '['); i >= 0 {
--- a/settings/objective.go
+++ b/settings/objective.go
@@ -1,6 +1,6 @@
 package settings
 
-// Objective is one service-level objective.
+// Objective is a service-level objective.
 type Objective struct {
 	// Service is the service that it is of.
 	Service string `toml:"service"`
--- a/settings/platform.go
+++ b/settings/platform.go
@@ -1,6 +1,6 @@
 package settings
 
-// Platform tells where the platform's services are and how long to wait.
+// Platform configures the access to the platform's services.
 type Platform struct {
 	// Table, Objects and Members are base URLs with an IP address.
 	Table   string `toml:"table"`
--- a/settings/policy.go
+++ b/settings/policy.go
@@ -5,8 +5,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Compose returns the policy with the local process's own host, platform and
-// lease.
+// Compose returns the policy with the host, platform and lease sections of the
+// local process.
 func Compose(local, policy Settings) Settings {
 	policy.Host = local.Host
 	policy.Platform = local.Platform
@@ -14,8 +14,8 @@
 	return policy
 }
 
-// MarshalPolicy writes the policy part of the settings as TOML, for
-// configstore. Equal policies give equal text.
+// MarshalPolicy encodes the policy sections of the settings as TOML. Equal
+// policies have equal encodings.
 func MarshalPolicy(s Settings) (string, error) {
 	tree := map[string]any{
 		"calls":      s.Calls,
@@ -31,7 +31,8 @@
 	return string(out), errors.Wrap(err, "marshal policy")
 }
 
-// ParsePolicy reads what MarshalPolicy writes, or any policy in one text.
+// ParsePolicy parses and validates a policy in one TOML text. Problems use name
+// as their file.
 func ParsePolicy(name, content string) (Settings, error) {
 	return Parse(name, []File{{Name: name, Data: []byte(content)}}, Policy)
 }
--- a/settings/position.go
+++ b/settings/position.go
@@ -6,14 +6,14 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// position is where a key stands in a file.
+// position is the position of a key in a file.
 type position struct {
 	file         string
 	line, column int
 }
 
-// positions returns where each dotted key of a syntactically correct file
-// stands.
+// positions returns the position of each dotted key of a syntactically valid
+// file.
 func positions(file string, data []byte) map[string]position {
 	found := map[string]position{}
 	var parser unstable.Parser
@@ -24,31 +24,32 @@
 		switch node.Kind {
 		case unstable.Table, unstable.ArrayTable:
 			table = keyParts(node.Key())
-			mark(found, file, &parser, node.Key(), table)
+			record(found, file, &parser, node.Key(), table)
 		case unstable.KeyValue:
-			markValue(found, file, &parser, node, table)
+			recordValue(found, file, &parser, node, table)
 		default:
 		}
 	}
 	return found
 }
 
-// markValue records a key and, for an inline table, the keys within it.
-func markValue(found map[string]position, file string, parser *unstable.Parser, node *unstable.Node, table []string) {
+// recordValue records the position of a key and, for an inline table, of the keys
+// in it.
+func recordValue(found map[string]position, file string, parser *unstable.Parser, node *unstable.Node, table []string) {
 	path := append(append([]string{}, table...), keyParts(node.Key())...)
-	mark(found, file, parser, node.Key(), path)
+	record(found, file, parser, node.Key(), path)
 	value := node.Value()
 	if value.Kind != unstable.InlineTable {
 		return
 	}
 	inner := value.Children()
 	for inner.Next() {
-		markValue(found, file, parser, inner.Node(), path)
+		recordValue(found, file, parser, inner.Node(), path)
 	}
 }
 
-// mark records the position of the last part of a key.
-func mark(found map[string]position, file string, parser *unstable.Parser, key unstable.Iterator, path []string) {
+// record records the position of the last part of a key.
+func record(found map[string]position, file string, parser *unstable.Parser, key unstable.Iterator, path []string) {
 	var last *unstable.Node
 	for key.Next() {
 		last = key.Node()
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// Problem is one mistake in a folder of settings.
+// Problem is one error in a settings folder.
 type Problem struct {
-	// File, Line and Column are where it is; Line is 0 when the key is
-	// missing, and File then names the folder.
+	// File, Line and Column are its position. If the key is missing, Line is 0
+	// and File is the folder.
 	File   string `json:"file"`
 	Line   int    `json:"line"`
 	Column int    `json:"column"`
-	// Key is the dotted key concerned, if any.
+	// Key is the dotted key, if any.
 	Key string `json:"key"`
-	// Want says what was expected.
+	// Expected describes the expected value.
 	Expected string `json:"want"`
 }
 
-// String returns file:line:column: key: what was expected.
+// String formats the problem as file:line:column: key: expected value.
 func (p Problem) String() string {
 	where := p.File
 	if p.Line > 0 {
--- a/settings/problems.go
+++ b/settings/problems.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Problems is every mistake found in a folder; it is an error when not empty.
+// Problems lists all errors found in a settings folder. It implements error.
 type Problems []Problem
 
-// Error lists the problems, one a line.
+// Error returns the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -17,7 +17,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sorted returns the problems by file, line and column.
+// sorted sorts the problems by file, line and column.
 func (ps Problems) sorted() Problems {
 	slices.SortStableFunc(ps, func(a, b Problem) int {
 		if c := strings.Compare(a.File, b.File); c != 0 {
--- a/settings/reference_test.go
+++ b/settings/reference_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write docs/SETTINGS.md anew")
+var update = flag.Bool("update", false, "regenerate docs/SETTINGS.md")
 
 const referencePage = "../docs/SETTINGS.md"
 
@@ -27,7 +27,8 @@
 | --- | --- | --- | --- |
 `
 
-// TestReference compares docs/SETTINGS.md with the structs.
+// TestReference checks that docs/SETTINGS.md matches the structs and their field
+// comments.
 func TestReference(t *testing.T) {
 	docs := fieldDocs(t)
 	var b strings.Builder
@@ -47,7 +48,7 @@
 	}
 }
 
-// reference writes a row for each key below a struct.
+// reference writes a table row for each key of a struct, recursively.
 func reference(b *strings.Builder, path string, v reflect.Value, docs map[string]string) {
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
@@ -92,8 +93,8 @@
 	return fmt.Sprintf("`%v`", v.Interface())
 }
 
-// fieldDocs returns the doc comment of each field as one line. A field that
-// shares its comment with the one above, as in "Region and Zone", takes it.
+// fieldDocs returns the doc comment of each field on one line. A field without a
+// comment has that of the field before it, as in "Region and Zone".
 func fieldDocs(t *testing.T) map[string]string {
 	t.Helper()
 	files, err := parser.ParseDir(token.NewFileSet(), ".", nil, parser.ParseComments) //nolint:staticcheck // one package, no build tags
--- a/settings/scope.go
+++ b/settings/scope.go
@@ -1,14 +1,13 @@
 package settings
 
-// Scope says which part of the settings must be complete.
+// Scope determines which sections are validated.
 type Scope uint8
 
-// The scopes.
 const (
-	// Process: a folder that starts an entry host; host and platform are
-	// required.
+	// Process is the scope of a folder that starts an entry host; it requires
+	// host and platform.
 	Process Scope = iota
-	// Policy: what operators apply to all entry hosts; host, platform and
-	// lease are left alone.
+	// Policy is the scope of a folder that operators apply to all entry hosts;
+	// it doesn't validate host and platform.
 	Policy
 )
--- a/settings/service.go
+++ b/settings/service.go
@@ -1,6 +1,6 @@
 package settings
 
-// Service is one interactive service.
+// Service is an interactive service.
 type Service struct {
 	// Slots and Connections are the sizes of an endpoint whose member entry
 	// gives none.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,19 +1,20 @@
 package settings
 
-// Settings is everything that a folder of TOML files may say.
+// Settings is the content of a settings folder.
 type Settings struct {
-	// Host is this process's own part; it is never applied to other hosts.
+	// Host configures this process; it is never applied to other hosts.
 	Host Host `toml:"host"`
-	// Platform tells where the platform's services are.
+	// Platform configures the access to the platform's services from this
+	// process.
 	Platform Platform `toml:"platform"`
-	// Lease is what hosts rely on of each other; it is not applied to running
-	// hosts.
+	// Lease configures leases and shards; it isn't applied to running hosts.
 	Lease Lease `toml:"lease"`
-	// Calls bounds interactive requests.
+	// Calls configures interactive requests.
 	Calls Calls `toml:"calls"`
-	// Batch bounds placement, task leases and the journal.
+	// Batch configures placement, polling of workers, quarantine and the
+	// journal.
 	Batch Batch `toml:"batch"`
-	// Colocation tunes throttling and eviction.
+	// Colocation configures throttling and eviction of batch tasks.
 	Colocation Colocation `toml:"colocation"`
 	// Services are the interactive services by name.
 	Services map[string]Service `toml:"services"`
@@ -21,7 +22,7 @@
 	Classes map[string]Class `toml:"classes"`
 	// Teams are the teams that submit jobs by name.
 	Teams map[string]Team `toml:"teams"`
-	// Events are the named starts by name.
+	// Events are the events by name.
 	Events map[string]Event `toml:"events"`
 	// Objectives are the service-level objectives by name.
 	Objectives map[string]Objective `toml:"objectives"`
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestParse merges the files given in each case ("-- name" starts one) and
-// prints the values asked for, or every problem.
+// TestParse parses the files of each case, separated by lines "-- name", and
+// prints some of the values or all problems.
 func TestParse(t *testing.T) {
 	datadriven.RunTest(t, "testdata/parse", func(_ *testing.T, d *datadriven.TestData) string {
 		scope := Policy
@@ -26,7 +26,7 @@
 	})
 }
 
-// split cuts an input into files at lines "-- name".
+// split splits an input into files at lines "-- name".
 func split(input string) []File {
 	var files []File
 	for _, line := range strings.SplitAfter(input, "\n") {
--- a/settings/team.go
+++ b/settings/team.go
@@ -1,6 +1,6 @@
 package settings
 
-// Team is one team that submits jobs.
+// Team is a team that submits jobs.
 type Team struct {
 	// Weight is its part in fair sharing; 1 is ordinary.
 	Weight float64 `toml:"weight"`
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -1,6 +1,6 @@
 package settings
 
-// TLS names PEM files. They are read again when they change.
+// TLS names PEM files. They are reloaded when they change.
 type TLS struct {
 	// Certificate and Key are this host's own.
 	Certificate string `toml:"certificate"`
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// reporter takes one mistake: a dotted key and what was expected of it.
+// reporter is called with the dotted key of each invalid value and the expected
+// value.
 type reporter func(key, want string)
 
-// validate checks everything that types alone don't say.
+// validate checks ranges, required values and references between sections.
 func validate(s Settings, scope Scope, report reporter) {
 	if scope == Process {
 		validateHost(s.Host, report)
@@ -79,7 +80,7 @@
 	}
 	positive(report, "lease.max_run", l.MaxRun)
 	positive(report, "lease.task_lease", l.TaskLease)
-	between(report, "lease.clock_rate", l.ClockRate, 0, 0.5)
+	inRange(report, "lease.clock_rate", l.ClockRate, 0, 0.5)
 	atLeast(report, "lease.successors", int64(l.Successors), 1)
 	atLeast(report, "lease.endpoint_shards", int64(l.EndpointShards), 1)
 	atLeast(report, "lease.worker_shards_per_zone", int64(l.WorkerShardsPerZone), 1)
@@ -91,7 +92,7 @@
 	atLeast(report, "calls.max_body", c.MaxBody, 1)
 	atLeast(report, "calls.queue", int64(c.Queue), 0)
 	atLeast(report, "calls.connections_per_caller", int64(c.ConnectionsPerCaller), 1)
-	between(report, "calls.retry_budget", c.RetryBudget, 0, 1)
+	inRange(report, "calls.retry_budget", c.RetryBudget, 0, 1)
 	if c.BookingWindow.D() < l.Session.D() {
 		report("calls.booking_window", "expected longer than lease.session")
 	}
@@ -106,7 +107,7 @@
 		report("batch.commit_delay", "expected a duration of 0 or more")
 	}
 	atLeast(report, "batch.commit_rows", int64(b.CommitRows), 1)
-	between(report, "batch.headroom", b.Headroom, 0, 0.9)
+	inRange(report, "batch.headroom", b.Headroom, 0, 0.9)
 	atLeast(report, "batch.max_failures", int64(b.MaxFailures), 1)
 	atLeast(report, "batch.quarantine_after", int64(b.QuarantineAfter), 1)
 	positive(report, "batch.quarantine_for", b.QuarantineFor)
@@ -149,7 +150,7 @@
 	if _, err := e.Next(time.Unix(0, 0)); err != nil {
 		report(path+".start", "expected a time such as \"2026-12-03T06:00:00+01:00\", or \"06:00\" with a location such as \"Europe/Rome\"")
 	}
-	between(report, path+".headroom", e.Headroom, 0, 0.9)
+	inRange(report, path+".headroom", e.Headroom, 0, 0.9)
 	for _, name := range e.Services {
 		knownService(report, path+".services", name, services)
 	}
@@ -210,7 +211,7 @@
 	}
 }
 
-func between(report reporter, key string, v, low, high float64) {
+func inRange(report reporter, key string, v, low, high float64) {
 	if v < low || v > high {
 		report(key, "expected a number from "+formatFloat(low)+" to "+formatFloat(high))
 	}
