--- a/cli/apply.go
+++ b/cli/apply.go
@@ -10,7 +10,7 @@
 	"github.com/fireflygate/fireflygate/gen/configs"
 )
 
-// anyBase makes apply read the base version itself.
+// anyBase is the default of -base: the change is based on the version in force.
 const anyBase = -1
 
 type applyCommand struct {
@@ -21,36 +21,36 @@
 }
 
 func (*applyCommand) Name() string     { return "apply" }
-func (*applyCommand) Synopsis() string { return "bring a settings folder into force everywhere" }
+func (*applyCommand) Synopsis() string { return "apply a settings folder to all entry hosts" }
 func (*applyCommand) Usage() string {
 	return `apply [-to URL] [-base N] [-dry-run] DIR
   Validates DIR and makes it the newest configuration if version N is still the
-  newest. Exits 5 if another change was accepted first, and tells which.
+  newest. If another change was accepted first, prints its version and exits 5.
   Example: fireflygate apply -base 41 examples/bergamo
 `
 }
 
 func (c *applyCommand) SetFlags(f *flag.FlagSet) {
 	c.flags(f, localOperators)
-	f.Int64Var(&c.base, "base", anyBase, "`version` that the change was made from; by default the one in force")
+	f.Int64Var(&c.base, "base", anyBase, "`version` that the change is based on; by default the one in force")
 	f.BoolVar(&c.dryRun, "dry-run", false, "validate and compare only")
-	f.StringVar(&c.author, "author", currentUser(), "`name` kept with the version")
+	f.StringVar(&c.author, "author", currentUser(), "`name` recorded with the version")
 }
 
 func (c *applyCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return usage("apply takes one folder")
+		return usageError("apply takes one folder")
 	}
-	content, err := policyOf(f.Arg(0))
+	content, err := loadPolicy(f.Arg(0))
 	if err != nil {
 		return fail(err)
 	}
 	if c.base == anyBase {
-		now, err := inForce(ctx, &c.target)
+		current, err := configInForce(ctx, &c.target)
 		if err != nil {
 			return fail(err)
 		}
-		c.base = now.Version
+		c.base = current.Version
 	}
 	client, err := c.configs()
 	if err != nil {
@@ -65,7 +65,6 @@
 	return printVersion(&c.target, res.(*configs.ConfigVersion))
 }
 
-// currentUser returns the name of the user who runs the command.
 func currentUser() string {
 	u, err := user.Current()
 	if err != nil {
--- a/cli/bearer.go
+++ b/cli/bearer.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// bearer adds the operators' credential to each request.
+// bearer adds the operators' credential to each request as a bearer token.
 type bearer struct {
 	next  http.RoundTripper
 	token string
--- a/cli/call.go
+++ b/cli/call.go
@@ -42,7 +42,7 @@
 
 func (c *callCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 2 {
-		return usage("call takes a service and a path")
+		return usageError("call takes a service and a path")
 	}
 	client, err := c.client()
 	if err != nil {
@@ -60,19 +60,19 @@
 	resp, err := client.Do(req)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fireflygate:", err)
-		return exitOf(outcomeOfFailure(err))
+		return exitCode(outcomeOfError(err))
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if _, err := io.Copy(os.Stdout, resp.Body); err != nil {
-		fmt.Fprintln(os.Stderr, "fireflygate: the answer was cut off:", err)
+		fmt.Fprintln(os.Stderr, "fireflygate: incomplete response body:", err)
 		return ExitUnknown
 	}
-	return exitOf(outcome.Parse(resp.Header.Get(outcome.Header)))
+	return exitCode(outcome.Parse(resp.Header.Get(outcome.Header)))
 }
 
-// outcomeOfFailure says whether a request without an answer ran: where nobody
-// could be connected to, no byte of it was sent.
-func outcomeOfFailure(err error) outcome.Kind {
+// outcomeOfError returns the outcome of a request without a response. If the
+// connection couldn't be established, the request did not run.
+func outcomeOfError(err error) outcome.Kind {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return outcome.NotRun
--- a/cli/call_test.go
+++ b/cli/call_test.go
@@ -8,9 +8,9 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// TestOutcomeOfFailure connects to a port that nobody listens on, and to a
-// server that hangs up without an answer: only the first surely did not run.
-func TestOutcomeOfFailure(t *testing.T) {
+// TestOutcomeOfError checks that a refused connection is reported as not run, and
+// a connection closed without a response as unknown.
+func TestOutcomeOfError(t *testing.T) {
 	hangsUp := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
@@ -23,7 +23,7 @@
 			resp.Body.Close()
 			t.Fatalf("%s answered", url)
 		}
-		if got := outcomeOfFailure(err); got != want {
+		if got := outcomeOfError(err); got != want {
 			t.Errorf("%v: %s, want %s", err, got, want)
 		}
 	}
--- a/cli/check.go
+++ b/cli/check.go
@@ -17,20 +17,20 @@
 func (*checkCommand) Synopsis() string { return "check a settings folder" }
 func (*checkCommand) Usage() string {
 	return `check [-process] [-json] DIR
-  Merges the TOML files of DIR in the order of their names and lists every
-  mistake as file:line:column: key: what was expected. Exits 2 if there is one.
+  Merges the TOML files of DIR in the order of their names and lists all errors
+  as file:line:column: key: expected value. Exits 2 if there are any.
   Example: fireflygate check examples/bergamo
 `
 }
 
 func (c *checkCommand) SetFlags(f *flag.FlagSet) {
-	f.BoolVar(&c.process, "process", false, "also require what one entry host needs to start")
-	f.BoolVar(&c.json, "json", false, "print the mistakes as one JSON list")
+	f.BoolVar(&c.process, "process", false, "also require the settings that an entry host needs to start")
+	f.BoolVar(&c.json, "json", false, "print the errors as one JSON list")
 }
 
 func (c *checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return usage("check takes one folder")
+		return usageError("check takes one folder")
 	}
 	scope := settings.Policy
 	if c.process {
@@ -44,7 +44,7 @@
 	return c.report(mistakes)
 }
 
-// report prints what was found; a mistake is an error of usage.
+// report prints the problems and returns ExitUsage if there are any.
 func (c *checkCommand) report(mistakes settings.Problems) subcommands.ExitStatus {
 	switch {
 	case c.json:
--- a/cli/check_test.go
+++ b/cli/check_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/subcommands"
 )
 
-// TestCheckExitCodes checks a good folder, one with a mistake, and none.
+// TestCheckExitCodes checks the exit codes for valid, invalid and missing folders.
 func TestCheckExitCodes(t *testing.T) {
 	bad := t.TempDir()
 	if err := os.WriteFile(filepath.Join(bad, "10.toml"), []byte("[calls]\nqeue = 1\n"), 0o600); err != nil {
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/subcommands"
 )
 
-// commands returns a commander with all commands, and those of the project's
-// own.
+// commands returns a commander with all commands, and the commands without the
+// built-in ones of package subcommands.
 func commands() (*subcommands.Commander, []subcommands.Command) {
 	c := subcommands.NewCommander(flag.NewFlagSet("fireflygate", flag.ContinueOnError), "fireflygate")
 	register(c)
@@ -24,32 +24,32 @@
 	return c, own
 }
 
-// TestHelp checks that each command explains itself with an example that its
-// own flags accept.
+// TestHelp checks that the usage text of each command starts with its name and
+// has an example with valid flags.
 func TestHelp(t *testing.T) {
 	_, own := commands()
 	if len(own) < 17 {
-		t.Fatalf("%d commands", len(own))
+		t.Fatalf("%d commands, want at least 17", len(own))
 	}
 	for _, c := range own {
 		if !strings.HasPrefix(c.Usage(), c.Name()) {
-			t.Errorf("%s: the usage begins %.20q", c.Name(), c.Usage())
+			t.Errorf("%s: the usage text starts with %.20q, want the command's name", c.Name(), c.Usage())
 		}
 		_, example, ok := strings.Cut(c.Usage(), "Example: fireflygate "+c.Name())
 		if !ok {
-			t.Errorf("%s has no example", c.Name())
+			t.Errorf("%s: the usage text has no example", c.Name())
 			continue
 		}
 		set := flag.NewFlagSet(c.Name(), flag.ContinueOnError)
 		c.SetFlags(set)
 		example, _, _ = strings.Cut(example, ">")
 		if err := set.Parse(strings.Fields(example)); err != nil {
-			t.Errorf("%s: its example: %v", c.Name(), err)
+			t.Errorf("%s: invalid flags in the example: %v", c.Name(), err)
 		}
 	}
 }
 
-// TestDocsListExitCodes checks the codes on the operators' page.
+// TestDocsListExitCodes checks that docs/OPERATORS.md lists all exit codes.
 func TestDocsListExitCodes(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATORS.md")
 	if err != nil {
@@ -57,14 +57,14 @@
 	}
 	_, section, ok := strings.Cut(string(page), "## Exit codes")
 	if !ok {
-		t.Fatal("no section of exit codes")
+		t.Fatal("docs/OPERATORS.md has no section \"Exit codes\"")
 	}
 	for code, meaning := range map[subcommands.ExitStatus]string{
 		ExitOK: "0 done", ExitFailed: "1 failed", ExitUsage: "2 wrong usage", ExitNotRun: "3 not run",
 		ExitUnknown: "4 unknown", ExitConflict: "5 lost",
 	} {
 		if int(meaning[0]-'0') != int(code) || !strings.Contains(section, meaning) {
-			t.Errorf("the page lacks %q for code %d", meaning, code)
+			t.Errorf("docs/OPERATORS.md lacks %q for exit code %d", meaning, code)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 			_, line, _ := strings.Cut(script, "\t"+command.Name()+") words=")
 			line, _, _ = strings.Cut(line, "\n")
 			if !strings.Contains(line, flags) {
-				t.Errorf("%s: completion lacks %s: %s", command.Name(), flags, line)
+				t.Errorf("%s: flag %s is missing from the completion: %s", command.Name(), flags, line)
 			}
 		}
 	}
--- a/cli/completion.go
+++ b/cli/completion.go
@@ -9,17 +9,17 @@
 	"github.com/google/subcommands"
 )
 
-// completionCommand prints a completion that is made from the registered
-// commands, so it needs no upkeep of its own.
+// completionCommand prints a completion script generated from the registered
+// commands.
 type completionCommand struct {
 	commander *subcommands.Commander
 }
 
 func (*completionCommand) Name() string     { return "completion" }
-func (*completionCommand) Synopsis() string { return "print completion for a shell" }
+func (*completionCommand) Synopsis() string { return "print a completion script for a shell" }
 func (*completionCommand) Usage() string {
 	return `completion bash
-  Prints completion of commands and flags for a shell; source it.
+  Prints a script, to be sourced, that completes commands and flags.
   Example: fireflygate completion bash > /etc/bash_completion.d/fireflygate
 `
 }
@@ -28,7 +28,7 @@
 
 func (c *completionCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 || f.Arg(0) != "bash" {
-		return usage("completion takes the shell: bash")
+		return usageError("completion takes the shell: bash")
 	}
 	if _, err := fmt.Fprint(os.Stdout, bashCompletion(c.commander)); err != nil {
 		return fail(err)
--- a/cli/completion_bash.go
+++ b/cli/completion_bash.go
@@ -8,8 +8,8 @@
 	"github.com/google/subcommands"
 )
 
-// bashCompletion returns a script that completes the first word with commands
-// and later ones with the command's flags, or with files.
+// bashCompletion returns a script that completes the first argument with commands
+// and later arguments with the command's flags, or with files.
 func bashCompletion(c *subcommands.Commander) string {
 	var names []string
 	var cases strings.Builder
@@ -35,7 +35,7 @@
 `, strings.Join(names, " "), strings.Join(names, " "), cases.String())
 }
 
-// flagsOf returns a command's flags with their dash.
+// flagsOf returns the flags of a command, each with a leading dash.
 func flagsOf(c subcommands.Command) []string {
 	set := flag.NewFlagSet(c.Name(), flag.ContinueOnError)
 	c.SetFlags(set)
--- a/cli/configs.go
+++ b/cli/configs.go
@@ -11,8 +11,8 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// policyOf loads a folder and returns its policy as one text.
-func policyOf(dir string) (string, error) {
+// loadPolicy loads a settings folder and returns its policy as TOML.
+func loadPolicy(dir string) (string, error) {
 	s, err := settings.Load(dir, settings.Policy)
 	if err != nil {
 		return "", err
@@ -20,8 +20,8 @@
 	return settings.MarshalPolicy(s)
 }
 
-// inForce reads what is in force on the target.
-func inForce(ctx context.Context, t *target) (*configs.ShowResult, error) {
+// configInForce requests the configuration in force on the target.
+func configInForce(ctx context.Context, t *target) (*configs.ShowResult, error) {
 	c, err := t.configs()
 	if err != nil {
 		return nil, err
@@ -33,7 +33,6 @@
 	return res.(*configs.ShowResult), nil
 }
 
-// printVersion prints an accepted version.
 func printVersion(t *target, v *configs.ConfigVersion) subcommands.ExitStatus {
 	if t.json {
 		return printJSON(v)
@@ -49,13 +48,13 @@
 	return ExitOK
 }
 
-// versionRow is a version as a row of a table.
+// versionRow returns the table row of a version.
 func versionRow(v *configs.ConfigVersion) []string {
 	differs := strings.Join(v.Differs, " ")
 	if v.Version == 1 {
 		differs = "the first configuration"
 	}
 	return []string{
-		fmt.Sprint(v.Version), timeText(v.AppliedUnixMs), v.Author, fmt.Sprintf("%.12s", v.Hash), differs,
+		fmt.Sprint(v.Version), formatTime(v.AppliedUnixMs), v.Author, fmt.Sprintf("%.12s", v.Hash), differs,
 	}
 }
--- a/cli/diff.go
+++ b/cli/diff.go
@@ -12,8 +12,11 @@
 
 type diffCommand struct{ target }
 
-func (*diffCommand) Name() string     { return "diff" }
-func (*diffCommand) Synopsis() string { return "compare a settings folder with what is in force" }
+func (*diffCommand) Name() string { return "diff" }
+func (*diffCommand) Synopsis() string {
+	return "compare a settings folder with the configuration in force"
+}
+
 func (*diffCommand) Usage() string {
 	return `diff [-to URL] DIR
   Lists the keys in which DIR differs from the configuration in force.
@@ -25,21 +28,21 @@
 
 func (c *diffCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return usage("diff takes one folder")
+		return usageError("diff takes one folder")
 	}
-	content, err := policyOf(f.Arg(0))
+	content, err := loadPolicy(f.Arg(0))
 	if err != nil {
 		return fail(err)
 	}
-	now, err := inForce(ctx, &c.target)
+	current, err := configInForce(ctx, &c.target)
 	if err != nil {
 		return fail(err)
 	}
-	keys := configstore.ChangedKeys(now.Content, content)
+	keys := configstore.ChangedKeys(current.Content, content)
 	if c.json {
 		return printJSON(keys)
 	}
-	fmt.Printf("version %d is in force; %d keys differ\n", now.Version, len(keys))
+	fmt.Printf("version %d is in force; %d keys differ\n", current.Version, len(keys))
 	for _, key := range keys {
 		fmt.Println("  " + key)
 	}
--- a/cli/doc.go
+++ b/cli/doc.go
@@ -1,3 +1,3 @@
-// Package cli holds the subcommands of the fireflygate program. Every command
-// has help with an example; exit codes are those of type Exit.
+// Package cli implements the subcommands of the fireflygate program. The exit
+// codes are the constants ExitOK to ExitConflict.
 package cli
--- a/cli/drain.go
+++ b/cli/drain.go
@@ -11,10 +11,10 @@
 type drainCommand struct{ target }
 
 func (*drainCommand) Name() string     { return "drain" }
-func (*drainCommand) Synopsis() string { return "stop an entry host without cutting anything off" }
+func (*drainCommand) Synopsis() string { return "stop an entry host without aborting requests" }
 func (*drainCommand) Usage() string {
 	return `drain [-to URL]
-  Asks an entry host to hand over what it holds, finish what is in flight and exit.
+  Makes an entry host hand over its shards, finish requests in flight and exit.
   Example: fireflygate drain -to http://127.0.0.1:7101
 `
 }
--- a/cli/events.go
+++ b/cli/events.go
@@ -13,11 +13,15 @@
 
 type eventsCommand struct{ target }
 
-func (*eventsCommand) Name() string     { return "events" }
-func (*eventsCommand) Synopsis() string { return "show events and whether they will be met" }
+func (*eventsCommand) Name() string { return "events" }
+func (*eventsCommand) Synopsis() string {
+	return "show events and the forecast of the work due by them"
+}
+
 func (*eventsCommand) Usage() string {
 	return `events [-to URL] [-json]
-  Shows each named start, the work due by then, and whether it will be met.
+  Shows the start of each event, the jobs due by it, and whether they will be done
+  in time.
   Example: fireflygate events
 `
 }
@@ -39,7 +43,7 @@
 	}
 	var rows [][]string
 	for _, e := range list {
-		rows = append(rows, []string{e.Name, timeText(e.StartUnixMs), fmt.Sprint(e.Done, "/", e.Jobs), e.Forecast, e.Reason})
+		rows = append(rows, []string{e.Name, formatTime(e.StartUnixMs), fmt.Sprint(e.Done, "/", e.Jobs), e.Forecast, e.Reason})
 	}
 	printTable(os.Stdout, []string{"EVENT", "START", "DONE", "FORECAST", "REASON"}, rows)
 	return ExitOK
--- a/cli/job.go
+++ b/cli/job.go
@@ -11,7 +11,6 @@
 	"github.com/fireflygate/fireflygate/gen/jobs"
 )
 
-// printJob prints one job.
 func printJob(t *target, j *jobs.JobStatus) subcommands.ExitStatus {
 	if t.json {
 		return printJSON(j)
@@ -28,7 +27,7 @@
 func (*cancelCommand) Synopsis() string { return "cancel a job" }
 func (*cancelCommand) Usage() string {
 	return `cancel [-to URL] ID
-  Cancels a job. One that had not started is reported as cancelled at epoch 0: it never ran.
+  Cancels a job. A job that had not started is reported as cancelled with epoch 0.
   Example: fireflygate cancel 0b9c
 `
 }
@@ -37,7 +36,7 @@
 
 func (c *cancelCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return usage("cancel takes one job")
+		return usageError("cancel takes one job")
 	}
 	client, err := c.jobs()
 	if err != nil {
@@ -53,10 +52,10 @@
 type explainCommand struct{ target }
 
 func (*explainCommand) Name() string     { return "explain" }
-func (*explainCommand) Synopsis() string { return "say why a job is in its state" }
+func (*explainCommand) Synopsis() string { return "show the state of a job and the reason for it" }
 func (*explainCommand) Usage() string {
 	return `explain [-to URL] ID
-  Shows a job with why it is pending, runs where it does, or was evicted.
+  Shows a job and why it is pending, was placed on its worker, or was evicted.
   Example: fireflygate explain 0b9c
 `
 }
@@ -65,7 +64,7 @@
 
 func (c *explainCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return usage("explain takes one job")
+		return usageError("explain takes one job")
 	}
 	client, err := c.jobs()
 	if err != nil {
--- a/cli/load.go
+++ b/cli/load.go
@@ -21,11 +21,11 @@
 }
 
 func (*loadCommand) Name() string     { return "load" }
-func (*loadCommand) Synopsis() string { return "send open-loop traffic to running entry hosts" }
+func (*loadCommand) Synopsis() string { return "send open-loop traffic to entry hosts" }
 func (*loadCommand) Usage() string {
 	return `load [-to URL,URL] [-rate N] [-duration D] [-bookings SHARE] [-seed N] [-json] SERVICE
-  Sends requests at a rate whether or not earlier ones were answered, and counts
-  latency from when each was due.
+  Sends requests at a fixed mean rate, whether or not earlier ones were answered,
+  and measures latency from the time at which each was due.
   Example: fireflygate load -rate 500 -duration 30s -bookings 0.1 dispatch
 `
 }
@@ -33,23 +33,23 @@
 func (c *loadCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.to, "to", localCallers, "base `URLs` of entry hosts, separated by commas")
 	f.StringVar(&c.path, "path", "/", "path below the service")
-	f.Float64Var(&c.rate, "rate", 100, "requests a second")
-	f.Float64Var(&c.bookings, "bookings", 0, "share of requests that are bookings")
-	f.DurationVar(&c.duration, "duration", 10*time.Second, "how long to send")
+	f.Float64Var(&c.rate, "rate", 100, "requests per second")
+	f.Float64Var(&c.bookings, "bookings", 0, "share of requests that are bookings, 0 to 1")
+	f.DurationVar(&c.duration, "duration", 10*time.Second, "how long to send requests")
 	f.DurationVar(&c.timeout, "timeout", 2*time.Second, "deadline of a request")
-	f.Uint64Var(&c.seed, "seed", 1, "seed of arrivals")
+	f.Uint64Var(&c.seed, "seed", 1, "seed of random arrivals")
 	f.BoolVar(&c.json, "json", false, "print JSON")
 }
 
-// maxInFlight bounds the requests that the load generator leaves unanswered.
+// maxInFlight bounds the load generator's requests in flight.
 const maxInFlight = 4096
 
 func (c *loadCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return usage("load takes one service")
+		return usageError("load takes one service")
 	}
 	if c.rate <= 0 || c.duration <= 0 {
-		return usage("-rate and -duration must be above 0")
+		return usageError("-rate and -duration must be above 0")
 	}
 	targets := strings.Split(c.to, ",")
 	s := load.Run(ctx, load.Config{
--- a/cli/main.go
+++ b/cli/main.go
@@ -10,8 +10,8 @@
 	"github.com/google/subcommands"
 )
 
-// Main runs the command that args name and returns its exit code. SIGINT and
-// SIGTERM end its context.
+// Main runs the command named in args and returns its exit code. SIGINT and
+// SIGTERM cancel the command's context.
 func Main(args []string) int {
 	flags := flag.NewFlagSet(args[0], flag.ContinueOnError)
 	commander := subcommands.NewCommander(flags, "fireflygate")
--- a/cli/print.go
+++ b/cli/print.go
@@ -21,7 +21,7 @@
 	return ExitOK
 }
 
-// printTable writes rows under a header, in columns.
+// printTable writes a header and rows in aligned columns.
 func printTable(w io.Writer, header []string, rows [][]string) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	printRow(t, header)
@@ -48,17 +48,17 @@
 		what = p
 	}
 	_, _ = fmt.Fprintln(os.Stderr, "fireflygate:", what)
-	return exitOfError(err)
+	return errorExitCode(err)
 }
 
-// usage prints what is wrong with a command line.
-func usage(format string, args ...any) subcommands.ExitStatus {
+// usageError prints an error in the command line and returns ExitUsage.
+func usageError(format string, args ...any) subcommands.ExitStatus {
 	_, _ = fmt.Fprintf(os.Stderr, "fireflygate: "+format+"\n", args...)
 	return ExitUsage
 }
 
-// timeText shows Unix milliseconds in local time.
-func timeText(unixMS int64) string {
+// formatTime formats Unix milliseconds in local time.
+func formatTime(unixMS int64) string {
 	return time.UnixMilli(unixMS).Format(time.DateTime)
 }
 
--- a/cli/problem.go
+++ b/cli/problem.go
@@ -13,13 +13,13 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// problem is what an entry host said of a request that it refused.
+// problem is an entry host's reason for refusing a request.
 type problem struct {
 	name, title, field string
 	outcome            outcome.Kind
 }
 
-// String says what is wrong, with what, and whether the request ran.
+// String returns the field, the title and the outcome.
 func (p problem) String() string {
 	if p.field == "" {
 		return fmt.Sprintf("%s (%s)", p.title, p.outcome)
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("%s: %s (%s)", p.field, p.title, p.outcome)
 }
 
-// problemOf returns the problem that an entry host sent; false for any other
-// error.
+// problemOf returns the problem that an entry host responded with; false for any
+// other error.
 func problemOf(err error) (problem, bool) {
 	var j *jobs.Problem
 	var c *configs.Problem
@@ -53,9 +53,9 @@
 	return p
 }
 
-// exitOfError returns the exit code for an error: that of its outcome where
-// the entry host named one.
-func exitOfError(err error) subcommands.ExitStatus {
+// errorExitCode returns the exit code for an error. A problem without a code of
+// its own has that of its outcome.
+func errorExitCode(err error) subcommands.ExitStatus {
 	var mistakes settings.Problems
 	if errors.As(err, &mistakes) {
 		return ExitUsage
@@ -69,6 +69,6 @@
 	case p.name == "conflict":
 		return ExitConflict
 	default:
-		return exitOf(p.outcome)
+		return exitCode(p.outcome)
 	}
 }
--- a/cli/problem_test.go
+++ b/cli/problem_test.go
@@ -26,7 +26,7 @@
 		{&configs.Problem{Name: "conflict", Title: "version 2 won", Outcome: "not_run"}, ExitConflict, "version 2 won (not_run)"},
 	}
 	for _, c := range cases {
-		if code := exitOfError(c.err); code != c.code {
+		if code := errorExitCode(c.err); code != c.code {
 			t.Errorf("%v: exit %d, want %d", c.err, code, c.code)
 		}
 		if p, ok := problemOf(c.err); ok && p.String() != c.text {
--- a/cli/report.go
+++ b/cli/report.go
@@ -20,18 +20,19 @@
 }
 
 func (*reportCommand) Name() string     { return "report" }
-func (*reportCommand) Synopsis() string { return "report the burn of service-level objectives" }
+func (*reportCommand) Synopsis() string { return "report the burn rates of service-level objectives" }
+
 func (*reportCommand) Usage() string {
 	return `report [-to URL] [-json] [-html FILE]
   Reports how fast each objective's error budget is spent over several windows.
-  With -html it writes a page with plots, which needs nothing else to be read.
+  With -html it writes a self-contained HTML page with plots.
   Example: fireflygate report -html burn.html
 `
 }
 
 func (c *reportCommand) SetFlags(f *flag.FlagSet) {
 	c.flags(f, localOperators)
-	f.StringVar(&c.html, "html", "", "`file` to write the report to as a page")
+	f.StringVar(&c.html, "html", "", "`file` to write the report to as an HTML page")
 }
 
 func (c *reportCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -55,7 +56,7 @@
 	}
 }
 
-// writePage writes the reports to a file as a page.
+// writePage writes the reports to a file as an HTML page.
 func writePage(path string, list []*operations.BurnReport) subcommands.ExitStatus {
 	var page bytes.Buffer
 	if err := burnpage.Write(&page, list, time.Now()); err != nil {
--- a/cli/rollback.go
+++ b/cli/rollback.go
@@ -16,25 +16,25 @@
 }
 
 func (*rollbackCommand) Name() string     { return "rollback" }
-func (*rollbackCommand) Synopsis() string { return "accept an older configuration again" }
+func (*rollbackCommand) Synopsis() string { return "apply an older configuration again" }
 func (*rollbackCommand) Usage() string {
 	return `rollback [-to URL] -version N
-  Accepts the content of version N again, as a new and higher version.
+  Applies the content of version N again, as a new and higher version.
   Example: fireflygate rollback -version 40
 `
 }
 
 func (c *rollbackCommand) SetFlags(f *flag.FlagSet) {
 	c.flags(f, localOperators)
-	f.Int64Var(&c.version, "version", 0, "`version` whose content is wanted")
-	f.StringVar(&c.author, "author", currentUser(), "`name` kept with the version")
+	f.Int64Var(&c.version, "version", 0, "`version` whose content is applied")
+	f.StringVar(&c.author, "author", currentUser(), "`name` recorded with the version")
 }
 
 func (c *rollbackCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.version < 1 {
-		return usage("rollback needs -version")
+		return usageError("rollback needs -version")
 	}
-	now, err := inForce(ctx, &c.target)
+	current, err := configInForce(ctx, &c.target)
 	if err != nil {
 		return fail(err)
 	}
@@ -42,7 +42,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	res, err := client.Rollback()(ctx, &configs.RollbackPayload{Base: now.Version, To: c.version, Author: c.author})
+	res, err := client.Rollback()(ctx, &configs.RollbackPayload{Base: current.Version, To: c.version, Author: c.author})
 	if err != nil {
 		return fail(err)
 	}
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -24,20 +24,20 @@
 func (*serveCommand) Synopsis() string { return "run one entry host" }
 func (*serveCommand) Usage() string {
 	return `serve -config DIR
-  Runs one entry host with the settings in DIR until SIGTERM, then drains: it
-  hands over what it owns, finishes what is in flight and exits 0.
+  Runs one entry host with the settings in DIR until SIGTERM, then drains it: the
+  host hands over its shards, finishes requests in flight and exits 0.
   Example: fireflygate serve -config /etc/fireflygate
 `
 }
 
 func (c *serveCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.config, "config", "", "settings `folder`")
-	f.BoolVar(&c.logJSON, "log-json", true, "log as JSON lines rather than text")
+	f.BoolVar(&c.logJSON, "log-json", true, "log as JSON lines instead of text")
 }
 
 func (c *serveCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.config == "" || f.NArg() > 0 {
-		return usage("serve needs -config and takes no arguments")
+		return usageError("serve needs -config and takes no arguments")
 	}
 	s, err := settings.Load(c.config, settings.Process)
 	if err != nil {
@@ -64,10 +64,11 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, nil))
 }
 
-// newDeps returns the platform's services over HTTP.
+// newDeps returns HTTP clients for the platform's services.
 func newDeps(s settings.Settings, log *slog.Logger) gate.Deps {
-	// Idle connections are bounded for each address only: a worker is asked
-	// every second, and a bound on all would open a connection for each.
+	// There is no limit on all idle connections: workers are polled every second,
+	// and a host with more workers than the limit would open a new connection for
+	// each poll.
 	const idleConns = 64
 	transport := &http.Transport{MaxIdleConnsPerHost: idleConns, IdleConnTimeout: time.Minute}
 	client := &http.Client{Transport: transport, Timeout: s.Platform.Timeout.D()}
--- a/cli/status.go
+++ b/cli/status.go
@@ -14,11 +14,11 @@
 type statusCommand struct{ target }
 
 func (*statusCommand) Name() string     { return "status" }
-func (*statusCommand) Synopsis() string { return "show an entry host" }
+func (*statusCommand) Synopsis() string { return "show the state of an entry host" }
 func (*statusCommand) Usage() string {
 	return `status [-to URL] [-json]
-  Shows an entry host: its state, what it holds, and the configuration version
-  in force on every host.
+  Shows the state of an entry host, the shards it holds, and the configuration
+  version in force on every host.
   Example: fireflygate status -to http://127.0.0.1:7101
 `
 }
--- a/cli/submit.go
+++ b/cli/submit.go
@@ -33,21 +33,21 @@
 
 func (c *submitCommand) SetFlags(f *flag.FlagSet) {
 	c.flags(f, localCallers)
-	f.StringVar(&c.spec.Key, "key", "", "idempotency `key`; by default a new one")
-	f.StringVar(&c.spec.Team, "team", "", "`team` whose quota pays")
+	f.StringVar(&c.spec.Key, "key", "", "idempotency `key`; by default a new UUID")
+	f.StringVar(&c.spec.Team, "team", "", "`team` whose quota is charged")
 	f.StringVar(&c.spec.Class, "class", "", "job `class`")
 	f.StringVar(&c.spec.Qos, "qos", string(task.Batch), "quality of service: batch or latency_critical")
-	f.BoolVar(&c.urgent, "urgent", false, "start at once, preempting if need be")
+	f.BoolVar(&c.urgent, "urgent", false, "start at once, preempting other jobs if necessary")
 	f.Int64Var(&c.size.MilliCPU, "cpu", 1000, "thousandths of a core")
 	f.Int64Var(&c.size.MemoryMb, "memory", 1024, "megabytes of memory")
-	f.DurationVar(&c.run, "run", 0, "run time; 0 for a standing job")
+	f.DurationVar(&c.run, "run", 0, "run time; 0 for a job that runs until it is cancelled")
 	f.DurationVar(&c.due, "due", 0, "time from now by which it must be done; 0 for none")
-	f.StringVar(&c.event, "event", "", "`name` of the event whose start it is due by")
+	f.StringVar(&c.event, "event", "", "`name` of the event by whose start it must be done")
 }
 
 func (c *submitCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.spec.Team == "" || c.spec.Class == "" {
-		return usage("submit needs -team and -class")
+		return usageError("submit needs -team and -class")
 	}
 	if c.spec.Key == "" {
 		c.spec.Key = uuid.NewString()
--- a/cli/target.go
+++ b/cli/target.go
@@ -18,7 +18,7 @@
 	operationsclient "github.com/fireflygate/fireflygate/gen/http/operations/client"
 )
 
-// target is the entry host that a command speaks to.
+// target is the entry host that a command sends its request to.
 type target struct {
 	base        string
 	secret      string
@@ -27,22 +27,22 @@
 	json        bool
 }
 
-// flags registers the flags that every remote command has.
+// flags registers the flags common to all commands that send a request.
 func (t *target) flags(f *flag.FlagSet, base string) {
 	f.StringVar(&t.base, "to", base, "base `URL` of an entry host")
 	f.StringVar(&t.secret, "secret", "", "`file` with the operators' credential")
-	f.StringVar(&t.authorities, "authorities", "", "`file` with the authorities that sign the host's certificate")
-	f.DurationVar(&t.timeout, "timeout", 10*time.Second, "longest to wait for the answer")
+	f.StringVar(&t.authorities, "authorities", "", "PEM `file` with the certificate authorities for the host's certificate")
+	f.DurationVar(&t.timeout, "timeout", 10*time.Second, "longest wait for the response")
 	f.BoolVar(&t.json, "json", false, "print JSON")
 }
 
-// Base URLs of an entry host on this machine, as in the example folders.
+// Base URLs of a local entry host with the settings of the example folders.
 const (
 	localCallers   = "http://127.0.0.1:7100"
 	localOperators = "http://127.0.0.1:7101"
 )
 
-// client returns an HTTP client that sends the credential, if there is one.
+// client returns an HTTP client that sends the credential if -secret is set.
 func (t *target) client() (*http.Client, error) {
 	transport := &http.Transport{}
 	if t.authorities != "" {
@@ -52,7 +52,7 @@
 		}
 		pool := x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return nil, errors.Newf("%s holds no certificate", t.authorities)
+			return nil, errors.Newf("authorities: no PEM certificate in %s", t.authorities)
 		}
 		transport.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}
 	}
@@ -67,7 +67,7 @@
 	return &http.Client{Transport: rt, Timeout: t.timeout}, nil
 }
 
-// parts returns the scheme and host of the base URL with a client.
+// parts returns the scheme and host of the base URL, and a client.
 func (t *target) parts() (scheme, host string, c *http.Client, err error) {
 	u, err := url.Parse(t.base)
 	if err != nil || u.Host == "" {
--- a/cli/version.go
+++ b/cli/version.go
@@ -14,7 +14,7 @@
 func (*versionCommand) Name() string     { return "version" }
 func (*versionCommand) Synopsis() string { return "print the program's version" }
 func (*versionCommand) Usage() string {
-	return "version\n  Prints the version and the Go toolchain it was built with.\n  Example: fireflygate version\n"
+	return "version\n  Prints the version and the Go toolchain of the build.\n  Example: fireflygate version\n"
 }
 func (*versionCommand) SetFlags(*flag.FlagSet) {}
 
@@ -23,7 +23,7 @@
 	return ExitOK
 }
 
-// Version returns the program's version and toolchain.
+// Version returns the program's version, VCS revision and Go toolchain.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cli/versions.go
+++ b/cli/versions.go
@@ -16,7 +16,7 @@
 func (*versionsCommand) Synopsis() string { return "list accepted configurations" }
 func (*versionsCommand) Usage() string {
 	return `versions [-to URL] [-json]
-  Lists accepted configurations, newest first, with what each changed.
+  Lists accepted configurations, newest first, with the keys that each changed.
   Example: fireflygate versions
 `
 }
