--- a/cmd/fireflygate-edge/check.go
+++ b/cmd/fireflygate-edge/check.go
@@ -11,14 +11,14 @@
 	"github.com/fireflygate/fireflygate/platform"
 )
 
-// checkCommand checks a settings file.
+// checkCommand validates settings files.
 type checkCommand struct{}
 
 // Name implements subcommands.Command.
 func (*checkCommand) Name() string { return "check" }
 
 // Synopsis implements subcommands.Command.
-func (*checkCommand) Synopsis() string { return "check a settings file of the platform" }
+func (*checkCommand) Synopsis() string { return "validate settings files of the platform" }
 
 // Usage implements subcommands.Command.
 func (*checkCommand) Usage() string { return "check FILE...\n" }
@@ -29,7 +29,7 @@
 // Execute implements subcommands.Command.
 func (*checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() == 0 {
-		fmt.Fprintln(os.Stderr, "check: no file named")
+		fmt.Fprintln(os.Stderr, "check: no settings file given")
 		return subcommands.ExitUsageError
 	}
 	status := subcommands.ExitSuccess
--- a/cmd/fireflygate-edge/explainday.go
+++ b/cmd/fireflygate-edge/explainday.go
@@ -12,8 +12,8 @@
 	"github.com/fireflygate/fireflygate/trace"
 )
 
-// explainDayCommand tells where the time of jobs that missed their objective
-// went, from log lines.
+// explainDayCommand reports from log lines how jobs that missed their objective
+// spent their time.
 type explainDayCommand struct{}
 
 // Name implements subcommands.Command.
@@ -21,12 +21,12 @@
 
 // Synopsis implements subcommands.Command.
 func (*explainDayCommand) Synopsis() string {
-	return "tell from hosts' log lines why jobs missed their objectives, and what bound the owner"
+	return "report from hosts' log lines why jobs missed their objectives, and the owner's bottlenecks"
 }
 
 // Usage implements subcommands.Command.
 func (*explainDayCommand) Usage() string {
-	return "explain-day [FILE...]\nReads standard input without files. Exit code 1 if no line tells of a job.\n"
+	return "explain-day [FILE...]\nReads standard input if no file is given. Exits 1 if no line is about a job.\n"
 }
 
 // SetFlags implements subcommands.Command.
--- a/cmd/fireflygate-edge/main.go
+++ b/cmd/fireflygate-edge/main.go
@@ -1,4 +1,4 @@
-// Command fireflygate-edge is an entry host on the users' platform.
+// Command fireflygate-edge runs an entry host on the users' platform.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	subcommands.Register(&traceCommand{}, "")
 	subcommands.Register(&explainDayCommand{}, "")
 	flag.Parse()
-	// A caller that goes away mustn't end the process.
+	// A write to a closed pipe returns an error instead of ending the process.
 	signal.Ignore(syscall.SIGPIPE)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/cmd/fireflygate-edge/serve.go
+++ b/cmd/fireflygate-edge/serve.go
@@ -25,8 +25,8 @@
 	without  string
 }
 
-// logFlush is how long the end of the process waits for log lines to drain:
-// short beside the second that a stop keeps for ending the process.
+// logFlush bounds the wait for buffered log lines at exit. It is much shorter
+// than the second that a stop reserves for the end of the process.
 const logFlush = 200 * time.Millisecond
 
 // Name implements subcommands.Command.
@@ -43,9 +43,9 @@
 // SetFlags implements subcommands.Command.
 func (c *serveCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.settings, "settings", os.Getenv(platform.SettingsVariable), "the platform's settings file")
-	f.TextVar(&c.level, "log", slog.LevelInfo, "least severity that is logged")
-	f.IntVar(&c.lines, "log-lines", logsink.DefaultLinesPerSecond, "lines a second; changes of what the host believes have a quarter more")
-	f.StringVar(&c.without, "without", "", "parts of the scheduling policy to leave out, for experiments: "+strings.Join(mechanism.Names(), ", "))
+	f.TextVar(&c.level, "log", slog.LevelInfo, "minimum level that is logged")
+	f.IntVar(&c.lines, "log-lines", logsink.DefaultLinesPerSecond, "log lines per second; domain events have a quarter more")
+	f.StringVar(&c.without, "without", "", "parts of the scheduling policy to disable, for experiments: "+strings.Join(mechanism.Names(), ", "))
 }
 
 // Execute implements subcommands.Command.
@@ -80,7 +80,7 @@
 	return subcommands.ExitSuccess
 }
 
-// logDropped says how many lines are missing from the log.
+// logDropped logs the number of dropped lines.
 func logDropped(log *slog.Logger, overBudget, queueFull int64) {
 	event.LogLinesDropped.Log(log, slog.Int64("over_budget", overBudget), slog.Int64("queue_full", queueFull))
 }
--- a/cmd/fireflygate-edge/serve_test.go
+++ b/cmd/fireflygate-edge/serve_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/subcommands"
 )
 
-// validSettings pass the check; nothing is started with them.
+// validSettings are settings that pass validation.
 const validSettings = `
 node_name = "edge-1"
 orders = "invoke"
@@ -27,8 +27,8 @@
 form = "table"
 `
 
-// TestServeRefusesWrongFlags ends with the exit code of a wrong call, before
-// anything is started.
+// TestServeRefusesWrongFlags checks that invalid flags are reported as a usage
+// error.
 func TestServeRefusesWrongFlags(t *testing.T) {
 	settings := filepath.Join(t.TempDir(), "local.toml")
 	if err := os.WriteFile(settings, []byte(validSettings), 0o600); err != nil {
--- a/cmd/fireflygate-edge/trace.go
+++ b/cmd/fireflygate-edge/trace.go
@@ -13,18 +13,18 @@
 	"github.com/fireflygate/fireflygate/trace"
 )
 
-// traceCommand tells the story of one job from log lines.
+// traceCommand prints the timeline of one job from log lines.
 type traceCommand struct{}
 
 // Name implements subcommands.Command.
 func (*traceCommand) Name() string { return "trace" }
 
 // Synopsis implements subcommands.Command.
-func (*traceCommand) Synopsis() string { return "tell the story of one job from hosts' log lines" }
+func (*traceCommand) Synopsis() string { return "print the timeline of one job from hosts' log lines" }
 
 // Usage implements subcommands.Command.
 func (*traceCommand) Usage() string {
-	return "trace ID [FILE...]\nReads standard input without files. Exit code 1 if no line is about the job.\n"
+	return "trace ID [FILE...]\nReads standard input if no file is given. Exits 1 if no line is about the job.\n"
 }
 
 // SetFlags implements subcommands.Command.
@@ -33,7 +33,7 @@
 // Execute implements subcommands.Command.
 func (*traceCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() == 0 {
-		fmt.Fprintln(os.Stderr, "trace: no job named")
+		fmt.Fprintln(os.Stderr, "trace: no job id given")
 		return subcommands.ExitUsageError
 	}
 	records, unread, err := readLogs(f.Args()[1:])
@@ -53,7 +53,8 @@
 	return subcommands.ExitSuccess
 }
 
-// readLogs reads the files, or standard input if there are none.
+// readLogs reads the log records of the files, or of standard input if paths is
+// empty. It also returns the number of lines that aren't log records.
 func readLogs(paths []string) (all []trace.Record, unread int, err error) {
 	if len(paths) == 0 {
 		return trace.Read(os.Stdin)
@@ -69,12 +70,11 @@
 	return all, unread, nil
 }
 
-// readLog reads one file.
 func readLog(path string) ([]trace.Record, int, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "open log")
 	}
-	defer func(c io.Closer) { _ = c.Close() }(file) // only read
+	defer func(c io.Closer) { _ = c.Close() }(file) // opened for reading only
 	return trace.Read(file)
 }
--- a/cmd/fireflygate-standin/main.go
+++ b/cmd/fireflygate-standin/main.go
@@ -1,5 +1,5 @@
-// Command fireflygate-standin runs stand-ins for the platform, endpoints and
-// workers, for tests and the demonstration.
+// Command fireflygate-standin runs stand-ins for the platform's services, the
+// endpoints and the workers, for tests and demonstrations.
 package main
 
 import (
--- a/cmd/fireflygate-standin/serve.go
+++ b/cmd/fireflygate-standin/serve.go
@@ -18,7 +18,7 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// serve is the subcommand that runs the stand-ins until a signal.
+// serve is the subcommand that runs the stand-ins until SIGINT or SIGTERM.
 type serve struct {
 	config     string
 	records    string
@@ -28,17 +28,17 @@
 func (*serve) Name() string     { return "serve" }
 func (*serve) Synopsis() string { return "run the stand-ins until SIGTERM" }
 func (*serve) Usage() string {
-	return "serve [flags]\n\tPrints the addresses as one line of JSON on standard output.\n"
+	return "serve [flags]\n\tPrints the addresses as one line of JSON to standard output.\n"
 }
 
-// SetFlags declares the flags.
+// SetFlags implements subcommands.Command.
 func (s *serve) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&s.config, "config", "", "TOML file of the surrounding; a small one if empty")
-	f.StringVar(&s.records, "records", "", "file for the records, one JSON object a line")
+	f.StringVar(&s.config, "config", "", "TOML file with the site's configuration; a small site by default")
+	f.StringVar(&s.records, "records", "", "file to write the records to, one JSON object per line")
 	f.StringVar(&s.entryHosts, "entry-hosts", "", `JSON list such as [{"name":"a","peer":"127.0.0.1:7001","zone":"z"}]`)
 }
 
-// Execute runs the subcommand.
+// Execute implements subcommands.Command.
 func (s *serve) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	log := slog.New(slog.NewJSONHandler(os.Stderr, nil))
 	if err := s.run(ctx, os.Stdout, log); err != nil {
@@ -76,7 +76,8 @@
 	return nil
 }
 
-// load reads the file over the defaults, and the entry hosts.
+// load returns the configuration: the defaults, overridden by the -config file
+// and -entry-hosts.
 func (s *serve) load() (standin.Config, error) {
 	config := standin.DefaultConfig()
 	if s.config != "" {
--- a/cmd/fireflygate/main.go
+++ b/cmd/fireflygate/main.go
@@ -1,5 +1,5 @@
-// Command fireflygate is the scheduler's one program: an entry host
-// (`serve`), the operators' commands, a demonstration and a load generator.
+// Command fireflygate runs an entry host (`serve`) and provides the operators'
+// commands, a demonstration and a load generator.
 package main
 
 import (
--- a/demo/callers.go
+++ b/demo/callers.go
@@ -10,10 +10,9 @@
 	"github.com/fireflygate/fireflygate/load"
 )
 
-// Traffic of the callers.
 const (
-	// baseRate is requests a second; at the event's start burstFactor times
-	// as many come for burstLength.
+	// baseRate is the number of requests per second. At the event's start the
+	// rate is burstFactor times as high for burstLength.
 	baseRate    = 250.0
 	burstFactor = 8
 	burstLength = time.Second
@@ -23,7 +22,7 @@
 	callTimeout = time.Second
 )
 
-// callers sends the callers' traffic and records each request.
+// callers sends the callers' traffic and records each request and its result.
 func callers(ctx context.Context, o Options, b *balancer, names map[string]string, recorder *check.Recorder, burst time.Duration) load.Summary {
 	return load.Run(ctx, load.Config{
 		Targets: b.targets,
--- a/demo/doc.go
+++ b/demo/doc.go
@@ -1,4 +1,4 @@
 // Package demo runs a small site in one process: stand-ins for the platform,
 // endpoints and workers, three entry hosts, callers and jobs. It checks the
-// promises on what the stand-ins and the callers recorded.
+// scheduler's promises against the records of the stand-ins and the callers.
 package demo
--- a/demo/host.go
+++ b/demo/host.go
@@ -24,12 +24,12 @@
 	gate      *gate.Gate
 	listeners gate.Listeners
 	stop      context.CancelFunc
-	// ended is closed when Run has returned; err is what it returned.
+	// ended is closed when Run has returned err.
 	ended chan struct{}
 	err   error
 }
 
-// newHost builds an entry host and opens its ports on loopback.
+// newHost returns an entry host that listens on free loopback ports.
 func newHost(s settings.Settings, p *standin.Platform, log *slog.Logger) (*host, error) {
 	const anyPort = "127.0.0.1:0"
 	s.Host.Listen, s.Host.Operators, s.Host.Peer = anyPort, anyPort, anyPort
@@ -54,8 +54,9 @@
 }
 
 func depsOf(p *standin.Platform, s settings.Settings, log *slog.Logger) gate.Deps {
-	// Idle connections are bounded for each address only: a worker is asked
-	// every second, and a bound on all would open a connection for each.
+	// There is no limit on all idle connections: workers are polled frequently,
+	// and a host with more workers than the limit would open a new connection for
+	// each poll.
 	const idleConns = 64
 	transport := &http.Transport{MaxIdleConnsPerHost: idleConns, IdleConnTimeout: time.Minute}
 	client := &http.Client{Transport: transport, Timeout: s.Platform.Timeout.D()}
@@ -71,7 +72,7 @@
 	}
 }
 
-// start runs the host until stop is called or it drains.
+// start runs the host in the background until stop is called or it drains.
 func (h *host) start(ctx context.Context) {
 	ctx, h.stop = context.WithCancel(ctx)
 	go func() {
@@ -80,7 +81,7 @@
 	}()
 }
 
-// drain stops the host as planned and waits until it has ended.
+// drain stops the host and waits until its drain has ended.
 func (h *host) drain(recorder *check.Recorder) error {
 	recorder.Add(check.Record{DrainBegan: &check.DrainBegan{Host: h.name}})
 	h.stop()
@@ -89,13 +90,13 @@
 	return errors.Wrap(h.err, h.name)
 }
 
-// balancer is what the platform's balancer knows: the hosts that are ready.
+// balancer stands in for the platform's balancer; it holds the ready hosts.
 type balancer struct {
 	mu    sync.Mutex
 	hosts []*host
 }
 
-// targets returns the callers' URLs of the hosts in the balancer.
+// targets returns the base URLs for callers of the hosts in the balancer.
 func (b *balancer) targets() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -106,15 +107,15 @@
 	return out
 }
 
-// remove takes a host out, as a balancer does that sees it not ready.
+// remove removes a host, as a balancer does with one that isn't ready.
 func (b *balancer) remove(h *host) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var left []*host
-	for _, one := range b.hosts {
-		if one != h {
-			left = append(left, one)
+	var remaining []*host
+	for _, other := range b.hosts {
+		if other != h {
+			remaining = append(remaining, other)
 		}
 	}
-	b.hosts = left
+	b.hosts = remaining
 }
--- a/demo/jobs.go
+++ b/demo/jobs.go
@@ -16,16 +16,16 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// Work that operators submit.
 const (
-	// agents are the service's own tasks, which run beside batch.
-	agents = 16
-	// eventJobs are due by the event's start.
+	// serviceTasks is the number of the service's own tasks, which share the workers
+	// with batch tasks.
+	serviceTasks = 16
+	// eventJobs is the number of jobs due by the event's start.
 	eventJobs = 24
 	// batchGap is the time between two background jobs.
 	batchGap = 40 * time.Millisecond
-	// submitTimeout bounds one submission, resubmitAfter is the wait before
-	// it is sent again under the same key.
+	// submitTimeout bounds one submission. resubmitAfter is the wait before it
+	// is repeated with the same key.
 	submitTimeout = 2 * time.Second
 	resubmitAfter = 100 * time.Millisecond
 )
@@ -35,7 +35,7 @@
 	balancer *balancer
 	rng      *rand.Rand
 	client   *http.Client
-	// submitted counts jobs that were acknowledged.
+	// submitted is the number of acknowledged jobs.
 	submitted int
 	eventIDs  map[string]bool
 }
@@ -49,11 +49,11 @@
 	}
 }
 
-// run submits the service's tasks, the event's work, and then background jobs
+// run submits the service's tasks, the event's jobs, and then background jobs
 // until ctx ends.
 func (s *submitter) run(ctx context.Context) {
-	for i := range agents {
-		s.submit(ctx, s.agent(i))
+	for i := range serviceTasks {
+		s.submit(ctx, s.serviceTask(i))
 	}
 	for i := range eventJobs {
 		if id, ok := s.submit(ctx, s.eventJob(i)); ok {
@@ -72,8 +72,8 @@
 	}
 }
 
-// submit sends a job until it is acknowledged: under the same key it is the
-// same job, however often it is sent.
+// submit submits a job until it is acknowledged. The idempotency key prevents
+// duplicates.
 func (s *submitter) submit(ctx context.Context, spec *jobs.JobSpec) (string, bool) {
 	for ctx.Err() == nil {
 		targets := s.balancer.targets()
@@ -95,15 +95,15 @@
 	return jobsclient.NewClient(u.Scheme, u.Host, s.client, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 }
 
-// agent is a standing, latency-critical task of the service.
-func (s *submitter) agent(i int) *jobs.JobSpec {
+// serviceTask returns a latency-critical job of the service that runs until cancelled.
+func (s *submitter) serviceTask(i int) *jobs.JobSpec {
 	return &jobs.JobSpec{
 		Key: fmt.Sprintf("agent-%d", i), Team: teams[2], Class: serviceClass, Qos: string(task.LatencyCritical),
 		Resources: &jobs.ResourceList{MilliCPU: 4000, MemoryMb: 8000},
 	}
 }
 
-// eventJob is work that is due by the event's start.
+// eventJob returns a batch job that is due by the event's start.
 func (s *submitter) eventJob(i int) *jobs.JobSpec {
 	event, run := eventName, int64(300+s.rng.IntN(900))
 	return &jobs.JobSpec{
@@ -112,7 +112,7 @@
 	}
 }
 
-// background is a batch job of any team and class.
+// background returns a batch job of a random team and class.
 func (s *submitter) background(i int) *jobs.JobSpec {
 	run := int64(200 + s.rng.IntN(2000))
 	urgent := s.rng.IntN(20) == 0
--- a/demo/options.go
+++ b/demo/options.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Options is what to run.
+// Options configures a run.
 type Options struct {
 	// Duration is how long callers send requests.
 	Duration time.Duration
-	// Seed makes arrivals, sizes and choices of callers repeatable.
+	// Seed seeds random arrivals, sizes and choices.
 	Seed uint64
-	// Progress takes a line now and then; nil for none.
+	// Progress receives lines about the progress of the run; nil for none.
 	Progress io.Writer
-	// Log takes the entry hosts' events.
+	// Log receives the entry hosts' events.
 	Log *slog.Logger
 }
--- a/demo/result.go
+++ b/demo/result.go
@@ -8,39 +8,40 @@
 	"github.com/fireflygate/fireflygate/check"
 )
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
-	// Violations counts breaches of promises; Breaches says what they were.
+	// Violations is the number of broken promises; Breaches describes them.
 	Violations int      `json:"violations"`
 	Breaches   []string `json:"breaches,omitempty"`
-	// Promises are the promises that were checked, on Records records.
+	// Promises are the checked promises; Records is the number of records.
 	Promises []check.Promise `json:"promises"`
 	Records  int             `json:"records"`
 	Answered int64           `json:"answered"`
 	NotRun   int64           `json:"not_run"`
 	Unknown  int64           `json:"unknown"`
-	// Reasons counts calls without an answer by what was said of them.
+	// Reasons counts calls without an answer by outcome and reason.
 	Reasons map[string]int64 `json:"reasons,omitempty"`
 	P50MS   float64          `json:"p50_ms"`
 	P99MS   float64          `json:"p99_ms"`
-	// TasksDone counts jobs whose run ended done on a worker.
+	// TasksDone is the number of jobs with a run that finished on a worker.
 	TasksDone    int `json:"tasks_done"`
 	Evictions    int `json:"evictions"`
 	EventsMet    int `json:"events_met"`
 	EventsMissed int `json:"events_missed"`
-	// JobsSubmitted counts jobs that were acknowledged.
+	// JobsSubmitted is the number of acknowledged jobs.
 	JobsSubmitted int `json:"jobs_submitted"`
 }
 
-// Judge returns a result that holds what the checks found in a history.
+// CheckHistory checks the promises against a history. Only the fields about
+// promises and records are set in the result.
 func CheckHistory(records []check.Record) Result {
 	var r Result
-	r.breaches(check.Run(records))
+	r.setReport(check.Run(records))
 	return r
 }
 
-// breaches keeps what the checks found.
-func (r *Result) breaches(report check.Report) {
+// setReport sets the fields about promises and records from a report.
+func (r *Result) setReport(report check.Report) {
 	r.Violations = len(report.Violations)
 	for _, v := range report.Violations {
 		r.Breaches = append(r.Breaches, fmt.Sprintf("%s: %s", v.Promise, v.Detail))
--- a/demo/run.go
+++ b/demo/run.go
@@ -20,7 +20,7 @@
 	"github.com/fireflygate/fireflygate/standin/httpclient"
 )
 
-// When things happen, as parts of the run's duration.
+// Times of the script's steps as fractions of the run's duration.
 const (
 	configAt = 0.2
 	leaveAt  = 0.35
@@ -28,10 +28,10 @@
 	drainAt  = 0.65
 )
 
-// readyTimeout bounds the wait for the hosts to become ready.
+// readyTimeout bounds the wait until all shards have an owner.
 const readyTimeout = 20 * time.Second
 
-// finishTimeout bounds the wait for jobs after the callers have stopped.
+// finishTimeout bounds the wait for submitted jobs after the callers have stopped.
 const finishTimeout = 10 * time.Second
 
 // site is a running demo.
@@ -44,12 +44,12 @@
 	watchers sync.WaitGroup
 	// eventStart is when the event starts.
 	eventStart time.Time
-	// policy is what the hosts have in force at first.
+	// policy is the policy that the hosts start with.
 	policy settings.Settings
 }
 
-// Run runs the demo and checks what was recorded. The error is for what could
-// not be run; breaches of promises are in the result.
+// Run runs the demo and checks its records. Broken promises are part of the
+// result; an error means that the demo could not run to its end.
 func Run(ctx context.Context, o Options) (Result, error) {
 	s := &site{options: o, recorder: check.NewRecorder(nil), balancer: &balancer{}}
 	defer s.close()
@@ -63,7 +63,7 @@
 	work.Go(func() { jobs.run(jobsCtx) })
 	var scriptErr error
 	work.Go(func() { scriptErr = s.script(ctx) })
-	summary := callers(ctx, o, s.balancer, s.names(), s.recorder, part(o.Duration, burstAt))
+	summary := callers(ctx, o, s.balancer, s.hostNames(), s.recorder, fraction(o.Duration, burstAt))
 	stopJobs()
 	work.Wait()
 	if err := errors.CombineErrors(scriptErr, s.finish(ctx, jobs)); err != nil {
@@ -75,13 +75,13 @@
 // start starts the stand-ins and the entry hosts, and waits until all are
 // ready and the shards have owners.
 func (s *site) start(ctx context.Context) error {
-	p, err := standin.Start(surroundings(s.options.Seed, s.recorder))
+	p, err := standin.Start(standinConfig(s.options.Seed, s.recorder))
 	if err != nil {
 		return err
 	}
 	s.platform = p
-	s.say("stand-ins: %d endpoints of %s, %d workers, table, objects, members", len(p.Endpoints), service, len(p.Workers))
-	s.eventStart = time.Now().Add(2*time.Second + part(s.options.Duration, burstAt))
+	s.progressf("stand-ins: %d endpoints of %s, %d workers, table, objects, members", len(p.Endpoints), service, len(p.Workers))
+	s.eventStart = time.Now().Add(2*time.Second + fraction(s.options.Duration, burstAt))
 	for i := range hostCount {
 		s.policy = hostSettings(fmt.Sprintf("gate-%d", i+1), zones[i%len(zones)], s.eventStart)
 		h, err := newHost(s.policy, p, s.options.Log)
@@ -98,7 +98,7 @@
 	if err := s.waitReady(ctx); err != nil {
 		return err
 	}
-	s.say("%d entry hosts ready; event %s starts in %.1f s", len(s.hosts), eventName, time.Until(s.eventStart).Seconds())
+	s.progressf("%d entry hosts ready; event %s starts in %.1f s", len(s.hosts), eventName, time.Until(s.eventStart).Seconds())
 	return nil
 }
 
@@ -118,42 +118,43 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.New("the shards did not all find an owner in time")
+			return errors.New("timed out waiting until all shards have an owner")
 		case <-ticker.C:
 		}
 	}
 }
 
-// script brings about what the demo shows, each at its time.
+// script applies a configuration, marks an endpoint as leaving and drains an
+// entry host, each at its time.
 func (s *site) script(ctx context.Context) error {
 	start := time.Now()
-	if !until(ctx, start.Add(part(s.options.Duration, configAt))) {
+	if !waitUntil(ctx, start.Add(fraction(s.options.Duration, configAt))) {
 		return ctx.Err()
 	}
 	if err := s.applyConfig(ctx); err != nil {
 		return err
 	}
-	if !until(ctx, start.Add(part(s.options.Duration, leaveAt))) {
+	if !waitUntil(ctx, start.Add(fraction(s.options.Duration, leaveAt))) {
 		return ctx.Err()
 	}
 	leaving := s.platform.Endpoints[0].Name()
 	s.platform.Members.SetState(leaving, infra.Leaving)
-	s.say("endpoint %s is leaving", leaving)
-	if !until(ctx, start.Add(part(s.options.Duration, drainAt))) {
+	s.progressf("endpoint %s is leaving", leaving)
+	if !waitUntil(ctx, start.Add(fraction(s.options.Duration, drainAt))) {
 		return ctx.Err()
 	}
 	h := s.hosts[len(s.hosts)-1]
-	s.say("draining entry host %s", h.name)
+	s.progressf("draining entry host %s", h.name)
 	s.balancer.remove(h)
 	began := time.Now()
 	if err := h.drain(s.recorder); err != nil {
 		return err
 	}
-	s.say("%s drained in %.1f s", h.name, time.Since(began).Seconds())
+	s.progressf("%s drained in %.1f s", h.name, time.Since(began).Seconds())
 	return nil
 }
 
-// applyConfig accepts a new configuration, as an operator's apply does.
+// applyConfig applies a changed configuration, as an operator does.
 func (s *site) applyConfig(ctx context.Context) error {
 	next := s.policy
 	next.Calls.Queue *= 2
@@ -168,23 +169,23 @@
 	}
 	r := store.Apply(ctx, configstore.Change{Base: 0, Author: "demo", Content: content})
 	if r.Status != configstore.Accepted {
-		return errors.Newf("the configuration was not accepted: %v", r.Err)
+		return errors.Newf("apply configuration: not accepted: %v", r.Err)
 	}
 	s.recorder.Add(check.Record{ConfigAccepted: &check.ConfigAccepted{Version: r.Head.Version}})
-	s.say("configuration %d accepted: %s", r.Head.Version, strings.Join(r.ChangedKeys[:min(3, len(r.ChangedKeys))], " "))
+	s.progressf("configuration %d accepted: %s", r.Head.Version, strings.Join(r.ChangedKeys[:min(3, len(r.ChangedKeys))], " "))
 	return nil
 }
 
-// finish waits for the jobs that were acknowledged, for a while, and drains
-// the hosts that are left.
+// finish waits up to finishTimeout for the acknowledged jobs and drains the
+// remaining hosts.
 func (s *site) finish(ctx context.Context, jobs *submitter) error {
-	s.say("callers done; waiting for jobs")
+	s.progressf("callers done; waiting for jobs")
 	deadline := time.Now().Add(finishTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		if len(tallyOf(s.recorder.Records()).done) >= jobs.submitted-agents {
+		if len(countRuns(s.recorder.Records()).done) >= jobs.submitted-serviceTasks {
 			break
 		}
-		until(ctx, time.Now().Add(watchInterval))
+		waitUntil(ctx, time.Now().Add(watchInterval))
 	}
 	var err error
 	for _, h := range s.hosts[:len(s.hosts)-1] {
@@ -197,7 +198,7 @@
 
 func (s *site) result(summary load.Summary, jobs *submitter) Result {
 	records := s.recorder.Records()
-	t := tallyOf(records)
+	t := countRuns(records)
 	r := CheckHistory(records)
 	r.Answered, r.NotRun, r.Unknown, r.Reasons = summary.Answered, summary.NotRun, summary.Unknown, summary.Reasons
 	r.P50MS, r.P99MS = summary.P50MS, summary.P99MS
@@ -210,8 +211,8 @@
 	return r
 }
 
-// names returns the hosts' names by their callers' URL.
-func (s *site) names() map[string]string {
+// hostNames returns the hosts' names by their base URL for callers.
+func (s *site) hostNames() map[string]string {
 	out := map[string]string{}
 	for _, h := range s.hosts {
 		out[h.callers] = h.name
@@ -219,7 +220,7 @@
 	return out
 }
 
-// close ends whatever still runs, after a failure.
+// close stops the hosts that still run and the stand-ins.
 func (s *site) close() {
 	for _, h := range s.hosts {
 		if h.stop != nil {
@@ -234,18 +235,18 @@
 	}
 }
 
-func (s *site) say(format string, args ...any) {
+func (s *site) progressf(format string, args ...any) {
 	if s.options.Progress != nil {
 		_, _ = fmt.Fprintf(s.options.Progress, format+"\n", args...)
 	}
 }
 
-// part returns a share of a duration.
-func part(d time.Duration, share float64) time.Duration {
+// fraction returns a fraction of a duration.
+func fraction(d time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(d))
 }
 
-// until waits until at; false when ctx ended first.
-func until(ctx context.Context, at time.Time) bool {
+// waitUntil waits until at; it returns false if ctx ended first.
+func waitUntil(ctx context.Context, at time.Time) bool {
 	return pause.For(ctx, time.Until(at))
 }
--- a/demo/outcome.go
+++ b/demo/runcounts.go
@@ -7,16 +7,16 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// tally is what the workers' records say of jobs.
-type tally struct {
-	// done is when each job's run ended done.
+// runCounts summarizes the workers' records of runs.
+type runCounts struct {
+	// done is the time at which each finished job ended.
 	done      map[string]time.Time
 	evictions int
 }
 
-// tallyOf reads the records of workers.
-func tallyOf(records []check.Record) tally {
-	t := tally{done: map[string]time.Time{}}
+// countRuns returns the counts for a history.
+func countRuns(records []check.Record) runCounts {
+	t := runCounts{done: map[string]time.Time{}}
 	for _, r := range records {
 		switch {
 		case r.RunEnded == nil:
@@ -29,8 +29,8 @@
 	return t
 }
 
-// met reports whether all the jobs were done by the time.
-func (t tally) met(jobs map[string]bool, by time.Time) bool {
+// met reports whether there are jobs and all of them were done by the given time.
+func (t runCounts) met(jobs map[string]bool, by time.Time) bool {
 	for id := range jobs {
 		at, ok := t.done[id]
 		if !ok || at.After(by) {
--- a/demo/site.go
+++ b/demo/site.go
@@ -8,12 +8,12 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// The site is Bergamo's, scaled down.
+// The site is a scaled-down model of the Bergamo site.
 const (
 	region    = "bergamo"
 	service   = "dispatch"
 	hostCount = 3
-	// eventName is the named start in the middle of the run.
+	// eventName is the event that starts in the middle of the run.
 	eventName = "morning-rounds"
 	// serviceClass is the class of the service's own tasks on workers.
 	serviceClass = "dispatch-agent"
@@ -22,13 +22,13 @@
 var (
 	zones = []string{"citta-alta", "borgo-palazzo", "longuelo", "colognola"}
 	teams = []string{"rounds", "rosters", "offices"}
-	// batchClasses are the job classes, quiet and noisy.
+	// batchClasses are the batch job classes.
 	batchClasses = []string{"route-plan", "roster", "archive"}
 )
 
-// surroundings returns the stand-ins' configuration. Sizes, run times and who
-// hurts whom differ from what jobs declare.
-func surroundings(seed uint64, recorder *check.Recorder) standin.Config {
+// standinConfig returns the configuration of the stand-ins. Actual sizes and run
+// times of jobs differ from the declared ones, and some classes slow others down.
+func standinConfig(seed uint64, recorder *check.Recorder) standin.Config {
 	c := standin.DefaultConfig()
 	c.Region, c.Zones, c.Recorder = region, zones, recorder
 	c.Services = []standin.ServiceConfig{{
@@ -48,8 +48,8 @@
 	return c
 }
 
-// hostSettings returns what an entry host's folder would say. Leases are
-// short, so that a run of seconds shows a hand-over.
+// hostSettings returns the settings of an entry host. Its leases are short enough
+// for a handover within seconds.
 func hostSettings(name, zone string, eventStart time.Time) settings.Settings {
 	s := settings.Default()
 	s.Host.Name, s.Host.Region, s.Host.Zone = name, region, zone
--- a/demo/watch.go
+++ b/demo/watch.go
@@ -13,11 +13,11 @@
 	"github.com/fireflygate/fireflygate/gen/operations"
 )
 
-// watchInterval is how often each host's status is asked for.
+// watchInterval is the interval between two status requests to a host.
 const watchInterval = 100 * time.Millisecond
 
-// watchConfig records the configuration version that a host reports, as an
-// operator would see it, until the host ends.
+// watchConfig records the configuration version in a host's status until the host
+// ends.
 func watchConfig(ctx context.Context, h *host, recorder *check.Recorder) {
 	u, err := url.Parse(h.operators)
 	if err != nil {
--- a/load/config.go
+++ b/load/config.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Config is what traffic to send.
+// Config configures the traffic.
 type Config struct {
-	// Targets are base URLs of entry hosts; requests go to them in turn, as
-	// the platform's balancer would send them.
+	// Targets returns the base URLs of the entry hosts. Requests are sent to them
+	// round-robin, as by the platform's balancer.
 	Targets func() []string
-	// Service and Path are what is called.
+	// Service and Path are the called service and the path below it.
 	Service string
 	Path    string
-	// Rate is requests a second, as a function of the time since the start.
+	// Rate returns the requests per second at a time since the start.
 	Rate func(since time.Duration) float64
-	// Duration is how long to send.
+	// Duration is how long to send requests.
 	Duration time.Duration
-	// Bookings is the share of requests that carry an idempotency key; each
-	// of them is sent a second time with probability Repeat.
+	// BookingShare is the share of requests that have an idempotency key. Each of
+	// them is sent a second time with probability RepeatProbability.
 	BookingShare      float64
 	RepeatProbability float64
 	// Timeout is the deadline of a request.
 	Timeout time.Duration
-	// MaxInFlight bounds unanswered requests. A request that would exceed it
-	// is counted as skipped, as is one that was due while the sender itself
-	// stood still; none is sent late.
+	// MaxInFlight bounds requests in flight. A request that would exceed it is
+	// skipped, as is one that was due while the sender was paused.
 	MaxInFlight int
-	// Seed makes arrivals and choices repeatable.
+	// Seed seeds random arrivals and choices.
 	Seed uint64
-	// Prepare, if set, may change each request before it is sent, from many
-	// goroutines.
+	// Prepare, if not nil, is called with each request before it is sent and may
+	// modify it. Calls are concurrent.
 	Prepare func(*http.Request, Exchange)
-	// Observe is called with each finished request, from many goroutines.
+	// Observe, if not nil, is called with each finished request. Calls are
+	// concurrent.
 	Observe func(Exchange)
 }
--- a/load/exchange.go
+++ b/load/exchange.go
@@ -7,7 +7,7 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// Exchange is one request and what became of it.
+// Exchange is a request and its result.
 type Exchange struct {
 	// ID is unique among requests.
 	ID string
@@ -16,7 +16,8 @@
 	// Key is the idempotency key, if any.
 	Key  string
 	Body []byte
-	// Due is when the request was to be sent; Sent when it was.
+	// Due is when the request should be sent, Sent when it was sent and Done when
+	// the response or an error was received.
 	Due, Sent, Done time.Time
 	Outcome         outcome.Kind
 	Status          int
@@ -24,6 +25,6 @@
 	Reason string
 	Header http.Header
 	Answer []byte
-	// Retried is set on the second sending of a booking.
+	// Retried is set for a booking that is sent a second time.
 	Retried bool
 }
--- a/load/run.go
+++ b/load/run.go
@@ -11,39 +11,41 @@
 	"github.com/fireflygate/fireflygate/internal/standstill"
 )
 
-// runner sends one Config's traffic.
+// runner sends the traffic of one Config.
 type runner struct {
-	config Config
-	client *http.Client
-	mu     sync.Mutex // guards tally
-	tally  *tally
-	wg     sync.WaitGroup
-	slots  chan struct{}
+	config     Config
+	client     *http.Client
+	mu         sync.Mutex // guards summarizer
+	summarizer *summarizer
+	wg         sync.WaitGroup
+	slots      chan struct{}
 }
 
-// Run sends the traffic and waits for every answer.
+// Run sends the traffic, waits for all responses and returns the summary. When
+// ctx ends it sends no more requests.
 func Run(ctx context.Context, c Config) Summary {
 	r := &runner{
-		config: c,
-		client: newClient(c),
-		tally:  newTally(),
-		slots:  make(chan struct{}, c.MaxInFlight),
+		config:     c,
+		client:     newClient(c),
+		summarizer: newSummarizer(),
+		slots:      make(chan struct{}, c.MaxInFlight),
 	}
 	r.send(ctx)
 	r.wg.Wait()
 	r.client.CloseIdleConnections()
-	return r.tally.result()
+	return r.summarizer.result()
 }
 
 func newClient(c Config) *http.Client {
-	// A margin over the deadline, so that the entry host's own answer at the
-	// deadline is seen rather than our timeout.
+	// The client waits longer than the deadline, so that it receives the entry
+	// host's response at the deadline.
 	const margin = 2 * time.Second
 	transport := &http.Transport{MaxIdleConns: c.MaxInFlight, MaxIdleConnsPerHost: c.MaxInFlight}
 	return &http.Client{Transport: transport, Timeout: c.Timeout + margin}
 }
 
-// send starts each request when it is due; gaps are exponential.
+// send launches each request when it is due. Intervals are exponentially
+// distributed.
 func (r *runner) send(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.config.Seed, 0))
 	start := time.Now()
@@ -66,20 +68,20 @@
 	}
 }
 
-// planned is a request that is due, with the target it goes to.
-type planned struct {
+// plannedRequest is a request to be sent to target.
+type plannedRequest struct {
 	exchange Exchange
 	target   string
-	// repeat is set to send it a second time, to the target that pick draws
-	// from those there are by then.
-	repeat bool
-	pick   int
+	// If repeat is set, the request is sent a second time. targetPick, a random
+	// number, selects one of the targets at that time.
+	repeat     bool
+	targetPick int
 }
 
-func (r *runner) request(n int, rng *rand.Rand, due time.Time) planned {
+func (r *runner) request(n int, rng *rand.Rand, due time.Time) plannedRequest {
 	targets := r.config.Targets()
 	id := fmt.Sprintf("%d-%d", r.config.Seed, n)
-	p := planned{
+	p := plannedRequest{
 		exchange: Exchange{ID: id, Due: due},
 		target:   targets[n%len(targets)],
 	}
@@ -87,20 +89,20 @@
 		p.exchange.Key = "booking-" + id
 		p.exchange.Body = []byte(id)
 		if rng.Float64() < r.config.RepeatProbability {
-			p.repeat, p.pick = true, rng.Int()
+			p.repeat, p.targetPick = true, rng.Int()
 		}
 	}
 	return p
 }
 
-// mostLate is how long after it was due a request may be sent. The sender is
-// that late only where it stood still itself; what callers would have sent
-// meanwhile must not come as one burst.
-const mostLate = standstill.MinPause
+// maxLateness is how long after it was due a request may be sent. Later ones are
+// skipped, so that a pause of the sender isn't followed by a burst of overdue
+// requests.
+const maxLateness = standstill.MinPause
 
-// launch sends a request without waiting for earlier ones.
-func (r *runner) launch(ctx context.Context, p planned) {
-	if time.Since(p.exchange.Due) >= mostLate {
+// launch sends a request in the background, or skips it.
+func (r *runner) launch(ctx context.Context, p plannedRequest) {
+	if time.Since(p.exchange.Due) >= maxLateness {
 		r.skip()
 		return
 	}
@@ -116,33 +118,32 @@
 		defer func() { <-r.slots }()
 		r.finish(r.do(ctx, p.exchange, p.target))
 		if p.repeat {
-			again := p.exchange
-			again.Retried = true
-			again.ID += "-again"
-			again.Due = time.Now()
+			repeated := p.exchange
+			repeated.Retried = true
+			repeated.ID += "-again"
+			repeated.Due = time.Now()
 			targets := r.config.Targets()
-			r.finish(r.do(ctx, again, targets[p.pick%len(targets)]))
+			r.finish(r.do(ctx, repeated, targets[p.targetPick%len(targets)]))
 		}
 	}()
 }
 
-// skip counts a request that is not sent.
+// skip counts a skipped request.
 func (r *runner) skip() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tally.summary.Skipped++
+	r.summarizer.summary.Skipped++
 }
 
 func (r *runner) finish(x Exchange) {
 	r.mu.Lock()
-	r.tally.add(x)
+	r.summarizer.add(x)
 	r.mu.Unlock()
 	if r.config.Observe != nil {
 		r.config.Observe(x)
 	}
 }
 
-// do sends one request and reads its whole answer.
 func (r *runner) do(ctx context.Context, x Exchange, target string) Exchange {
 	return Send(ctx, r.client, r.config, x, target)
 }
--- a/load/send.go
+++ b/load/send.go
@@ -13,11 +13,11 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// Send sends one request to a target, as c says, and reads its whole answer.
-// It returns x with what became of it.
+// Send sends request x to a target with the service, path and timeout of c, and
+// reads the whole response. It returns x with the result filled in.
 func Send(ctx context.Context, client *http.Client, c Config, x Exchange, target string) Exchange {
 	url := strings.TrimSuffix(target, "/") + "/call/" + c.Service + "/" + strings.TrimPrefix(c.Path, "/")
-	// The traffic's end does not cut off what was sent.
+	// Requests already sent are not cancelled when the traffic ends.
 	ctx = context.WithoutCancel(ctx)
 	method := http.MethodGet
 	if x.Key != "" {
@@ -27,7 +27,7 @@
 	if err != nil {
 		panic("load: bad target: " + err.Error())
 	}
-	// Without it the client can't send the request a second time by itself.
+	// Without GetBody the client doesn't retry the request by itself.
 	req.GetBody = nil
 	req.Header.Set("Fireflygate-Timeout-Ms", strconv.FormatInt(c.Timeout.Milliseconds(), 10))
 	if x.Key != "" {
@@ -55,7 +55,7 @@
 	return x
 }
 
-// reasonOf returns the title of a problem body.
+// reasonOf returns the title of a problem in a response body.
 func reasonOf(body []byte) string {
 	var p struct {
 		Title string `json:"title"`
--- a/load/summary.go
+++ b/load/summarizer.go
@@ -8,7 +8,8 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// Summary counts requests by outcome, with latency quantiles of the answered.
+// Summary counts requests by outcome. Latencies are of answered requests, in
+// milliseconds.
 type Summary struct {
 	Sent     int64   `json:"sent"`
 	Answered int64   `json:"answered"`
@@ -19,34 +20,34 @@
 	P99MS    float64 `json:"p99_ms"`
 	P999MS   float64 `json:"p999_ms"`
 	MaxMS    float64 `json:"max_ms"`
-	// RefusedP99MS is the 99th percentile of the time to a refusal.
+	// RefusedP99MS is the 99th percentile of the latency of requests not run.
 	RefusedP99MS float64 `json:"refused_p99_ms"`
-	// Reasons counts requests without an answer by what was said of them.
+	// Reasons counts requests without an answer by outcome and reason.
 	Reasons map[string]int64 `json:"reasons,omitempty"`
 }
 
-// maxLatency is the largest latency that the histograms tell apart.
+// maxLatency is the upper limit of the histograms.
 const maxLatency = 10 * time.Minute
 
-// tally adds up exchanges; its owner serializes calls.
-type tally struct {
+// summarizer accumulates exchanges into a Summary. It isn't safe for concurrent
+// use.
+type summarizer struct {
 	summary  Summary
 	answered *hdrhistogram.Histogram
 	refused  *hdrhistogram.Histogram
 }
 
-func newTally() *tally {
+func newSummarizer() *summarizer {
 	const digits = 3
-	return &tally{
+	return &summarizer{
 		summary:  Summary{Reasons: map[string]int64{}},
 		answered: hdrhistogram.New(1, maxLatency.Microseconds(), digits),
 		refused:  hdrhistogram.New(1, maxLatency.Microseconds(), digits),
 	}
 }
 
-// add counts one exchange. Latencies beyond the histogram's range count as
-// its largest.
-func (t *tally) add(x Exchange) {
+// add counts one exchange. Latencies above maxLatency count as maxLatency.
+func (t *summarizer) add(x Exchange) {
 	t.summary.Sent++
 	latency := min(x.Done.Sub(x.Due), maxLatency).Microseconds()
 	switch x.Outcome {
@@ -65,7 +66,7 @@
 }
 
 // result returns the summary with its quantiles.
-func (t *tally) result() Summary {
+func (t *summarizer) result() Summary {
 	s := t.summary
 	s.P50MS = quantile(t.answered, 50)
 	s.P99MS = quantile(t.answered, 99)
