--- a/capacity/doc.go
+++ b/capacity/doc.go
@@ -1,3 +1,3 @@
-// Package capacity holds the benchmarks behind docs/CAPACITY.md that belong to
-// no other package: what the size of a whole site costs one entry host.
+// Package capacity contains the benchmarks of docs/CAPACITY.md that don't belong
+// to a single package. They measure the cost of a site's size for one entry host.
 package capacity
--- a/capacity/members_test.go
+++ b/capacity/members_test.go
@@ -17,19 +17,18 @@
 	"github.com/fireflygate/fireflygate/standin/httpclient"
 )
 
-// site is how many members of each kind a membership list holds.
+// site is the number of members of each kind in a membership list.
 type site struct{ hosts, workers, endpoints int }
 
-// sites are a trial below today's size, Bergamo today, ten times that, and the
-// size to come with one endpoint a worker and with each latency-critical task
-// an endpoint.
+// sites range from a small site to the design size, the latter with one endpoint
+// per worker and with one per latency-critical task.
 var sites = []site{{9, 65, 65}, {20, 650, 650}, {40, 4300, 4300}, {40, 4300, 18000}}
 
 func (s site) String() string {
 	return fmt.Sprintf("%dhosts-%dworkers-%dendpoints", s.hosts, s.workers, s.endpoints)
 }
 
-// list returns the site's membership list over ten zones of four regions.
+// list returns the site's membership list with ten zones in four regions.
 func (s site) list(revision uint64) infra.MemberList {
 	l := infra.MemberList{Revision: revision}
 	add := func(n int, kind infra.MemberKind, name string, fill func(*infra.Member)) {
@@ -53,8 +52,8 @@
 	return l
 }
 
-// BenchmarkMembersUnchanged measures one reading of a list that did not change,
-// from a service that gives entity tags, and finding that it is the same.
+// BenchmarkMembersUnchanged measures reading an unchanged membership list from a
+// service with entity tags, and comparing it with the previous one.
 func BenchmarkMembersUnchanged(b *testing.B) {
 	for _, s := range sites {
 		b.Run(s.String(), func(b *testing.B) {
@@ -86,8 +85,8 @@
 	}
 }
 
-// BenchmarkMembers measures one reading of the membership list over HTTP and
-// the roster that comes of it.
+// BenchmarkMembers measures reading the membership list over HTTP and building
+// the roster from it.
 func BenchmarkMembers(b *testing.B) {
 	for _, s := range sites {
 		b.Run(s.String(), func(b *testing.B) {
@@ -115,12 +114,12 @@
 	}
 }
 
-// rosterMemory reports the heap that one roster holds, and the time of a list
-// that changes nothing.
+// rosterMemory reports the heap size of a roster, and the time to rebuild it from
+// an unchanged list.
 func rosterMemory(b *testing.B, s site, lease settings.Lease) {
-	before := heap()
+	before := heapBytes()
 	r := roster.Build(roster.Roster{}, s.list(1), lease)
-	b.ReportMetric(heap()-before, "heap-B")
+	b.ReportMetric(heapBytes()-before, "heap-B")
 	same := s.list(1)
 	at := time.Now()
 	const rounds = 5
@@ -131,7 +130,7 @@
 	runtime.KeepAlive(r)
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var s runtime.MemStats
--- a/capacity/rows_test.go
+++ b/capacity/rows_test.go
@@ -10,8 +10,8 @@
 	"github.com/fireflygate/fireflygate/burn"
 )
 
-// BenchmarkSheets reports the bytes that one host writes of its burn sheets in
-// each minute, by the number of objectives, after half an hour of traffic.
+// BenchmarkSheets reports the bytes of burn counts that one host writes in each
+// flush, by the number of objectives, after half an hour of traffic.
 func BenchmarkSheets(b *testing.B) {
 	for _, objectives := range []int{1, 10, 46} {
 		b.Run(fmt.Sprint(objectives, "objectives"), func(b *testing.B) {
--- a/capacity/skew_test.go
+++ b/capacity/skew_test.go
@@ -9,9 +9,9 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// BenchmarkSkew reports how unevenly the workers of the size to come fall to
-// 40 entry hosts, each shard with the host that it prefers, by the number of
-// worker shards in each zone.
+// BenchmarkSkew reports how unevenly the workers of a site of the design size are
+// distributed among 40 entry hosts if each shard is owned by its preferred owner,
+// by the number of worker shards per zone.
 func BenchmarkSkew(b *testing.B) {
 	for _, shards := range []int{4, 8, 16, 32} {
 		b.Run(fmt.Sprint(shards, "shards"), func(b *testing.B) {
--- a/capacity/worker_test.go
+++ b/capacity/worker_test.go
@@ -10,8 +10,8 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// BenchmarkWorker measures the worker's side of one exchange, with its JSON,
-// on a stand-in worker whose runs are sampled every five exchanges.
+// BenchmarkWorker measures the processing of one exchange by a stand-in worker,
+// JSON included. Its runs are sampled every five exchanges.
 func BenchmarkWorker(b *testing.B) {
 	for _, runs := range []int{0, 10, 40} {
 		b.Run(fmt.Sprint(runs, "runs"), func(b *testing.B) {
--- a/design/api.go
+++ b/design/api.go
@@ -1,6 +1,6 @@
-// Package design describes the HTTP interface of an entry host in goa's
-// design language. `make generate` turns it into package gen, which is
-// committed so that a build needs no generator.
+// Package design defines the HTTP API of an entry host in goa's design language.
+// `make generate` generates the code in gen, which is committed so that a build
+// doesn't need the generator.
 package design
 
 import . "goa.design/goa/v3/dsl"
@@ -15,8 +15,8 @@
 	})
 })
 
-// Problem is the body of every refused request. It names the outcome, so
-// that a caller knows whether its request may have run.
+// Problem is the response body of every refused request. Its outcome tells the
+// caller whether the request may have run.
 var Problem = Type("Problem", func() {
 	Description("Why a request was refused, after RFC 9457.")
 	ErrorName("name", String, "Machine-readable kind of the problem.")
--- a/design/tools.go
+++ b/design/tools.go
@@ -1,5 +1,5 @@
 package design
 
 import (
-	_ "goa.design/goa/v3/codegen/generator" // pins the generator that `make generate` runs
+	_ "goa.design/goa/v3/codegen/generator" // pins the version of the generator that `make generate` runs
 )
