--- a/event/catalogue_test.go
+++ b/event/catalogue_test.go
@@ -10,10 +10,11 @@
 	"testing"
 )
 
-// row is a line of the catalogue: number, level and message.
+// row matches a table row of the catalogue: number, level and message.
 var row = regexp.MustCompile(`(?m)^\| (\d+) \| (\w+) \| (.+?) \| .+ \|$`)
 
-// TestCatalogue compares docs/events with the code, both ways.
+// TestCatalogue checks that docs/events lists exactly the events of this package,
+// with the same levels and messages.
 func TestCatalogue(t *testing.T) {
 	pages, err := filepath.Glob("../docs/events/*.md")
 	if err != nil {
@@ -31,7 +32,7 @@
 				t.Fatal(err)
 			}
 			if _, dup := documented[number]; dup {
-				t.Errorf("event %d is documented twice", number)
+				t.Errorf("event %d: duplicate row in docs/events", number)
 			}
 			documented[number] = strings.ToUpper(m[2]) + " " + m[3]
 		}
@@ -44,6 +45,6 @@
 		delete(documented, number)
 	}
 	for number, line := range documented {
-		t.Errorf("event %d (%s) is documented and not in the code", number, line)
+		t.Errorf("event %d (%s) is in docs/events but not in the code", number, line)
 	}
 }
--- a/event/event.go
+++ b/event/event.go
@@ -1,5 +1,5 @@
-// Package event defines the numbered log events. Each has one definition
-// here and one line in docs/EVENTS.md; a test keeps the two alike.
+// Package event defines the numbered log events. Each event is defined once
+// here and listed in docs/events; a test checks that the two agree.
 package event
 
 import (
@@ -7,34 +7,34 @@
 	"log/slog"
 )
 
-// Event is a kind of log record with a number that never changes meaning.
+// Event is a kind of log record. Its number is never reused for another event.
 type Event struct {
-	// Number identifies the event in docs/EVENTS.md.
+	// Number identifies the event in docs/events.
 	Number int
-	// Level is the severity that it is logged at.
+	// Level is the severity of the log record.
 	Level slog.Level
-	// Message is its constant text.
+	// Message is the text of the log record.
 	Message string
-	// Routine events come once or more for each request, start or end, and may
-	// be dropped when they come too fast. All others tell a change of what a
-	// host believes or does.
+	// Routine is set for events that are logged for each request, task start or
+	// task end. They may be dropped under a high logging rate. All other events
+	// record a change of a host's state.
 	Routine bool
 }
 
-// registry holds every event defined in this package, by number.
+// registry holds all events by number.
 var registry = map[int]Event{}
 
-// define registers an event; a number used twice is a broken invariant.
+// define registers an event. It panics if the number is already in use.
 func define(number int, level slog.Level, message string) Event {
 	if _, dup := registry[number]; dup {
-		panic("event: number defined twice: " + message)
+		panic("event: duplicate number for message: " + message)
 	}
 	e := Event{Number: number, Level: level, Message: message}
 	registry[number] = e
 	return e
 }
 
-// routine registers an event that comes with each request, start or end.
+// routine registers an event with Routine set.
 func routine(number int, level slog.Level, message string) Event {
 	e := define(number, level, message)
 	e.Routine = true
@@ -42,14 +42,15 @@
 	return e
 }
 
-// IsRoutine reports whether the event of that number is routine.
+// IsRoutine reports whether the event with the number is routine. It returns
+// false for unknown numbers.
 func IsRoutine(number int64) bool { return registry[int(number)].Routine }
 
-// All returns every event by number.
+// All returns all events by number. The map must not be modified.
 func All() map[int]Event { return registry }
 
-// Log writes the event with attributes to log. Errors are written as their
-// message, without the stack that they carry.
+// Log writes the event with attributes to log. Attributes that hold an error are
+// logged as the error's message, without its stack trace.
 func (e Event) Log(log *slog.Logger, attrs ...slog.Attr) {
 	all := make([]slog.Attr, 0, len(attrs)+1)
 	all = append(all, slog.Int("event", e.Number))
--- a/event/journal.go
+++ b/event/journal.go
@@ -4,9 +4,9 @@
 
 // Events 600 to 649: group commit.
 var (
-	JournalStalled         = define(600, slog.LevelWarn, "journal: table does not take commits, backing off")
-	JournalResumed         = define(601, slog.LevelInfo, "journal: table takes commits again")
-	JournalResolved        = define(602, slog.LevelInfo, "journal: lost answer settled by reading back")
+	JournalStalled         = define(600, slog.LevelWarn, "journal: table does not accept commits, backing off")
+	JournalResumed         = define(601, slog.LevelInfo, "journal: table accepts commits again")
+	JournalResolved        = define(602, slog.LevelInfo, "journal: outcome of a commit without an answer determined by reading back")
 	JournalOverflow        = define(603, slog.LevelWarn, "journal: queue full, entry not applied")
 	JournalInvalidConflict = define(604, slog.LevelError, "journal: conflict names no row of the commit")
 )
--- a/event/peer.go
+++ b/event/peer.go
@@ -7,7 +7,7 @@
 	PeerConnected    = define(300, slog.LevelInfo, "connected to peer")
 	PeerLost         = define(301, slog.LevelWarn, "connection to peer lost")
 	PeerDialFailed   = define(302, slog.LevelWarn, "cannot connect to peer")
-	PeerRefused      = define(303, slog.LevelWarn, "connection from unknown or unfit peer refused")
+	PeerRefused      = define(303, slog.LevelWarn, "connection from an unknown or incompatible peer refused")
 	PeerAccepted     = define(304, slog.LevelInfo, "peer connected")
 	PeerDisconnected = define(305, slog.LevelInfo, "peer disconnected")
 )
