--- a/logsink/doc.go
+++ b/logsink/doc.go
@@ -1,10 +1,9 @@
-// Package logsink writes structured logs without ever blocking whoever logs.
+// Package logsink writes structured logs without blocking the logging goroutine,
+// also when many requests fail at once and nobody reads standard output.
 //
-// The load it answers is a host in trouble: each request fails in the same way
-// and says so, while the reader of standard output may have stopped reading.
-// Lines of routine (one a request, start or end) share a budget a second.
-// Lines that tell a change of what the host believes have a reserve that
-// routine can't use up. Equal lines within a second are folded into one with a
-// count. Encoded lines wait in a bounded queue for one writer, and what finds
-// it full is dropped. What was dropped is counted and said once a second.
+// Routine lines (logged for each request, task start or task end) are rate
+// limited. Other lines have a reserve that routine lines can't use. Equal lines
+// within a second are folded into one line with a repeat count. Encoded lines wait
+// in a bounded queue for a single writer; lines that find the queue full are
+// dropped. Dropped lines are counted and reported once a second.
 package logsink
--- a/logsink/fold.go
+++ b/logsink/fold.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// foldWindow is how long an equal line is folded into the first one.
+	// foldWindow is the time within which equal lines are folded.
 	foldWindow = time.Second
-	// maxFolds bounds the lines remembered within a window.
-	maxFolds = 256
+	// maxTrackedLines bounds the distinct lines tracked within a window.
+	maxTrackedLines = 256
 )
 
-// fold is a line that was written and how often it came again since.
-type fold struct {
+// repeatedLine is a written line and the number of its repeats since.
+type repeatedLine struct {
 	line    []byte
 	repeats int
 }
 
-// folder tells lines that came already within the window.
-type folder struct {
+// repeatFilter detects lines that were already written within the window.
+type repeatFilter struct {
 	seed  maphash.Seed
 	since time.Time
-	seen  map[uint64]*fold
+	seen  map[uint64]*repeatedLine
 }
 
-func newFolder() *folder {
-	return &folder{seed: maphash.MakeSeed(), seen: map[uint64]*fold{}}
+func newRepeatFilter() *repeatFilter {
+	return &repeatFilter{seed: maphash.MakeSeed(), seen: map[uint64]*repeatedLine{}}
 }
 
 // repeated reports whether an equal line was written within the window, and
 // counts it.
-func (f *folder) repeated(line []byte) bool {
-	key := maphash.Bytes(f.seed, afterTime(line))
+func (f *repeatFilter) repeated(line []byte) bool {
+	key := maphash.Bytes(f.seed, withoutTime(line))
 	if known := f.seen[key]; known != nil {
 		known.repeats++
 		return true
 	}
-	if len(f.seen) < maxFolds {
-		f.seen[key] = &fold{line: bytes.Clone(line)}
+	if len(f.seen) < maxTrackedLines {
+		f.seen[key] = &repeatedLine{line: bytes.Clone(line)}
 	}
 	return false
 }
 
-// turn ends the window if it is over. It returns the lines that came again,
-// each with the count of its repeats.
-func (f *folder) turn(now time.Time) [][]byte {
+// flushRepeats starts a new window if the current one has elapsed. It returns the lines
+// that were repeated, each with its repeat count.
+func (f *repeatFilter) flushRepeats(now time.Time) [][]byte {
 	if now.Sub(f.since) < foldWindow {
 		return nil
 	}
@@ -64,16 +64,16 @@
 	return lines
 }
 
-// afterTime returns the line without its first field, which is the time.
-func afterTime(line []byte) []byte {
+// withoutTime returns the line without its first field, which is the time.
+func withoutTime(line []byte) []byte {
 	if i := bytes.IndexByte(line, ','); i >= 0 {
 		return line[i:]
 	}
 	return line
 }
 
-// withRepeats returns the line with the count of its repeats as last field.
-func withRepeats(f *fold) []byte {
+// withRepeats returns the line with its repeat count as last field.
+func withRepeats(f *repeatedLine) []byte {
 	end := bytes.LastIndexByte(f.line, '}')
 	if end < 0 {
 		return f.line
--- a/logsink/handler.go
+++ b/logsink/handler.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-// handler is a slog.Handler in front of a sink.
+// handler is a slog.Handler that writes to a sink.
 type handler struct {
 	sink *Sink
 	json slog.Handler
@@ -14,7 +14,7 @@
 // Enabled implements slog.Handler.
 func (h *handler) Enabled(ctx context.Context, l slog.Level) bool { return h.json.Enabled(ctx, l) }
 
-// Handle implements slog.Handler. It never blocks on the output.
+// Handle implements slog.Handler. It doesn't wait for the output.
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
 	return h.sink.handle(ctx, h.json, &r)
 }
--- a/logsink/metrics.go
+++ b/logsink/metrics.go
@@ -6,10 +6,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// MetricName counts log lines by what became of them.
+// MetricName is the name of the counter of log lines by outcome.
 const MetricName = "fireflygate_log_lines_total"
 
-// Register makes the counts metrics of r.
+// Register registers the counts as metrics with r.
 func (s *Stats) Register(r prometheus.Registerer) {
 	for outcome, n := range map[string]*atomic.Int64{
 		"written": &s.Written, "folded": &s.Folded, "over_budget": &s.OverBudget, "queue_full": &s.QueueFull,
--- a/logsink/sink.go
+++ b/logsink/sink.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// queueLines bounds the lines that wait for the output: a second of the
-	// default budget, at some 250 bytes a line.
-	queueLines = 1024
-	// turnEvery is the time between two looks at what was folded or dropped.
-	turnEvery = time.Second
+	// queueCapacity bounds the lines that wait for the output, about a second at
+	// the default rate.
+	queueCapacity = 1024
+	// flushInterval is how often repeat counts and dropped lines are reported.
+	flushInterval = time.Second
 )
 
-// Options of a Sink.
+// Options configures a Sink.
 type Options struct {
-	// Level is the least severity that is logged.
+	// Level is the minimum level that is logged.
 	Level slog.Leveler
-	// Lines is the budget of lines a second, DefaultLinesPerSecond if 0.
+	// LinesPerSecond is the logging rate limit, DefaultLinesPerSecond if 0.
 	LinesPerSecond int
-	// Routine tells of an event's number whether its lines are routine. All
-	// other lines may use the reserve.
+	// IsRoutine reports whether the event with the number is routine. Lines of
+	// other events may use the reserve. If nil, no line is routine.
 	IsRoutine func(event int64) bool
-	// Dropped logs that lines were dropped since the last time, to a logger
-	// that bypasses the queue.
+	// OnDropped is called with the numbers of lines dropped since its last call
+	// and a logger that bypasses the queue.
 	OnDropped func(log *slog.Logger, overBudget, queueFull int64)
-	// Ticks are the looks at what was folded or dropped; one a second if nil.
+	// Ticks triggers the reports of repeat counts and dropped lines, once a second
+	// if nil.
 	Ticks <-chan time.Time
 }
 
@@ -41,37 +42,38 @@
 	stats Stats
 	done  chan struct{}
 
-	mu      sync.Mutex
-	closed  bool
-	encoded bytes.Buffer
-	budget  *budget
-	folder  *folder
+	mu           sync.Mutex
+	closed       bool
+	encoded      bytes.Buffer
+	budget       *budget
+	repeatFilter *repeatFilter
 }
 
-// New returns a sink that writes to out until it is closed.
+// New returns a sink that writes to out. Close must be called to stop it.
 func New(out io.Writer, o Options) *Sink {
 	if o.LinesPerSecond <= 0 {
 		o.LinesPerSecond = DefaultLinesPerSecond
 	}
 	s := &Sink{
-		opts: o, out: out, queue: make(chan []byte, queueLines), done: make(chan struct{}),
-		budget: newBudget(o.LinesPerSecond), folder: newFolder(),
+		opts: o, out: out, queue: make(chan []byte, queueCapacity), done: make(chan struct{}),
+		budget: newBudget(o.LinesPerSecond), repeatFilter: newRepeatFilter(),
 	}
 	go s.write()
 	return s
 }
 
-// Handler returns the handler to log through.
+// Handler returns a slog.Handler that writes to the sink.
 func (s *Sink) Handler() slog.Handler {
 	return &handler{sink: s, json: slog.NewJSONHandler(&s.encoded, &slog.HandlerOptions{Level: s.opts.Level})}
 }
 
-// Stats returns the counts of lines.
+// Stats returns the sink's line counts.
 func (s *Sink) Stats() *Stats { return &s.stats }
 
-// Close writes what waits and ends the sink, or gives up when ctx is over.
+// Close writes the queued lines and stops the sink. It returns early when ctx
+// ends. Lines logged afterwards are discarded.
 func (s *Sink) Close(ctx context.Context) {
-	s.turn(time.Now().Add(foldWindow))
+	s.flushRepeats(time.Now().Add(foldWindow))
 	s.mu.Lock()
 	if !s.closed {
 		s.closed = true
@@ -84,7 +86,7 @@
 	}
 }
 
-// handle encodes one record and queues it.
+// handle encodes a record and queues it unless it is folded or dropped.
 func (s *Sink) handle(ctx context.Context, json slog.Handler, r *slog.Record) error {
 	routine := s.routine(r)
 	s.mu.Lock()
@@ -92,7 +94,7 @@
 	if s.closed {
 		return nil
 	}
-	if s.budget.spent(r.Time, routine) {
+	if s.budget.exhausted(r.Time, routine) {
 		s.stats.OverBudget.Add(1)
 		return nil
 	}
@@ -101,11 +103,11 @@
 		return err
 	}
 	line := s.encoded.Bytes()
-	if s.folder.repeated(line) {
+	if s.repeatFilter.repeated(line) {
 		s.stats.Folded.Add(1)
 		return nil
 	}
-	if !s.budget.take(r.Time, routine) {
+	if !s.budget.allow(r.Time, routine) {
 		s.stats.OverBudget.Add(1)
 		return nil
 	}
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// enqueue hands a line to the writer unless the queue is full.
+// enqueue queues a line, or drops it if the queue is full.
 func (s *Sink) enqueue(line []byte) {
 	select {
 	case s.queue <- line:
@@ -122,7 +124,7 @@
 	}
 }
 
-// routine reports whether a record is of a routine event.
+// routine reports whether a record belongs to a routine event.
 func (s *Sink) routine(r *slog.Record) bool {
 	routine := false
 	r.Attrs(func(a slog.Attr) bool {
@@ -134,12 +136,13 @@
 	return routine
 }
 
-// write is the only one to write to the output.
+// write writes the queued lines until the sink is closed. No other goroutine uses
+// the output.
 func (s *Sink) write() {
 	defer close(s.done)
 	ticks := s.opts.Ticks
 	if ticks == nil {
-		ticker := time.NewTicker(turnEvery)
+		ticker := time.NewTicker(flushInterval)
 		defer ticker.Stop()
 		ticks = ticker.C
 	}
@@ -152,7 +155,7 @@
 			}
 			s.writeLine(line)
 		case now := <-ticks:
-			s.turn(now)
+			s.flushRepeats(now)
 			b, q := s.stats.OverBudget.Load(), s.stats.QueueFull.Load()
 			if (b > overBudget || q > queueFull) && s.opts.OnDropped != nil {
 				s.opts.OnDropped(slog.New(slog.NewJSONHandler(s.out, nil)), b-overBudget, q-queueFull)
@@ -162,22 +165,22 @@
 	}
 }
 
-// writeLine writes one line. An output that fails can't be told of by a log
-// line; it only isn't counted as written.
+// writeLine writes a line. Write errors can't be logged; such lines aren't counted
+// as written.
 func (s *Sink) writeLine(line []byte) {
 	if _, err := s.out.Write(line); err == nil {
 		s.stats.Written.Add(1)
 	}
 }
 
-// turn queues the lines that were folded, with their counts.
-func (s *Sink) turn(now time.Time) {
+// flushRepeats queues the repeated lines of an elapsed window, with their counts.
+func (s *Sink) flushRepeats(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return
 	}
-	for _, line := range s.folder.turn(now) {
+	for _, line := range s.repeatFilter.flushRepeats(now) {
 		s.enqueue(line)
 	}
 }
--- a/logsink/sink_test.go
+++ b/logsink/sink_test.go
@@ -15,30 +15,30 @@
 	"github.com/fireflygate/fireflygate/logsink"
 )
 
-// stuck is an output that nobody drains.
-type stuck struct{ release chan struct{} }
+// blockedWriter is an output whose writes block until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
 // Write implements io.Writer.
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// page is an output that keeps what is written.
-type page struct {
+// recorder is an output that records what is written.
+type recorder struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (p *page) Write(line []byte) (int, error) {
+func (p *recorder) Write(line []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.b.Write(line)
 }
 
-// lines returns what was written, decoded.
-func (p *page) lines(t *testing.T) []map[string]any {
+// lines returns the decoded lines.
+func (p *recorder) lines(t *testing.T) []map[string]any {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,15 +53,15 @@
 	return all
 }
 
-// options are those of a daemon, with so many lines a second.
+// options returns options with a rate limit and without periodic reports.
 func options(lines int) logsink.Options {
 	return logsink.Options{LinesPerSecond: lines, IsRoutine: event.IsRoutine, Ticks: make(chan time.Time)}
 }
 
-// start is when the lines of tests with a clock of their own are logged.
+// start is the time of records whose test sets the time.
 var start = time.Unix(1_800_000_000, 0)
 
-// logAt logs an event at a given time.
+// logAt logs an event with a given time.
 func logAt(t *testing.T, h slog.Handler, at time.Time, e event.Event, i int) {
 	t.Helper()
 	r := slog.NewRecord(at, e.Level, e.Message, 0)
@@ -71,10 +71,10 @@
 	}
 }
 
-// TestStuckOutputBlocksNobody logs far more than the queue holds to an output
-// that never drains: every call returns, and what is missing is counted.
-func TestStuckOutputBlocksNobody(t *testing.T) {
-	out := stuck{release: make(chan struct{})}
+// TestBlockedOutputDoesNotBlockLogging logs more lines than the queue holds to a
+// blocked output: every call returns and the dropped lines are counted.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	out := blockedWriter{release: make(chan struct{})}
 	s := logsink.New(out, options(1_000_000))
 	log := slog.New(s.Handler())
 	const lines = 5000
@@ -83,20 +83,20 @@
 	}
 	over, full := s.Stats().OverBudget.Load(), s.Stats().QueueFull.Load()
 	if over != 0 || full < lines-1100 {
-		t.Errorf("%d over budget and %d found the queue full, want none and most of %d", over, full, lines)
+		t.Errorf("%d lines over budget and %d dropped by a full queue, want none and most of %d", over, full, lines)
 	}
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	s.Close(ended) // gives up at once
+	s.Close(ended) // returns at once
 	event.OwnershipAcquired.Log(log, slog.Int("i", lines))
 	close(out.release)
 	s.Close(context.Background())
 }
 
-// TestReserve has routine lines use up the budget: changes of what the host
-// believes are still written, up to the reserve.
-func TestReserve(t *testing.T) {
-	out := &page{}
+// TestReserveIsKeptFromRoutineLines checks that other lines are still written after
+// routine lines have exhausted the shared budget.
+func TestReserveIsKeptFromRoutineLines(t *testing.T) {
+	out := &recorder{}
 	s := logsink.New(out, options(100))
 	for i := range 500 {
 		logAt(t, s.Handler(), start, event.StartAnswered, i)
@@ -111,17 +111,17 @@
 	}
 	starts, changes := counts[fmt.Sprint(event.StartAnswered.Number)], counts[fmt.Sprint(event.OwnershipLost.Number)]
 	if starts != 200 || changes != 20 {
-		t.Errorf("%d routine lines and %d changes written, want the budget of 200 and all 20", starts, changes)
+		t.Errorf("%d routine lines and %d other lines written, want the budget of 200 and all 20", starts, changes)
 	}
 	if got := s.Stats().OverBudget.Load(); got != int64(500-starts) {
 		t.Errorf("%d lines counted as over budget, want %d", got, 500-starts)
 	}
 }
 
-// TestEqualLinesAreFolded writes an equal line once, and once more with the
-// count of its repeats.
+// TestEqualLinesAreFolded checks that a repeated line is written once, and once more
+// with its repeat count.
 func TestEqualLinesAreFolded(t *testing.T) {
-	out := &page{}
+	out := &recorder{}
 	s := logsink.New(out, options(1000))
 	log := slog.New(s.Handler())
 	for range 50 {
@@ -131,7 +131,7 @@
 	s.Close(context.Background())
 	lines := out.lines(t)
 	if len(lines) != 3 {
-		t.Fatalf("%d lines written, want the first, the other and the count", len(lines))
+		t.Fatalf("%d lines written, want 3: the first, the other and the repeat count", len(lines))
 	}
 	if lines[2]["repeats"] != 49.0 || lines[2]["err"] != "store refused" {
 		t.Errorf("last line %v, want 49 repeats of the first", lines[2])
@@ -141,9 +141,10 @@
 	}
 }
 
-// TestAttributesOfALogger keeps those that a logger was given.
-func TestAttributesOfALogger(t *testing.T) {
-	out := &page{}
+// TestLoggerAttributesAreKept checks that attributes and groups of a logger are
+// written.
+func TestLoggerAttributesAreKept(t *testing.T) {
+	out := &recorder{}
 	s := logsink.New(out, options(0))
 	log := slog.New(s.Handler()).With("host", "edge-1").WithGroup("g")
 	log.Info("hello", "k", 1)
@@ -154,21 +155,21 @@
 	}
 }
 
-// TestDropsAreSaid writes how many lines were dropped, also when the budget
-// and its reserve are spent.
-func TestDropsAreSaid(t *testing.T) {
+// TestDropsAreReported checks that the number of dropped lines is reported even when
+// the budget and its reserve are exhausted.
+func TestDropsAreReported(t *testing.T) {
 	ticks := make(chan time.Time)
-	said := make(chan int64, 1)
+	reported := make(chan int64, 1)
 	o := options(1)
 	o.Ticks = ticks
-	o.OnDropped = func(_ *slog.Logger, overBudget, _ int64) { said <- overBudget }
-	s := logsink.New(&page{}, o)
+	o.OnDropped = func(_ *slog.Logger, overBudget, _ int64) { reported <- overBudget }
+	s := logsink.New(&recorder{}, o)
 	for i := range 100 {
 		logAt(t, s.Handler(), start, event.OwnershipLost, i)
 	}
 	ticks <- start
-	if got := <-said; got != 96 {
-		t.Errorf("%d lines said to be dropped, want 100 less two of the budget and two of the reserve", got)
+	if got := <-reported; got != 96 {
+		t.Errorf("%d lines reported as dropped, want 96: 100 less two of the budget and two of the reserve", got)
 	}
 	s.Close(context.Background())
 }
--- a/logsink/stats.go
+++ b/logsink/stats.go
@@ -2,12 +2,13 @@
 
 import "sync/atomic"
 
-// Stats counts lines. It may be read at any time.
+// Stats counts log lines. It is safe for concurrent use.
 type Stats struct {
-	// Written lines were handed to the output.
+	// Written counts lines written to the output.
 	Written atomic.Int64
-	// Folded lines were counted into an equal one.
+	// Folded counts lines that were folded into an equal one.
 	Folded atomic.Int64
-	// OverBudget lines found the budget spent, QueueFull lines the queue full.
+	// OverBudget counts lines dropped by the rate limit, QueueFull those dropped
+	// because the queue was full.
 	OverBudget, QueueFull atomic.Int64
 }
