--- a/trace/bounds.go
+++ b/trace/bottlenecks.go
@@ -12,44 +12,44 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bound is what kept an owner from doing more in a second.
+// Bottleneck is what limited the throughput of an owner within a second.
 type Bottleneck string
 
-// The bounds, in the order in which they are looked for: what is behind one of
-// them can't tell of those after it.
+// The bottlenecks, in the order in which they are checked: each one hides the
+// symptoms of those after it.
 const (
-	// BottleneckStore: the last commit is old.
+	// BottleneckStore means that the last commit is too old.
 	BottleneckStore Bottleneck = "store"
-	// BottleneckProcessor: the owner's loop got its turn late.
+	// BottleneckProcessor means that the owner's loop ran late.
 	BottleneckProcessor Bottleneck = "processor"
-	// BottleneckOrders: orders are slow on their way though the loop is in time: by the
-	// link, or by a worker or relay behind it.
+	// BottleneckOrders means that orders are slow although the loop is on time,
+	// because of the network link, a worker or a relay.
 	BottleneckOrders Bottleneck = "orders"
-	// BottleneckCapacity: tasks wait for room that may take them.
+	// BottleneckCapacity means that tasks wait for suitable capacity.
 	BottleneckCapacity Bottleneck = "room"
-	// BottleneckNone: nothing waits.
+	// BottleneckNone means that nothing waits.
 	BottleneckNone Bottleneck = "none"
 )
 
-// From which figures on something counts as a bound.
+// Thresholds from which a value counts as a bottleneck.
 const (
-	oldCommit = time.Second
-	lateLoop  = 100 * time.Millisecond
-	slowWay   = 60 * time.Millisecond
+	commitAgeThreshold = time.Second
+	loopDelayThreshold = 100 * time.Millisecond
+	roundTripThreshold = 60 * time.Millisecond
 )
 
-// Span is a time in which one thing bound an owner.
+// Span is a period in which an owner had the same bottleneck.
 type Span struct {
 	From, To   time.Time
 	Host       string
 	Bottleneck Bottleneck
 }
 
-// Bounds returns what bound the owners, second by second, with equal seconds that
-// follow one another as one span.
+// Bottlenecks returns the bottlenecks of all owners in the order of their start.
+// Successive seconds of a host with the same bottleneck are one span.
 func Bottlenecks(records []Record) []Span {
 	var spans []Span
-	last := map[string]int{} // the newest span of a host
+	last := map[string]int{} // index of a host's last span
 	sorted := slices.Clone(records)
 	slices.SortStableFunc(sorted, func(a, b Record) int { return a.Time.Compare(b.Time) })
 	for i := range sorted {
@@ -57,19 +57,19 @@
 		if r.Event != domainState {
 			continue
 		}
-		bound, host := boundOf(r), hostOf(r)
-		if k, ok := last[host]; ok && spans[k].Bottleneck == bound {
+		bottleneck, host := bottleneckOf(r), hostOf(r)
+		if k, ok := last[host]; ok && spans[k].Bottleneck == bottleneck {
 			spans[k].To = r.Time
 			continue
 		}
 		last[host] = len(spans)
-		spans = append(spans, Span{From: r.Time.Add(-time.Second), To: r.Time, Host: host, Bottleneck: bound})
+		spans = append(spans, Span{From: r.Time.Add(-time.Second), To: r.Time, Host: host, Bottleneck: bottleneck})
 	}
 	return spans
 }
 
-// hostOf returns the host that wrote a line: the last word of what stood before
-// it, which may begin with a time.
+// hostOf returns the host that wrote a line, which is the last word of the source;
+// the source may begin with a time.
 func hostOf(r *Record) string {
 	words := strings.Fields(r.Source)
 	if len(words) == 0 {
@@ -78,17 +78,18 @@
 	return words[len(words)-1]
 }
 
-// boundOf returns what bound an owner in the second before a line on its state.
-func boundOf(r *Record) Bottleneck {
+// bottleneckOf returns the bottleneck of an owner in the second before a domain
+// state line.
+func bottleneckOf(r *Record) Bottleneck {
 	loop, traffic := group(r.Fields["loop"]), group(r.Fields["traffic"])
 	waits := group(group(r.Fields["state"])["waits"])
 	age, _ := r.Fields["commit_age_ms"].(float64)
 	switch {
-	case millis(age) >= oldCommit:
+	case millis(age) >= commitAgeThreshold:
 		return BottleneckStore
-	case loop.millis("late_ms") >= lateLoop:
+	case loop.millis("late_ms") >= loopDelayThreshold:
 		return BottleneckProcessor
-	case traffic.millis("smoothed_ms") >= slowWay, 2*loop.number("held_back") > loop.number("cycles"):
+	case traffic.millis("smoothed_ms") >= roundTripThreshold, 2*loop.number("held_back") > loop.number("cycles"):
 		return BottleneckOrders
 	case waits.sum() > waits.number("fits"):
 		return BottleneckCapacity
@@ -97,25 +98,25 @@
 	}
 }
 
-// fields is a group of attributes.
+// fields is an attribute group of a log line.
 type fields map[string]any
 
-// group returns a group of attributes, empty if it is none.
+// group returns v as an attribute group, nil if it isn't one.
 func group(v any) fields {
 	f, _ := v.(map[string]any)
 	return f
 }
 
-// number returns a number of the group, 0 if there is none.
+// number returns a numeric attribute, 0 if there is none.
 func (f fields) number(name string) float64 {
 	n, _ := f[name].(float64)
 	return n
 }
 
-// millis returns a time of the group.
+// millis returns an attribute in milliseconds as a duration.
 func (f fields) millis(name string) time.Duration { return millis(f.number(name)) }
 
-// sum adds the group's numbers up, but for those that count a part of another.
+// sum returns the sum of the group's numbers, except for restart counts.
 func (f fields) sum() float64 {
 	sum := 0.0
 	for name := range f {
@@ -126,15 +127,15 @@
 	return sum
 }
 
-// restartPrefix begins the counts of tasks that ran before, which are counted
-// among all as well.
+// restartPrefix is the prefix of counts of restarted tasks, which are included in
+// the counts of all tasks.
 const restartPrefix = "restart_"
 
-// millis returns a number of milliseconds as a time.
+// millis converts milliseconds to a duration.
 func millis(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-// WriteBottlenecks prints for how long each bound held, and the spans of those that
-// aren't none.
+// WriteBottlenecks prints the total time of each bottleneck, and the spans other than
+// BottleneckNone.
 func WriteBottlenecks(w io.Writer, spans []Span) error {
 	total := map[Bottleneck]time.Duration{}
 	for _, s := range spans {
@@ -144,7 +145,7 @@
 		return cmp.Or(cmp.Compare(total[b], total[a]), cmp.Compare(a, b))
 	}) {
 		if _, err := fmt.Fprintf(w, "bound by %s for %.0f s\n", b, total[b].Seconds()); err != nil {
-			return errors.Wrap(err, "write bounds")
+			return errors.Wrap(err, "write bottlenecks")
 		}
 	}
 	for _, s := range spans {
@@ -153,11 +154,11 @@
 		}
 		_, err := fmt.Fprintf(w, "    %s to %s %s: %s\n", s.From.Format(clockLayout), s.To.Format(clockLayout), s.Host, s.Bottleneck)
 		if err != nil {
-			return errors.Wrap(err, "write bounds")
+			return errors.Wrap(err, "write bottlenecks")
 		}
 	}
 	return nil
 }
 
-// clockLayout shows the time of day of a line.
+// clockLayout is the layout of the time of day in the output.
 const clockLayout = "15:04:05.0"
--- a/trace/bounds_test.go
+++ b/trace/bottlenecks_test.go
@@ -8,19 +8,19 @@
 	"github.com/fireflygate/fireflygate/trace"
 )
 
-// stateLine is a line on the state of a domain.
+// stateLine returns a log line of a domain state event.
 func stateLine(second int, waits, traffic, loop string, commitAge int) string {
-	return fmt.Sprintf(`%d.1 edge-1 {"time":"2026-01-01T00:00:%02dZ","level":"INFO","msg":"state of the domain","event":912,`+
+	return fmt.Sprintf(`%d.1 edge-1 {"time":"2026-01-01T00:00:%02dZ","level":"INFO","msg":"domain state","event":912,`+
 		`"state":{"waits":{%s}},"traffic":{%s},"loop":{%s},"commit_age_ms":%d}`, second, second, waits, traffic, loop, commitAge)
 }
 
-// TestBounds tells what bound an owner by the figures of each second: the store
-// where commits are old, whatever else; then the processor; orders where they
-// are slow though the loop is in time; then room.
-func TestBounds(t *testing.T) {
+// TestBottlenecks checks the bottleneck of each second. An old commit (store) takes
+// precedence over a late loop (processor), that over slow orders, and these over
+// missing capacity.
+func TestBottlenecks(t *testing.T) {
 	const calm, slow = `"smoothed_ms":5`, `"smoothed_ms":120`
 	const idle = `"late_ms":2,"cycles":50,"held_back":0`
-	records, unread, err := trace.Read(strings.NewReader(strings.Join([]string{
+	records, skipped, err := trace.Read(strings.NewReader(strings.Join([]string{
 		stateLine(1, ``, calm, idle, 20),
 		stateLine(2, `"fits":3,"restart_fits":2`, calm, idle, 20),
 		stateLine(3, `"no_processors":4,"fits":1`, calm, idle, 20),
@@ -29,8 +29,8 @@
 		stateLine(6, `"fits":900`, slow, `"late_ms":300,"cycles":5,"held_back":0`, 20),
 		stateLine(7, `"fits":900`, slow, `"late_ms":300,"cycles":5,"held_back":0`, 4000),
 	}, "\n")))
-	if err != nil || unread != 0 {
-		t.Fatalf("%d lines not read, error %v", unread, err)
+	if err != nil || skipped != 0 {
+		t.Fatalf("%d lines skipped, error %v", skipped, err)
 	}
 	var b strings.Builder
 	if err := trace.WriteBottlenecks(&b, trace.Bottlenecks(records)); err != nil {
--- a/trace/doc.go
+++ b/trace/doc.go
@@ -1,3 +1,3 @@
-// Package trace tells the story of one job from the log lines of many hosts:
-// what was decided about it, in order, and what the hosts believed meanwhile.
+// Package trace analyzes the log lines of many hosts: the timeline of a job, the
+// bottlenecks of the domain's owner and where the time of jobs went.
 package trace
--- a/trace/day.go
+++ b/trace/jobs.go
@@ -11,35 +11,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// jobOver is the number of the event that tells how a job's life divides.
-const jobOver = 931
+// jobEnded is the number of the event with a job's time breakdown.
+const jobEnded = 931
 
-// Bounds of the sizes that Day tells apart, as shares of a queue's jobs: the
+// Upper limits of the size classes as cumulative fractions of a queue's jobs: the
 // largest tenth, the fifth below it, and the rest.
 const (
 	largestShare = 0.1
 	largeShare   = 0.3
 )
 
-// sizeNames name the sizes, largest first.
+// sizeNames are the names of the size classes, largest first.
 var sizeNames = [...]string{"largest tenth", "fifth below", "others"}
 
-// Row adds up the jobs of one queue and size.
+// JobSummary is the totals of the jobs of one queue and size class.
 type JobSummary struct {
 	Queue, Size string
-	// OnTime, Late and Lost count jobs by what they reached.
+	// OnTime, Late and Lost count jobs by how they ended.
 	OnTime, Late, Lost int
-	// Work is that of all jobs, Missed that of the jobs that weren't on time,
-	// in core-seconds by the callers' estimates.
+	// Work is the work of all jobs and MissedWork that of the jobs that weren't on
+	// time, in core-seconds by the callers' estimates.
 	Work, MissedWork float64
-	// Spent divides the life of the jobs that weren't on time, in seconds, by
-	// what kept them from ending.
+	// TimeSpent is the lifetime of the jobs that weren't on time, in seconds, by
+	// what they spent it on.
 	TimeSpent map[string]float64
-	// Starts and Stopped count the runs of the jobs that weren't on time.
+	// Starts and StoppedRuns count the runs of the jobs that weren't on time.
 	Starts, StoppedRuns int
 }
 
-// jobLine is one job as its line tells it.
+// jobLine is the content of a job ended event.
 type jobLine struct {
 	id, queue, reached string
 	work               float64
@@ -47,8 +47,9 @@
 	starts, stopped    int
 }
 
-// Day adds up the lines on ended and lost jobs by queue and size. A job that
-// was told twice, as after a change of owner, counts once, by its first line.
+// SummarizeJobs returns the totals of ended and lost jobs by queue and size class. A
+// job that was logged more than once, as after a change of owner, counts once, by
+// its first line.
 func SummarizeJobs(records []Record) []JobSummary {
 	byQueue := map[string][]jobLine{}
 	seen := map[string]bool{}
@@ -64,7 +65,7 @@
 	}
 	var rows []JobSummary
 	for queue, jobs := range byQueue {
-		rows = append(rows, bySize(queue, jobs)...)
+		rows = append(rows, summarizeBySize(queue, jobs)...)
 	}
 	slices.SortFunc(rows, func(a, b JobSummary) int {
 		return cmp.Or(strings.Compare(a.Queue, b.Queue), strings.Compare(a.Size, b.Size))
@@ -72,8 +73,8 @@
 	return rows
 }
 
-// bySize adds up a queue's jobs.
-func bySize(queue string, jobs []jobLine) []JobSummary {
+// summarizeBySize returns the totals of a queue's jobs by size class.
+func summarizeBySize(queue string, jobs []jobLine) []JobSummary {
 	slices.SortStableFunc(jobs, func(a, b jobLine) int { return cmp.Compare(b.work, a.work) })
 	var rows []JobSummary
 	from := 0
@@ -92,7 +93,7 @@
 	return rows
 }
 
-// add counts a job.
+// add adds a job to the totals.
 func (r *JobSummary) add(j *jobLine) {
 	r.Work += j.work
 	switch j.reached {
@@ -112,9 +113,9 @@
 	}
 }
 
-// parseJob reads a line on a job that is over.
+// parseJob reads a job ended event. It returns false for other events.
 func parseJob(r *Record) (jobLine, bool) {
-	if r.Event != jobOver {
+	if r.Event != jobEnded {
 		return jobLine{}, false
 	}
 	j := jobLine{spent: map[string]float64{}}
@@ -141,27 +142,28 @@
 	return j, j.id != ""
 }
 
-// WriteJobSummaries prints the rows: what each queue's jobs of a size reached, and for
-// those not on time the share of their life by what kept them from ending.
+// WriteJobSummaries prints how each queue's jobs of a size class ended, and for
+// those not on time how their lifetime was spent.
 func WriteJobSummaries(w io.Writer, rows []JobSummary) error {
 	for i := range rows {
 		r := &rows[i]
 		_, err := fmt.Fprintf(w, "%s, %s: %d on time, %d late, %d lost; %.0f of %.0f core-seconds missed\n",
 			r.Queue, r.Size, r.OnTime, r.Late, r.Lost, r.MissedWork, r.Work)
 		if err != nil {
-			return errors.Wrap(err, "write day")
+			return errors.Wrap(err, "write job summaries")
 		}
 		if r.Late+r.Lost == 0 {
 			continue
 		}
 		if _, err := fmt.Fprintf(w, "    %s; %d of %d runs stopped\n", r.shares(), r.StoppedRuns, r.Starts); err != nil {
-			return errors.Wrap(err, "write day")
+			return errors.Wrap(err, "write job summaries")
 		}
 	}
 	return nil
 }
 
-// shares prints where the time of the row's missed jobs went, most first.
+// shares formats how the lifetime of the jobs that weren't on time was spent,
+// largest share first.
 func (r *JobSummary) shares() string {
 	total := 0.0
 	var names []string
--- a/trace/record.go
+++ b/trace/record.go
@@ -16,30 +16,31 @@
 	Time    time.Time
 	Event   int
 	Message string
-	// Source is what stood before the line's JSON, such as a host's name.
+	// Source is the text before the line's JSON, such as a host's name.
 	Source string
 	// Fields are the other attributes.
 	Fields map[string]any
 }
 
-// maxLine bounds a log line, in bytes.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// Read reads log lines. Lines that aren't records are counted and left out.
-func Read(r io.Reader) (records []Record, unread int, err error) {
+// Read reads log lines. It skips and counts lines that aren't records of numbered
+// events.
+func Read(r io.Reader) (records []Record, skipped int, err error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 0, 64<<10), maxLine)
 	for s.Scan() {
 		if rec, ok := parse(s.Bytes()); ok {
 			records = append(records, rec)
 		} else if len(bytes.TrimSpace(s.Bytes())) > 0 {
-			unread++
+			skipped++
 		}
 	}
-	return records, unread, errors.Wrap(s.Err(), "read log lines")
+	return records, skipped, errors.Wrap(s.Err(), "read log lines")
 }
 
-// parse reads one line: JSON, with anything before it as its source.
+// parse reads a line of JSON. Text before the JSON becomes the source.
 func parse(line []byte) (Record, bool) {
 	start := bytes.IndexByte(line, '{')
 	if start < 0 {
@@ -60,8 +61,8 @@
 	return Record{head.Time, head.Event, head.Message, strings.TrimSpace(string(line[:start])), fields}, true
 }
 
-// about reports whether the record is about the job: one of the fields that
-// name jobs, tasks and steps begins with its ID.
+// about reports whether a field that identifies a job, task or step refers to the
+// job or one of its parts.
 func (r *Record) about(id string) bool {
 	for _, field := range []string{"id", "job", "task", "step"} {
 		if name, ok := r.Fields[field].(string); ok && (name == id || strings.HasPrefix(name, id+".")) {
