--- a/check/answers.go
+++ b/check/answers.go
@@ -8,8 +8,8 @@
 	outcomeUnknown  = "unknown"
 )
 
-// checkAnswers matches each answer with its own request. A booking that is
-// sent again gets the answer to its first sending, which echoes that one.
+// checkAnswers compares each answer with the request that it belongs to. A
+// resent booking may receive the answer to an earlier call with the same key.
 func checkAnswers(records []Record, _ Limits) []Violation {
 	var found []Violation
 	sent := map[string]Record{}
@@ -21,26 +21,26 @@
 		if a == nil || a.Outcome != outcomeAnswered {
 			continue
 		}
-		ask, ok := sent[a.Call]
-		var fault string
+		request, ok := sent[a.Call]
+		var problem string
 		switch {
 		case !ok:
-			fault = "was never sent"
-		case a.EchoCall != a.Call && !sameBooking(ask, sent[a.EchoCall]):
-			fault = "got the answer to " + a.EchoCall
-		case a.EchoDigest != ask.Sent.Digest:
-			fault = "got an answer to another body"
+			problem = "was answered but never sent"
+		case a.EchoCall != a.Call && !sameBooking(request, sent[a.EchoCall]):
+			problem = "received the answer to call " + a.EchoCall
+		case a.EchoDigest != request.Sent.Digest:
+			problem = "received an answer to a different request body"
 		case a.Length != a.WantLength || a.BodyDigest != a.WantDigest:
-			fault = fmt.Sprintf("got %d of %d bytes or other bytes", a.Length, a.WantLength)
+			problem = fmt.Sprintf("received %d of %d bytes, or different content", a.Length, a.WantLength)
 		default:
 			continue
 		}
-		found = append(found, violation(CompleteAnswer, fmt.Sprintf("call %s %s", a.Call, fault), ask, r))
+		found = append(found, violation(CompleteAnswer, fmt.Sprintf("call %s %s", a.Call, problem), request, r))
 	}
 	return found
 }
 
-// sameBooking reports whether two calls were sent under one booking key.
+// sameBooking reports whether two calls were sent with the same booking key.
 func sameBooking(a, b Record) bool {
 	return b.Sent != nil && a.Sent.BookingKey != "" && a.Sent.BookingKey == b.Sent.BookingKey
 }
--- a/check/at_most_once.go
+++ b/check/at_most_once.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// checkAtMostOnce looks for booking keys that ran twice.
+// checkAtMostOnce finds booking keys that were processed more than once.
 func checkAtMostOnce(records []Record, _ Limits) []Violation {
 	var found []Violation
 	first := map[string]Record{}
@@ -12,7 +12,7 @@
 		}
 		key := r.RequestBegan.BookingKey
 		if before, ok := first[key]; ok {
-			found = append(found, violation(AtMostOnce, fmt.Sprintf("booking %s ran twice", key), before, r))
+			found = append(found, violation(AtMostOnce, fmt.Sprintf("booking %s ran more than once", key), before, r))
 			continue
 		}
 		first[key] = r
--- a/check/capacity.go
+++ b/check/capacity.go
@@ -6,30 +6,31 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// placed is a run on a worker.
-type placed struct {
+// placement identifies a run on a worker.
+type placement struct {
 	worker string
 	run    infra.RunID
 }
 
-// checkCapacity sums the reservations of the runs on each worker.
+// checkCapacity finds runs whose start raised the reservations on a worker above
+// its capacity.
 func checkCapacity(records []Record, _ Limits) []Violation {
 	var found []Violation
-	held := map[string]infra.Resources{}
-	runs := map[placed]infra.Resources{}
+	reserved := map[string]infra.Resources{}
+	runs := map[placement]infra.Resources{}
 	for _, r := range records {
 		switch {
 		case r.RunBegan != nil:
 			b := r.RunBegan
-			held[b.Worker] = held[b.Worker].Add(b.Resources)
-			runs[placed{b.Worker, b.Run}] = b.Resources
-			if !held[b.Worker].Fits(b.Capacity) {
+			reserved[b.Worker] = reserved[b.Worker].Add(b.Resources)
+			runs[placement{b.Worker, b.Run}] = b.Resources
+			if !reserved[b.Worker].Fits(b.Capacity) {
 				found = append(found, violation(CapacityLimit,
-					fmt.Sprintf("%s reserves %+v with capacity %+v", b.Worker, held[b.Worker], b.Capacity), r))
+					fmt.Sprintf("worker %s has %+v reserved and capacity %+v", b.Worker, reserved[b.Worker], b.Capacity), r))
 			}
 		case r.RunEnded != nil:
-			at := placed{r.RunEnded.Worker, r.RunEnded.Run}
-			held[at.worker] = held[at.worker].Sub(runs[at])
+			at := placement{r.RunEnded.Worker, r.RunEnded.Run}
+			reserved[at.worker] = reserved[at.worker].Sub(runs[at])
 			delete(runs, at)
 		}
 	}
--- a/check/config.go
+++ b/check/config.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// checkConfigMonotonic looks for entry hosts whose version goes down.
+// checkConfigMonotonic finds entry hosts whose configuration version decreased.
 func checkConfigMonotonic(records []Record, _ Limits) []Violation {
 	var found []Violation
 	last := map[string]Record{}
@@ -13,16 +13,16 @@
 		}
 		if before, ok := last[c.Host]; ok && c.Version < before.ConfigInForce.Version {
 			found = append(found, violation(ConfigMonotonic,
-				fmt.Sprintf("%s went from version %d to %d", c.Host, before.ConfigInForce.Version, c.Version), before, r))
+				fmt.Sprintf("host %s reverted from version %d to %d", c.Host, before.ConfigInForce.Version, c.Version), before, r))
 		}
 		last[c.Host] = r
 	}
 	return found
 }
 
-// checkConfigInTime checks that each host that was up as a version was
-// accepted has it, or a higher one, in force within the bound, unless the
-// host or the history ended before.
+// checkConfigInTime checks that each host running when a version was accepted
+// has this or a later version in force within the bound. Hosts that stop before
+// the bound are exempt, and so are versions whose bound lies beyond the last record.
 func checkConfigInTime(records []Record, limits Limits) []Violation {
 	var found []Violation
 	for i, accepted := range records {
@@ -49,14 +49,14 @@
 		}
 		for host, last := range behind {
 			found = append(found, violation(ConfigInTime,
-				fmt.Sprintf("%s had not version %d within %s", host, accepted.ConfigAccepted.Version, limits.ConfigBound), accepted, last))
+				fmt.Sprintf("host %s did not have version %d in force within %s", host, accepted.ConfigAccepted.Version, limits.ConfigBound), accepted, last))
 		}
 	}
 	return found
 }
 
-// hostsBehind returns the hosts that are up below a version, with the record
-// of the version that they have.
+// hostsBehind returns the running hosts with a lower version in force, each with
+// the record of that version.
 func hostsBehind(records []Record, version uint64) map[string]Record {
 	hosts := map[string]Record{}
 	for _, r := range records {
--- a/check/digest.go
+++ b/check/digest.go
@@ -6,7 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest returns the digest of a body as records and headers carry it.
+// Digest returns the XXH64 hash of body in hexadecimal, as used in records and
+// headers.
 func Digest(body []byte) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64(body))
 }
--- a/check/doc.go
+++ b/check/doc.go
@@ -1,4 +1,4 @@
-// Package check records what callers, endpoints, workers and entry hosts did
-// and checks the history against the promises. The checkers are pure: they
-// look only at records.
+// Package check records the actions of callers, endpoints, workers and entry
+// hosts and verifies the history against the project's guarantees. The checkers
+// are pure functions of the records.
 package check
--- a/check/drain.go
+++ b/check/drain.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// checkDrain looks for calls in flight at a host as its planned stop began
-// that ended as unknown, or never ended though the host has stopped.
+// checkDrain finds calls in flight at a host when its planned stop began whose
+// outcome is unknown or that never ended.
 func checkDrain(records []Record, _ Limits) []Violation {
 	var found []Violation
 	inFlight := map[string]Record{}
@@ -14,28 +14,28 @@
 			inFlight[r.Sent.Call] = r
 		case r.DrainBegan != nil:
 			calls := map[string]Record{}
-			for call, ask := range inFlight {
-				if ask.Sent.Host == r.DrainBegan.Host {
-					calls[call] = ask
+			for call, request := range inFlight {
+				if request.Sent.Host == r.DrainBegan.Host {
+					calls[call] = request
 				}
 			}
 			draining[r.DrainBegan.Host] = calls
 		case r.Answered != nil:
-			ask, ok := inFlight[r.Answered.Call]
+			request, ok := inFlight[r.Answered.Call]
 			delete(inFlight, r.Answered.Call)
 			if !ok {
 				continue
 			}
-			if _, cut := draining[ask.Sent.Host][r.Answered.Call]; cut && r.Answered.Outcome == outcomeUnknown {
+			if _, cut := draining[request.Sent.Host][r.Answered.Call]; cut && r.Answered.Outcome == outcomeUnknown {
 				found = append(found, violation(GracefulStop,
-					fmt.Sprintf("call %s at %s was cut off by its planned stop", r.Answered.Call, ask.Sent.Host), ask, r))
+					fmt.Sprintf("call %s at %s was cut off by the planned stop of the host", r.Answered.Call, request.Sent.Host), request, r))
 			}
 		}
 	}
 	for _, calls := range draining {
-		for call, ask := range calls {
+		for call, request := range calls {
 			if _, open := inFlight[call]; open {
-				found = append(found, violation(GracefulStop, fmt.Sprintf("call %s never ended", call), ask))
+				found = append(found, violation(GracefulStop, fmt.Sprintf("call %s never ended", call), request))
 			}
 		}
 	}
--- a/check/leaving.go
+++ b/check/leaving.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// checkLeaving looks for work that began at an endpoint after the list had
-// shown it as leaving for the grace.
+// checkLeaving finds requests that started at an endpoint listed as leaving for
+// longer than the grace period.
 func checkLeaving(records []Record, limits Limits) []Violation {
 	var found []Violation
 	leaving := map[string]Record{}
@@ -17,7 +17,7 @@
 			since, ok := leaving[r.RequestBegan.Endpoint]
 			if ok && r.At.Sub(since.At) > limits.LeavingGrace {
 				found = append(found, violation(NoWorkAfterLeaving,
-					fmt.Sprintf("%s got work %s after it was leaving", r.RequestBegan.Endpoint, r.At.Sub(since.At)), since, r))
+					fmt.Sprintf("endpoint %s received a request %s after it was listed as leaving", r.RequestBegan.Endpoint, r.At.Sub(since.At)), since, r))
 			}
 		}
 	}
--- a/check/not_run.go
+++ b/check/not_run.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// checkNotRun looks for work on calls whose callers were told that they did
-// not run, also work that began later.
+// checkNotRun finds requests that an endpoint processed, before or after their
+// callers received the outcome "not run".
 func checkNotRun(records []Record, _ Limits) []Violation {
 	var found []Violation
 	notRun := map[string]Record{}
@@ -16,9 +16,9 @@
 		if r.RequestBegan == nil || r.RequestBegan.Call == "" {
 			continue
 		}
-		if told, ok := notRun[r.RequestBegan.Call]; ok {
+		if reported, ok := notRun[r.RequestBegan.Call]; ok {
 			found = append(found, violation(NotRunAccurate,
-				fmt.Sprintf("call %s was told not run and ran at %s", r.RequestBegan.Call, r.RequestBegan.Endpoint), told, r))
+				fmt.Sprintf("call %s was reported as not run but ran at %s", r.RequestBegan.Call, r.RequestBegan.Endpoint), reported, r))
 		}
 	}
 	return found
--- a/check/record.go
+++ b/check/record.go
@@ -6,12 +6,12 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Record is one observed event. Just one of its pointers is set; it tells
-// the kind.
+// Record is one observed event. Exactly one of its pointers is set, according to
+// the kind of event.
 type Record struct {
-	// Seq rises by one with each record of a Recorder.
+	// Seq increases by one with each record of a Recorder, starting at 1.
 	Seq uint64 `json:"seq"`
-	// At is when it was recorded.
+	// At is the time of recording.
 	At time.Time `json:"at"`
 
 	Sent            *Sent            `json:"sent,omitempty"`
@@ -29,113 +29,113 @@
 	ConfigHostEnded *ConfigHostEnded `json:"config_host_ended,omitempty"`
 }
 
-// Sent says that a caller sent a request.
+// Sent records that a caller sent a request.
 type Sent struct {
-	// Call identifies the request of the caller, unique in the history.
+	// Call is the caller's identifier of the request, unique in the history.
 	Call string `json:"call"`
-	// Host is the entry host that it was sent to.
+	// Host is the entry host that the request was sent to.
 	Host string `json:"host"`
 	// Digest is the Digest of the request's body.
 	Digest string `json:"digest"`
-	// BookingKey is its idempotency key, if any.
+	// BookingKey is the idempotency key, if any.
 	BookingKey string `json:"booking_key,omitempty"`
 }
 
-// Answered says how a call ended for its caller.
+// Answered records the outcome of a call for its caller.
 type Answered struct {
 	Call string `json:"call"`
-	// Outcome is an outcome.Kind as text.
+	// Outcome is the text of an outcome.Kind.
 	Outcome string `json:"outcome"`
-	// Echo is the digest of the request's body as the answer echoes it.
+	// Echo is the digest of the request body, as echoed by the answer.
 	EchoDigest string `json:"echo,omitempty"`
-	// EchoCall is the call as the answer echoes it.
+	// EchoCall is the call identifier, as echoed by the answer.
 	EchoCall string `json:"echo_call,omitempty"`
-	// Length is how many bytes of body came; Want is how many the endpoint
-	// said that it would send.
+	// Length is the number of body bytes received; WantLength is the number that
+	// the endpoint announced.
 	Length     int64 `json:"length,omitempty"`
 	WantLength int64 `json:"want,omitempty"`
-	// BodyDigest is the Digest of the body that came; WantDigest is what the
-	// endpoint said it would be.
+	// BodyDigest is the Digest of the received body; WantDigest is the one that
+	// the endpoint announced.
 	BodyDigest string `json:"body_digest,omitempty"`
 	WantDigest string `json:"want_digest,omitempty"`
 }
 
-// RequestBegan says that an endpoint began to work on a request.
+// RequestBegan records that an endpoint started to process a request.
 type RequestBegan struct {
 	Endpoint string `json:"endpoint"`
-	// Serial identifies the work at the endpoint.
+	// Serial identifies the request at the endpoint.
 	Serial uint64 `json:"serial"`
-	// Request is the Fireflygate-Request-Id.
+	// Request is the value of the Fireflygate-Request-Id header.
 	Request string `json:"request"`
-	// Call is the caller's own identifier, as passed through.
+	// Call is the caller's identifier, as forwarded by the entry host.
 	Call       string `json:"call,omitempty"`
 	Method     string `json:"method"`
 	BookingKey string `json:"booking_key,omitempty"`
 	Digest     string `json:"digest"`
-	// Slots is how many requests the endpoint holds.
+	// Slots is the maximum number of concurrent requests at the endpoint.
 	Slots int `json:"slots"`
 }
 
-// RequestEnded says that the work on a request ended.
+// RequestEnded records that an endpoint stopped processing a request.
 type RequestEnded struct {
 	Endpoint string `json:"endpoint"`
 	Serial   uint64 `json:"serial"`
-	// CallerDisconnected is set when the connection had gone before the end.
+	// CallerDisconnected is set if the connection closed before the request ended.
 	CallerDisconnected bool `json:"caller_gone,omitempty"`
 }
 
-// RunBegan says that a worker began a run.
+// RunBegan records that a worker started a run.
 type RunBegan struct {
 	Worker    string          `json:"worker"`
 	Run       infra.RunID     `json:"run"`
 	Resources infra.Resources `json:"resources"`
 	Capacity  infra.Resources `json:"capacity"`
-	// Checkpoint is what it resumed from, if anything.
+	// Checkpoint is the checkpoint that the run resumed from, if any.
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
-// RunEnded says that a run no longer works on its worker.
+// RunEnded records that a run ended on its worker.
 type RunEnded struct {
 	Worker string         `json:"worker"`
 	Run    infra.RunID    `json:"run"`
 	State  infra.RunState `json:"state"`
-	// Checkpoint is the progress saved, if any.
+	// Checkpoint is the checkpoint that the run saved, if any.
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
-// LeavingBegan says that the membership list published a member as leaving.
+// LeavingBegan records that the membership list published a member as leaving.
 type LeavingBegan struct {
 	Member string `json:"member"`
 }
 
-// LeavingEnded says that the list published the member as live again.
+// LeavingEnded records that the membership list published the member as live again.
 type LeavingEnded struct {
 	Member string `json:"member"`
 }
 
-// DrainBegan says that a planned stop of an entry host began.
+// DrainBegan records the beginning of the planned stop of an entry host.
 type DrainBegan struct {
 	Host string `json:"host"`
 }
 
-// DrainEnded says that the entry host has stopped.
+// DrainEnded records that an entry host exited after a planned stop.
 type DrainEnded struct {
 	Host string `json:"host"`
 }
 
-// ConfigAccepted says that a configuration was accepted.
+// ConfigAccepted records that a configuration version was accepted.
 type ConfigAccepted struct {
 	Version uint64 `json:"version"`
 }
 
-// ConfigApplied says which version an entry host has in force.
+// ConfigApplied records the configuration version that an entry host applies.
 type ConfigInForce struct {
 	Host    string `json:"host"`
 	Version uint64 `json:"version"`
 }
 
-// ConfigHostEnded says that an entry host is gone, so that no version has to
-// come in force there any more. A later ConfigApplied is a new process.
+// ConfigHostEnded records that the process of an entry host ended. A later
+// ConfigApplied for the same host comes from a new process.
 type ConfigHostEnded struct {
 	Host string `json:"host"`
 }
--- a/check/recorder.go
+++ b/check/recorder.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Recorder collects records. A nil Recorder drops them. It is safe for
-// concurrent use.
+// Recorder collects records. Add on a nil Recorder does nothing. A Recorder is
+// safe for concurrent use.
 type Recorder struct {
 	mu      sync.Mutex
 	records []Record
@@ -19,13 +19,14 @@
 	err     error
 }
 
-// NewRecorder returns a recorder that also writes each record to w as one
-// line of JSON, unless w is nil.
+// NewRecorder returns a Recorder that also writes each record to w as one line
+// of JSON. If w is nil, records are kept in memory only.
 func NewRecorder(w io.Writer) *Recorder {
 	return &Recorder{writer: w}
 }
 
-// Add numbers r, stamps it with the time unless it has one, and keeps it.
+// Add assigns the next sequence number to r, sets its time if that is zero, and
+// stores it.
 func (c *Recorder) Add(r Record) {
 	if c == nil {
 		return
@@ -40,7 +41,7 @@
 	c.write(r)
 }
 
-// write appends r to the writer; the first error stays.
+// write encodes r to the writer. After the first error it writes nothing more.
 func (c *Recorder) write(r Record) {
 	if c.writer == nil || c.err != nil {
 		return
@@ -48,21 +49,22 @@
 	c.err = json.NewEncoder(c.writer).Encode(r)
 }
 
-// Records returns a copy of all records so far.
+// Records returns a copy of the records added so far.
 func (c *Recorder) Records() []Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.records)
 }
 
-// Err returns the first error of the writer.
+// Err returns the first error from the writer, if any.
 func (c *Recorder) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// Read reads records as a Recorder wrote them.
+// Read decodes the records that a Recorder wrote. On an error it also returns
+// the records decoded before it.
 func Read(r io.Reader) ([]Record, error) {
 	var records []Record
 	dec := json.NewDecoder(r)
@@ -73,7 +75,7 @@
 			return records, nil
 		}
 		if err != nil {
-			return records, errors.Wrapf(err, "record %d", len(records)+1)
+			return records, errors.Wrapf(err, "decode record %d", len(records)+1)
 		}
 		records = append(records, record)
 	}
--- a/check/run.go
+++ b/check/run.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// Limits are the bounds that promises speak of.
+// Limits are the time bounds of the checks.
 type Limits struct {
-	// LeavingGrace is how long after the list shows an endpoint as leaving
-	// it may still get new work.
+	// LeavingGrace is how long an endpoint may receive new requests after the
+	// membership list shows it as leaving.
 	LeavingGrace time.Duration
-	// ConfigBound is how long after its acceptance a configuration must be
-	// in force on every entry host.
+	// ConfigBound is the maximum time from the acceptance of a configuration
+	// until it is in force on every entry host.
 	ConfigBound time.Duration
 }
 
-// DefaultLimits returns what the promises mean by "a few seconds".
+// DefaultLimits returns the limits that Run uses.
 func DefaultLimits() Limits {
 	return Limits{LeavingGrace: 3 * time.Second, ConfigBound: 4 * time.Second}
 }
 
-// Report is the result of a check.
+// Report is the result of checking a history.
 type Report struct {
-	// Records is how many records were checked.
+	// Records is the number of records checked.
 	Records    int         `json:"records"`
 	Violations []Violation `json:"violations"`
 }
 
-// Run checks records against every promise with the default limits.
+// Run checks records against all promises with DefaultLimits.
 func Run(records []Record) Report { return RunWithLimits(records, DefaultLimits()) }
 
-// RunWithLimits checks records against every promise.
+// RunWithLimits checks records against all promises, in order of their time.
+// The records need not be sorted.
 func RunWithLimits(records []Record, limits Limits) Report {
 	records = slices.Clone(records)
 	slices.SortStableFunc(records, func(a, b Record) int {
@@ -44,14 +45,13 @@
 	return report
 }
 
-// checkers are the checks by the promise that each is of.
 var checkers = []struct {
 	promise Promise
 	check   func([]Record, Limits) []Violation
 }{
 	{SlotLimit, checkSlots},
 	{CapacityLimit, checkCapacity},
-	{SinglePlacement, checkOnePlace},
+	{SinglePlacement, checkSinglePlacement},
 	{ResumedOnce, checkResumedOnce},
 	{CompleteAnswer, checkAnswers},
 	{NotRunAccurate, checkNotRun},
@@ -62,7 +62,7 @@
 	{ConfigInTime, checkConfigInTime},
 }
 
-// Promises returns the promises that are checked, in order.
+// Promises returns all promises in the order in which they are checked.
 func Promises() []Promise {
 	var out []Promise
 	for _, c := range checkers {
@@ -71,7 +71,7 @@
 	return out
 }
 
-// violation makes a violation shown by records.
+// violation returns a Violation that refers to records as evidence.
 func violation(p Promise, detail string, records ...Record) Violation {
 	v := Violation{Promise: p, Detail: detail}
 	for _, r := range records {
--- a/check/run_test.go
+++ b/check/run_test.go
@@ -10,11 +10,13 @@
 
 var cpu = infra.Resources{MilliCPU: 1}
 
-func began(call, key string) check.Record {
+func requestBegan(call, key string) check.Record {
 	return check.Record{RequestBegan: &check.RequestBegan{Endpoint: "e", Call: call, BookingKey: key, Slots: 1}}
 }
 
-func ended() check.Record { return check.Record{RequestEnded: &check.RequestEnded{Endpoint: "e"}} }
+func requestEnded() check.Record {
+	return check.Record{RequestEnded: &check.RequestEnded{Endpoint: "e"}}
+}
 
 func sent(call string) check.Record {
 	return check.Record{Sent: &check.Sent{Call: call, Host: "h", Digest: "d"}}
@@ -22,60 +24,60 @@
 
 func answered(a check.Answered) check.Record { return check.Record{Answered: &a} }
 
-func start(worker string, epoch uint64, checkpoint string) check.Record {
+func runBegan(worker string, epoch uint64, checkpoint string) check.Record {
 	return check.Record{RunBegan: &check.RunBegan{
 		Worker: worker, Run: infra.RunID{Job: "j", Epoch: epoch}, Resources: cpu, Capacity: cpu, Checkpoint: checkpoint,
 	}}
 }
 
-func stop(worker string, epoch uint64, state infra.RunState) check.Record {
+func runEnded(worker string, epoch uint64, state infra.RunState) check.Record {
 	return check.Record{RunEnded: &check.RunEnded{Worker: worker, Run: infra.RunID{Job: "j", Epoch: epoch}, State: state}}
 }
 
-func force(host string, version uint64) check.Record {
+func configInForce(host string, version uint64) check.Record {
 	return check.Record{ConfigInForce: &check.ConfigInForce{Host: host, Version: version}}
 }
 
 func TestCheckers(t *testing.T) {
-	whole := check.Answered{Call: "c", Outcome: "answered", EchoDigest: "d", EchoCall: "c", Length: 2, WantLength: 2}
-	crossed, other, cut := whole, whole, whole
-	crossed.EchoCall, other.EchoDigest, cut.Length = "x", "x", 1
+	complete := check.Answered{Call: "c", Outcome: "answered", EchoDigest: "d", EchoCall: "c", Length: 2, WantLength: 2}
+	mismatched, otherBody, truncated := complete, complete, complete
+	mismatched.EchoCall, otherBody.EchoDigest, truncated.Length = "x", "x", 1
 	unknown := answered(check.Answered{Call: "c", Outcome: "unknown"})
 	notRun := answered(check.Answered{Call: "c", Outcome: "not_run"})
 	leaving := check.Record{LeavingBegan: &check.LeavingBegan{Member: "e"}}
 	drain := check.Record{DrainBegan: &check.DrainBegan{Host: "h"}}
 	accepted := check.Record{ConfigAccepted: &check.ConfigAccepted{Version: 2}}
-	second := start("w", 1, "")
-	second.RunBegan.Run.Job = "k"
+	otherJob := runBegan("w", 1, "")
+	otherJob.RunBegan.Run.Job = "k"
 	type records = []check.Record
-	// Records are one second apart.
+	// Consecutive records are one second apart.
 	for _, tc := range []struct {
 		name      string
 		promise   check.Promise
 		good, bad records
 	}{
-		{"slots", check.SlotLimit, records{began("a", ""), ended(), began("b", "")}, records{began("a", ""), began("b", "")}},
-		{"capacity", check.CapacityLimit, records{start("w", 1, ""), stop("w", 1, "stopped"), second}, records{start("w", 1, ""), second}},
-		{"one place", check.SinglePlacement, records{start("w", 1, ""), stop("w", 1, "stopped"), start("v", 2, "")}, records{start("w", 1, ""), start("v", 2, "")}},
-		{"epochs", check.ResumedOnce, records{start("w", 1, ""), stop("w", 1, "stopped"), start("w", 2, "")}, records{start("w", 2, ""), stop("w", 2, "stopped"), start("w", 2, "")}},
-		{"checkpoint", check.ResumedOnce, records{start("w", 2, "c"), stop("w", 2, "stopped"), start("w", 3, "d")}, records{start("w", 2, "c"), stop("w", 2, "stopped"), start("w", 3, "c")}},
-		{"checkpoint of a run that failed", check.ResumedOnce, records{start("w", 2, "c"), stop("w", 2, "failed"), start("v", 3, "c")}, records{start("w", 2, "c"), start("v", 3, "c"), stop("w", 2, "failed")}},
-		{"checkpoint of a run that was done", check.ResumedOnce, records{start("w", 2, "c"), stop("w", 2, "expired"), start("v", 3, "c"), stop("v", 3, "done")}, records{start("w", 2, "c"), stop("w", 2, "done"), start("v", 3, "c")}},
-		{"done", check.ResumedOnce, records{start("w", 1, ""), stop("w", 1, "done")}, records{start("w", 1, ""), stop("w", 1, "done"), start("w", 2, "")}},
-		{"crossed", check.CompleteAnswer, records{sent("c"), answered(whole)}, records{sent("c"), answered(crossed)}},
-		{"other body", check.CompleteAnswer, records{sent("c"), unknown}, records{sent("c"), answered(other)}},
-		{"cut", check.CompleteAnswer, records{sent("c"), notRun}, records{sent("c"), answered(cut)}},
-		{"not run", check.NotRunAccurate, records{sent("c"), unknown, began("c", "")}, records{sent("c"), notRun, began("c", "")}},
-		{"booking", check.AtMostOnce, records{began("a", "k"), ended(), began("b", "l")}, records{began("a", "k"), ended(), began("b", "k")}},
-		{"leaving", check.NoWorkAfterLeaving, records{leaving, began("a", "")}, records{leaving, sent("x"), sent("y"), sent("z"), began("a", "")}},
-		{"drain", check.GracefulStop, records{sent("c"), drain, answered(whole)}, records{sent("c"), drain, unknown}},
+		{"slots", check.SlotLimit, records{requestBegan("a", ""), requestEnded(), requestBegan("b", "")}, records{requestBegan("a", ""), requestBegan("b", "")}},
+		{"capacity", check.CapacityLimit, records{runBegan("w", 1, ""), runEnded("w", 1, "stopped"), otherJob}, records{runBegan("w", 1, ""), otherJob}},
+		{"one place", check.SinglePlacement, records{runBegan("w", 1, ""), runEnded("w", 1, "stopped"), runBegan("v", 2, "")}, records{runBegan("w", 1, ""), runBegan("v", 2, "")}},
+		{"epochs", check.ResumedOnce, records{runBegan("w", 1, ""), runEnded("w", 1, "stopped"), runBegan("w", 2, "")}, records{runBegan("w", 2, ""), runEnded("w", 2, "stopped"), runBegan("w", 2, "")}},
+		{"checkpoint", check.ResumedOnce, records{runBegan("w", 2, "c"), runEnded("w", 2, "stopped"), runBegan("w", 3, "d")}, records{runBegan("w", 2, "c"), runEnded("w", 2, "stopped"), runBegan("w", 3, "c")}},
+		{"checkpoint of a run that failed", check.ResumedOnce, records{runBegan("w", 2, "c"), runEnded("w", 2, "failed"), runBegan("v", 3, "c")}, records{runBegan("w", 2, "c"), runBegan("v", 3, "c"), runEnded("w", 2, "failed")}},
+		{"checkpoint of a run that was done", check.ResumedOnce, records{runBegan("w", 2, "c"), runEnded("w", 2, "expired"), runBegan("v", 3, "c"), runEnded("v", 3, "done")}, records{runBegan("w", 2, "c"), runEnded("w", 2, "done"), runBegan("v", 3, "c")}},
+		{"done", check.ResumedOnce, records{runBegan("w", 1, ""), runEnded("w", 1, "done")}, records{runBegan("w", 1, ""), runEnded("w", 1, "done"), runBegan("w", 2, "")}},
+		{"crossed", check.CompleteAnswer, records{sent("c"), answered(complete)}, records{sent("c"), answered(mismatched)}},
+		{"other body", check.CompleteAnswer, records{sent("c"), unknown}, records{sent("c"), answered(otherBody)}},
+		{"cut", check.CompleteAnswer, records{sent("c"), notRun}, records{sent("c"), answered(truncated)}},
+		{"not run", check.NotRunAccurate, records{sent("c"), unknown, requestBegan("c", "")}, records{sent("c"), notRun, requestBegan("c", "")}},
+		{"booking", check.AtMostOnce, records{requestBegan("a", "k"), requestEnded(), requestBegan("b", "l")}, records{requestBegan("a", "k"), requestEnded(), requestBegan("b", "k")}},
+		{"leaving", check.NoWorkAfterLeaving, records{leaving, requestBegan("a", "")}, records{leaving, sent("x"), sent("y"), sent("z"), requestBegan("a", "")}},
+		{"drain", check.GracefulStop, records{sent("c"), drain, answered(complete)}, records{sent("c"), drain, unknown}},
 		{"drain, no end", check.GracefulStop, records{sent("c"), drain, notRun}, records{sent("c"), drain}},
-		{"reverted", check.ConfigMonotonic, records{force("h", 1), force("h", 2)}, records{force("h", 2), force("h", 1)}},
-		{"in time", check.ConfigInTime, records{force("h", 1), accepted, force("h", 2), sent("a"), sent("b"), sent("c"), sent("d")}, records{force("h", 1), accepted, sent("a"), sent("b"), sent("c"), sent("d"), force("h", 2)}},
+		{"reverted", check.ConfigMonotonic, records{configInForce("h", 1), configInForce("h", 2)}, records{configInForce("h", 2), configInForce("h", 1)}},
+		{"in time", check.ConfigInTime, records{configInForce("h", 1), accepted, configInForce("h", 2), sent("a"), sent("b"), sent("c"), sent("d")}, records{configInForce("h", 1), accepted, sent("a"), sent("b"), sent("c"), sent("d"), configInForce("h", 2)}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := check.Run(stamp(tc.good)).Violations; len(got) != 0 {
-				t.Errorf("good history: %+v", got)
+				t.Errorf("valid history: got violations %+v, want none", got)
 			}
 			got := check.Run(stamp(tc.bad)).Violations
 			found := false
@@ -83,13 +85,13 @@
 				found = found || v.Promise == tc.promise
 			}
 			if !found {
-				t.Errorf("doctored history: %+v", got)
+				t.Errorf("invalid history: got violations %+v, want one of the promise under test", got)
 			}
 		})
 	}
 }
 
-// stamp numbers records and puts them one second apart.
+// stamp sets sequence numbers and times, one second apart.
 func stamp(records []check.Record) []check.Record {
 	stamped := make([]check.Record, len(records))
 	for i, r := range records {
--- a/check/slots.go
+++ b/check/slots.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// checkSlots counts the requests that each endpoint works on.
+// checkSlots finds endpoints that processed more requests at once than they have
+// slots.
 func checkSlots(records []Record, _ Limits) []Violation {
 	var found []Violation
 	running := map[string]int{}
@@ -13,7 +14,7 @@
 			running[b.Endpoint]++
 			if n := running[b.Endpoint]; n > b.Slots {
 				found = append(found, violation(SlotLimit,
-					fmt.Sprintf("%s worked on %d requests with %d slots", b.Endpoint, n, b.Slots), r))
+					fmt.Sprintf("endpoint %s processed %d requests at once with %d slots", b.Endpoint, n, b.Slots), r))
 			}
 		case r.RequestEnded != nil:
 			running[r.RequestEnded.Endpoint]--
--- a/check/violation.go
+++ b/check/violation.go
@@ -1,9 +1,9 @@
 package check
 
-// Promise names what a checker checks.
+// Promise is the text of a guarantee that a checker verifies.
 type Promise string
 
-// The promises.
+// The promises that Run checks.
 const (
 	SlotLimit          Promise = "endpoint slots are never exceeded"
 	CapacityLimit      Promise = "worker capacity is never exceeded"
@@ -18,11 +18,11 @@
 	ConfigInTime       Promise = "a configuration is in force everywhere in time"
 )
 
-// Violation is one broken promise.
+// Violation is one breach of a promise.
 type Violation struct {
 	Promise Promise `json:"promise"`
-	// Records are the sequence numbers of the records that show it.
+	// Records holds the sequence numbers of the records that show the breach.
 	Records []uint64 `json:"records"`
-	// Detail is a sentence for people.
+	// Detail describes the breach for a reader.
 	Detail string `json:"detail"`
 }
--- a/faultproxy/doc.go
+++ b/faultproxy/doc.go
@@ -1,3 +1,3 @@
-// Package faultproxy is a small TCP proxy for tests. Its faults are set at
-// run time.
+// Package faultproxy provides a TCP proxy for tests that injects network faults.
+// The faults can be changed while connections are open.
 package faultproxy
--- a/faultproxy/link.go
+++ b/faultproxy/link.go
@@ -8,7 +8,7 @@
 
 const bufferSize = 32 << 10
 
-// link is one connection through the proxy.
+// link is one proxied connection.
 type link struct {
 	proxy          *Proxy
 	client, target net.Conn
@@ -20,7 +20,7 @@
 	return &link{proxy: p, client: client, target: target, ended: make(chan struct{})}
 }
 
-// reset ends both sides with a TCP reset.
+// reset closes both sides with a TCP reset.
 func (l *link) reset() {
 	l.once.Do(func() {
 		close(l.ended)
@@ -29,16 +29,16 @@
 	})
 }
 
-// abort closes a connection without the usual handshake.
+// abort closes a connection with a TCP reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// Without effect on a connection that has gone; it is closed anyway.
+		// An error means that the connection is already closed.
 		_ = tcp.SetLinger(0)
 	}
 	c.Close()
 }
 
-// run copies both ways until both ended.
+// run copies in both directions and returns when both have ended.
 func (l *link) run() {
 	var copying sync.WaitGroup
 	copying.Go(func() { l.copy(l.target, l.client, true) })
@@ -46,31 +46,31 @@
 	copying.Wait()
 }
 
-// copy passes bytes on in one direction. The end of one side is passed on as
-// a half close.
+// copy forwards bytes in one direction and closes the sending side of to at the
+// end of the stream.
 func (l *link) copy(to, from net.Conn, toTarget bool) {
 	buffer := make([]byte, bufferSize)
-	var passed int64
+	var forwarded int64
 	for {
 		n, err := from.Read(buffer)
-		f, ok := l.hold()
+		f, ok := l.waitWhileHeld()
 		if !ok {
 			return
 		}
 		drop := (toTarget && f.DropToTarget) || (!toTarget && f.DropToClient)
-		piece := buffer[:n]
-		over := toTarget && f.ResetAfter > 0 && passed+int64(n) >= f.ResetAfter
-		if over {
-			piece = piece[:max(0, min(int64(n), f.ResetAfter-passed))]
+		chunk := buffer[:n]
+		limitReached := toTarget && f.ResetAfter > 0 && forwarded+int64(n) >= f.ResetAfter
+		if limitReached {
+			chunk = chunk[:max(0, min(int64(n), f.ResetAfter-forwarded))]
 		}
 		if !drop {
-			if _, writeErr := to.Write(piece); writeErr != nil {
+			if _, writeErr := to.Write(chunk); writeErr != nil {
 				l.reset()
 				return
 			}
 		}
-		passed += int64(len(piece))
-		if over {
+		forwarded += int64(len(chunk))
+		if limitReached {
 			l.reset()
 			return
 		}
@@ -81,23 +81,25 @@
 	}
 }
 
-// hold waits as long as Freeze, then Delay; false if the link ended.
-func (l *link) hold() (Faults, bool) {
+// waitWhileHeld waits until Freeze is cleared, then for Delay, and returns the
+// faults that apply. It returns false if the link ends first.
+func (l *link) waitWhileHeld() (Faults, bool) {
 	for {
-		f, changed := l.proxy.get()
+		f, changed := l.proxy.currentFaults()
 		if !f.Freeze {
-			return f, l.delay(f.Delay)
+			return f, l.wait(f.Delay)
 		}
-		if !l.frozen(changed) {
+		if !l.waitForChange(changed) {
 			return f, false
 		}
 	}
 }
 
-// frozen waits for a change of faults; false if the link ended.
-func (l *link) frozen(changed <-chan struct{}) bool {
-	l.proxy.addHeld(1)
-	defer l.proxy.addHeld(-1)
+// waitForChange waits until the faults change. It returns false if the link ends
+// first.
+func (l *link) waitForChange(changed <-chan struct{}) bool {
+	l.proxy.addHeldChunks(1)
+	defer l.proxy.addHeldChunks(-1)
 	select {
 	case <-changed:
 		return true
@@ -106,7 +108,7 @@
 	}
 }
 
-func (l *link) delay(d time.Duration) bool {
+func (l *link) wait(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -120,10 +122,10 @@
 	}
 }
 
-// halfClose ends the sending direction of a connection.
+// halfClose closes the sending side of a connection.
 func halfClose(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// Without effect on a connection that has gone.
+		// An error means that the connection is already closed.
 		_ = tcp.CloseWrite()
 	}
 }
--- a/faultproxy/proxy.go
+++ b/faultproxy/proxy.go
@@ -7,27 +7,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Proxy passes TCP connections on to a target.
+// Proxy forwards TCP connections to a target. It is safe for concurrent use.
 type Proxy struct {
-	listener net.Listener
-	target   string
-	closed   chan struct{}
-	once     sync.Once
-	running  sync.WaitGroup
+	listener   net.Listener
+	target     string
+	closed     chan struct{}
+	once       sync.Once
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	faults  Faults
-	changed chan struct{}
-	links   map[*link]struct{}
-	held    int
+	mu         sync.Mutex
+	faults     Faults
+	changed    chan struct{}
+	links      map[*link]struct{}
+	heldChunks int
 }
 
-// New listens on listen, such as "127.0.0.1:0", and passes connections on to
-// target, IP:port.
+// New starts a proxy that listens on listen, such as "127.0.0.1:0", and forwards
+// connections to target. Both are IP:port.
 func New(listen, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		return nil, errors.Wrap(err, "listen")
+		return nil, errors.Wrap(err, "start fault proxy")
 	}
 	p := &Proxy{
 		listener: listener,
@@ -36,14 +36,14 @@
 		changed:  make(chan struct{}),
 		links:    map[*link]struct{}{},
 	}
-	p.running.Go(p.accept)
+	p.goroutines.Go(p.accept)
 	return p, nil
 }
 
 // Addr returns the IP:port that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Set replaces the faults for all connections, open ones too.
+// SetFaults replaces the faults for all connections, including open ones.
 func (p *Proxy) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +52,7 @@
 	p.changed = make(chan struct{})
 }
 
-// Cut resets every open connection.
+// ResetAll resets every open connection.
 func (p *Proxy) ResetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// Close stops the proxy, resets its connections and waits for their end.
+// Close stops listening, resets all connections and waits until they have ended.
 func (p *Proxy) Close() error {
 	var err error
 	p.once.Do(func() {
@@ -69,25 +69,25 @@
 		err = p.listener.Close()
 		p.ResetAll()
 	})
-	p.running.Wait()
+	p.goroutines.Wait()
 	return err
 }
 
-// Held returns how many pieces of bytes a freeze holds now, an end of stream
-// counting as one.
+// HeldChunks returns the number of chunks that Freeze currently holds. An end of
+// stream counts as one.
 func (p *Proxy) HeldChunks() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.held
+	return p.heldChunks
 }
 
-func (p *Proxy) addHeld(n int) {
+func (p *Proxy) addHeldChunks(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.held += n
+	p.heldChunks += n
 }
 
-func (p *Proxy) get() (Faults, <-chan struct{}) {
+func (p *Proxy) currentFaults() (Faults, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults, p.changed
@@ -99,15 +99,15 @@
 		if err != nil {
 			return
 		}
-		if f, _ := p.get(); f.Refuse {
+		if f, _ := p.currentFaults(); f.Refuse {
 			client.Close()
 			continue
 		}
-		p.running.Go(func() { p.connect(client) })
+		p.goroutines.Go(func() { p.connect(client) })
 	}
 }
 
-// connect links a client with the target until either ends.
+// connect forwards between a client and the target until the connection ends.
 func (p *Proxy) connect(client net.Conn) {
 	target, err := net.Dial("tcp", p.target)
 	if err != nil {
@@ -124,7 +124,7 @@
 	p.mu.Unlock()
 }
 
-// add registers a link; false once the proxy is closed.
+// add registers a link. It returns false if the proxy is closed.
 func (p *Proxy) add(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/faultproxy/proxy_test.go
+++ b/faultproxy/proxy_test.go
@@ -9,8 +9,9 @@
 	"github.com/fireflygate/fireflygate/faultproxy"
 )
 
-// target listens and hands over its connections.
-func target(t *testing.T) (string, <-chan net.Conn) {
+// listenTarget listens on a loopback port and returns its address and the
+// connections that it accepts.
+func listenTarget(t *testing.T) (string, <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,10 +31,10 @@
 	return l.Addr().String(), conns
 }
 
-// link returns both ends of a connection through a new proxy.
-func link(t *testing.T) (p *faultproxy.Proxy, client, server net.Conn) {
+// connect returns a new proxy and both ends of a connection through it.
+func connect(t *testing.T) (p *faultproxy.Proxy, client, server net.Conn) {
 	t.Helper()
-	address, conns := target(t)
+	address, conns := listenTarget(t)
 	p, err := faultproxy.New("127.0.0.1:0", address)
 	if err != nil {
 		t.Fatal(err)
@@ -51,8 +52,8 @@
 	return p, client, server
 }
 
-// expect reads exactly want.
-func expect(t *testing.T, c net.Conn, want string) {
+// expectRead fails the test unless the next bytes from c are want.
+func expectRead(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	buffer := make([]byte, len(want))
 	if _, err := io.ReadFull(c, buffer); err != nil || string(buffer) != want {
@@ -60,32 +61,32 @@
 	}
 }
 
-func TestPassesAndCuts(t *testing.T) {
-	p, client, server := link(t)
+func TestForwardsAndResets(t *testing.T) {
+	p, client, server := connect(t)
 	_, _ = io.WriteString(client, "ask")
-	expect(t, server, "ask")
+	expectRead(t, server, "ask")
 	_, _ = io.WriteString(server, "answer")
-	expect(t, client, "answer")
+	expectRead(t, client, "answer")
 	p.ResetAll()
 	if _, err := client.Read(make([]byte, 1)); err == nil {
-		t.Error("read after the cut")
+		t.Error("read after ResetAll: got no error")
 	}
 }
 
 func TestDropsOneDirection(t *testing.T) {
-	p, client, server := link(t)
+	p, client, server := connect(t)
 	p.SetFaults(faultproxy.Faults{DropToTarget: true})
 	_, _ = io.WriteString(client, "lost")
 	_ = client.(*net.TCPConn).CloseWrite()
 	if data, err := io.ReadAll(server); err != nil || len(data) != 0 {
-		t.Errorf("server read %q: %v", data, err)
+		t.Errorf("server read %q, error %v; want the end of the stream", data, err)
 	}
 	_, _ = io.WriteString(server, "answer")
-	expect(t, client, "answer")
+	expectRead(t, client, "answer")
 }
 
 func TestFreezeHoldsBytes(t *testing.T) {
-	p, client, server := link(t)
+	p, client, server := connect(t)
 	p.SetFaults(faultproxy.Faults{Freeze: true})
 	_, _ = io.WriteString(client, "held")
 	got := make(chan byte, 1)
@@ -97,23 +98,23 @@
 	for p.HeldChunks() == 0 {
 		select {
 		case <-got:
-			t.Fatal("a byte passed a frozen proxy")
+			t.Fatal("the server received a byte during Freeze")
 		default:
 			runtime.Gosched()
 		}
 	}
 	p.SetFaults(faultproxy.Faults{})
 	if b := <-got; b != 'h' {
-		t.Errorf("read %q", b)
+		t.Errorf("server read %q after Freeze, want 'h'", b)
 	}
 }
 
 func TestResetAfterBytes(t *testing.T) {
-	p, client, server := link(t)
+	p, client, server := connect(t)
 	p.SetFaults(faultproxy.Faults{ResetAfter: 3})
 	_, _ = io.WriteString(client, "abcdef")
 	data, err := io.ReadAll(server)
 	if err == nil || len(data) > 3 {
-		t.Errorf("read %q: %v", data, err)
+		t.Errorf("server read %q, error %v; want at most 3 bytes and an error", data, err)
 	}
 }
