--- a/integration/addresses.go
+++ b/integration/addresses.go
@@ -9,45 +9,45 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Ports of an entry host. They lie below those that the system hands out, and
-// each entry host has a loopback address of its own, so nothing else takes
-// them between the choice and the start, nor across a restart.
+// Ports of an entry host. They lie below the ephemeral port range, and each entry
+// host has its own loopback address, so they remain available across restarts.
 const (
-	guardPort     = 7000
+	lockPort      = 7000
 	callersPort   = 7001
 	operatorsPort = 7002
 	peersPort     = 7003
 )
 
-// blocks counts the address blocks taken by this process.
-var blocks atomic.Int64
+// blockCount is the number of address blocks that this process has tried.
+var blockCount atomic.Int64
 
-// block is a range of loopback addresses that one site uses: 127.a.b.*.
-type block struct {
+// addressBlock is the range of loopback addresses that one site uses: 127.a.b.*.
+// The lock listener keeps other sites on this machine from using the same range.
+type addressBlock struct {
 	prefix string
-	guard  net.Listener
+	lock   net.Listener
 }
 
-// takeBlock finds a range that no other site uses, on this machine.
-func takeBlock() (block, error) {
+// reserveBlock reserves a range that no other site on this machine uses.
+func reserveBlock() (addressBlock, error) {
 	const tries = 256
 	for range tries {
-		n := int64(os.Getpid())*8 + blocks.Add(1)
+		n := int64(os.Getpid())*8 + blockCount.Add(1)
 		prefix := fmt.Sprintf("127.%d.%d", 16+n/256%200, n%256)
-		guard, err := net.Listen("tcp", fmt.Sprintf("%s.1:%d", prefix, guardPort))
+		lock, err := net.Listen("tcp", fmt.Sprintf("%s.1:%d", prefix, lockPort))
 		if err == nil {
-			return block{prefix: prefix, guard: guard}, nil
+			return addressBlock{prefix: prefix, lock: lock}, nil
 		}
 	}
-	return block{}, errors.New("no free range of loopback addresses")
+	return addressBlock{}, errors.New("no free range of loopback addresses after 256 tries")
 }
 
-// standIns returns the IP number of the site's stand-ins. Their ports are any
-// free ones, and are free again once they end: on a number of their own, what
-// another site still sends to its old stand-ins never comes to these.
-func (b block) standIns() string { return b.prefix + ".2" }
+// standInIP returns the IP address of the site's stand-ins. They use ephemeral
+// ports, which other processes may reuse later; an address per site keeps requests
+// for the stand-ins of one site from reaching those of another.
+func (b addressBlock) standInIP() string { return b.prefix + ".2" }
 
-// address returns IP:port of an entry host.
-func (b block) address(host, port int) string {
+// address returns the IP:port of an entry host.
+func (b addressBlock) address(host, port int) string {
 	return fmt.Sprintf("%s.%d:%d", b.prefix, 10+host, port)
 }
--- a/integration/addresses_test.go
+++ b/integration/addresses_test.go
@@ -2,27 +2,26 @@
 
 import "testing"
 
-// TestSitesHaveTheirOwnNumbers checks that stand-ins of two sites never share
-// an IP number. Ports of ended or killed stand-ins are free for anybody: when
-// all were on one number, the exchanges for a killed worker of one site came
-// to an endpoint of another and took a slot there.
-func TestSitesHaveTheirOwnNumbers(t *testing.T) {
-	var taken []block
+// TestSitesHaveDistinctStandInAddresses checks that no two sites share the IP
+// address of their stand-ins: otherwise requests for a killed worker of one site
+// could reach an endpoint of another that reuses its port.
+func TestSitesHaveDistinctStandInAddresses(t *testing.T) {
+	var taken []addressBlock
 	defer func() {
 		for _, b := range taken {
-			b.guard.Close()
+			b.lock.Close()
 		}
 	}()
 	seen := map[string]bool{}
 	for range 3 {
-		b, err := takeBlock()
+		b, err := reserveBlock()
 		if err != nil {
 			t.Fatal(err)
 		}
 		taken = append(taken, b)
-		if seen[b.standIns()] {
-			t.Fatalf("two sites have their stand-ins on %s", b.standIns())
+		if seen[b.standInIP()] {
+			t.Fatalf("two sites use %s for their stand-ins, want distinct addresses", b.standInIP())
 		}
-		seen[b.standIns()] = true
+		seen[b.standInIP()] = true
 	}
 }
--- a/integration/operators.go
+++ b/integration/api.go
@@ -16,15 +16,15 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// requestTimeout bounds one submission or change of the configuration.
+// requestTimeout limits one request about a job or a configuration.
 const requestTimeout = 3 * time.Second
 
-// jobs returns a client of a host's jobs.
+// jobs returns a client for the job API of a host.
 func (s *Site) jobs(h *Host) *jobsclient.Client {
-	return jobsclient.NewClient("http", hostOf(h.CallersURL), s.client, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
+	return jobsclient.NewClient("http", hostPort(h.CallersURL), s.client, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 }
 
-// Submit submits a job once at a host. The error may be a *jobs.Problem.
+// Submit submits a job to a host without retries. The error may be a *jobs.Problem.
 func (s *Site) Submit(h *Host, spec *jobs.JobSpec) (*jobs.JobStatus, error) {
 	return job(s.jobs(h).Submit(), spec)
 }
@@ -34,12 +34,12 @@
 	return job(s.jobs(h).Cancel(), &jobs.CancelPayload{ID: id})
 }
 
-// Job shows a job at a host.
+// Job returns the status of a job from a host.
 func (s *Site) Job(h *Host, id string) (*jobs.JobStatus, error) {
 	return job(s.jobs(h).Show(), &jobs.ShowPayload{ID: id})
 }
 
-// job asks for something whose answer is a job.
+// job calls an API method that returns the status of a job.
 func job(ask func(context.Context, any) (any, error), payload any) (*jobs.JobStatus, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
@@ -50,8 +50,8 @@
 	return res.(*jobs.JobStatus), nil
 }
 
-// Apply applies a change of the hosts' policy at one of them, on top of the
-// version base, and records its acceptance.
+// Apply applies a configuration at a host: the settings of the host with a change,
+// based on version base. It records the accepted version.
 func (s *Site) Apply(h *Host, base int64, change func(*settings.Settings)) (*configs.ConfigVersion, error) {
 	next := h.settings
 	change(&next)
@@ -61,7 +61,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	c := configsclient.NewClient("http", hostOf(h.OperatorsURL), &http.Client{Transport: s.client.Transport},
+	c := configsclient.NewClient("http", hostPort(h.OperatorsURL), &http.Client{Transport: s.client.Transport},
 		goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	res, err := c.Apply()(ctx, &configs.ApplyPayload{Base: base, Author: "integration", Content: content})
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 	v, ok := res.(*configs.ConfigVersion)
 	if !ok {
-		return nil, errors.Newf("apply answered %T", res)
+		return nil, errors.Newf("apply configuration: unexpected result of type %T", res)
 	}
 	s.Recorder.Add(check.Record{ConfigAccepted: &check.ConfigAccepted{Version: uint64(v.Version)}})
 	return v, nil
--- a/integration/balancer.go
+++ b/integration/balancer.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// balancer stands for the platform's balancer: it asks each entry host
-// whether it is ready, and sends requests to those that are.
+// balancer simulates the platform's load balancer, which polls the readiness of
+// the entry hosts and sends requests only to ready hosts.
 type balancer struct {
 	mu    sync.Mutex
 	ready []string
 }
 
-// newBalancer returns one that starts with all hosts.
+// newBalancer returns a balancer that considers all hosts ready until its first
+// poll.
 func newBalancer(hosts []*Host) *balancer {
 	b := &balancer{}
 	for _, h := range hosts {
@@ -21,13 +22,13 @@
 	return b
 }
 
-// run asks until stop is closed.
+// run polls the hosts until stop is closed.
 func (b *balancer) run(hosts []*Host, stop <-chan struct{}) {
 	const interval = 50 * time.Millisecond
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		b.ask(hosts)
+		b.poll(hosts)
 		select {
 		case <-stop:
 			return
@@ -36,9 +37,9 @@
 	}
 }
 
-// ask asks all hosts at once. With none ready it keeps those that it has, as
-// a balancer does that would rather send to a doubtful host than to none.
-func (b *balancer) ask(hosts []*Host) {
+// poll polls all hosts concurrently. If none is ready, the previous list of ready
+// hosts stays.
+func (b *balancer) poll(hosts []*Host) {
 	answers := make([]bool, len(hosts))
 	var asking sync.WaitGroup
 	for i, h := range hosts {
@@ -58,7 +59,7 @@
 	}
 }
 
-// targets returns the callers' URLs of the hosts that were ready at last.
+// targets returns the callers' URLs of the hosts that were ready at the last poll.
 func (b *balancer) targets() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/integration/batch_cancel_test.go
+++ b/integration/batch_cancel_test.go
@@ -11,9 +11,9 @@
 	"github.com/fireflygate/fireflygate/gen/jobs"
 )
 
-// TestCancelRacesStart submits more jobs than fit, and cancels all in random
-// order at random hosts: each cancel of a run makes room, for jobs that are
-// being cancelled at that moment. One that is cancelled at epoch 0 never ran.
+// TestCancelRacesStart cancels more jobs than the workers have capacity for, in
+// random order, so that each cancel of a run lets another job start while that one
+// is being cancelled. A job that is cancelled at epoch 0 must never have run.
 func TestCancelRacesStart(t *testing.T) {
 	t.Parallel()
 	s := batchSite(t)
@@ -21,18 +21,18 @@
 	epochs := map[string]int64{}
 	for round := range rounds {
 		ids := s.submitMany(submitters, each, round)
-		s.WaitUntil("some run", func() bool { return s.running() > 0 })
+		s.WaitUntil("some jobs run", func() bool { return s.runningCount() > 0 })
 		for id, epoch := range s.cancelAll(ids, uint64(round)) {
 			epochs[id] = epoch
 		}
 	}
-	s.WaitUntil("nothing runs", func() bool { return s.running() == 0 })
+	s.WaitUntil("nothing runs", func() bool { return s.runningCount() == 0 })
 	s.checkCancelled(epochs)
 	s.Check()
 }
 
-// running counts the runs that have begun and not ended.
-func (s *Site) running() int {
+// runningCount returns the number of runs that have started and not ended.
+func (s *Site) runningCount() int {
 	n := 0
 	for _, r := range s.runsOf(func(check.Record) bool { return true }) {
 		if r.RunBegan != nil {
@@ -44,33 +44,34 @@
 	return n
 }
 
-// submitMany submits long jobs of which a worker holds three.
+// submitMany submits long-running jobs concurrently, each of about a third of a
+// worker, and returns their IDs.
 func (s *Site) submitMany(submitters, each, round int) []string {
 	s.t.Helper()
 	ids := make([]string, submitters*each)
 	runMS := int64(60_000)
-	var work sync.WaitGroup
+	var submissions sync.WaitGroup
 	for i := range submitters {
-		work.Go(func() {
+		submissions.Go(func() {
 			for n := range each {
 				st, err := s.Submit(s.Hosts[(i+n)%len(s.Hosts)], &jobs.JobSpec{
 					Key: fmt.Sprintf("c-%d-%d-%d", round, i, n), Team: "rounds", Class: "route-plan", Qos: "batch", RunMs: &runMS,
 					Resources: &jobs.ResourceList{MilliCPU: 20_000, MemoryMb: 1000},
 				})
 				if err != nil {
-					s.t.Errorf("submit: %v", err)
+					s.t.Errorf("submit job: %v", err)
 					continue
 				}
 				ids[i*each+n] = st.ID
 			}
 		})
 	}
-	work.Wait()
+	submissions.Wait()
 	return ids
 }
 
-// cancelAll cancels jobs, several at once, and returns the epoch at which each
-// was.
+// cancelAll cancels jobs concurrently and returns the epoch at which each was
+// cancelled.
 func (s *Site) cancelAll(ids []string, seed uint64) map[string]int64 {
 	rng := rand.New(rand.NewPCG(23, seed))
 	rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
@@ -93,40 +94,41 @@
 	return epochs
 }
 
-// cancelOne cancels a job until that is answered.
-func (s *Site) cancelOne(id string, first int) *jobs.JobStatus {
-	again := time.NewTicker(pollInterval)
-	defer again.Stop()
-	for n, end := first, time.Now().Add(ConditionTimeout); time.Now().Before(end); n++ {
+// cancelOne retries the cancel of a job, at one host after another, until it is
+// confirmed.
+func (s *Site) cancelOne(id string, firstHost int) *jobs.JobStatus {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for n, end := firstHost, time.Now().Add(ConditionTimeout); time.Now().Before(end); n++ {
 		got, err := s.Cancel(s.Hosts[n%len(s.Hosts)], id)
 		if err == nil && got.State == "cancelled" {
 			return got
 		}
-		<-again.C
+		<-ticker.C
 	}
-	s.t.Errorf("%s was never cancelled", id)
+	s.t.Errorf("cancel of job %s was not confirmed in time", id)
 	return nil
 }
 
-// checkCancelled compares what the cancels were told with the workers'
-// records. Both sides of the race must have been met.
+// checkCancelled compares the epochs that the cancels returned with the workers'
+// records. Some cancels must have come before the start and some after it.
 func (s *Site) checkCancelled(epochs map[string]int64) {
 	s.t.Helper()
 	ran := map[string]bool{}
-	for _, r := range s.runsOf(began) {
+	for _, r := range s.runsOf(runBegan) {
 		ran[r.RunBegan.Run.Job] = true
 	}
-	never := 0
+	neverStarted := 0
 	for id, epoch := range epochs {
 		if epoch == 0 {
-			never++
+			neverStarted++
 		}
 		if epoch == 0 && ran[id] {
-			s.t.Errorf("job %s was cancelled at epoch 0 and ran", id)
+			s.t.Errorf("job %s was cancelled at epoch 0 but ran", id)
 		}
 	}
-	if never == 0 || never == len(epochs) {
-		s.t.Errorf("%d of %d cancels came before the start; the race was not met", never, len(epochs))
+	if neverStarted == 0 || neverStarted == len(epochs) {
+		s.t.Errorf("%d of %d cancels came before the start, want some but not all", neverStarted, len(epochs))
 	}
-	s.t.Logf("%d cancels before the start, %d after", never, len(epochs)-never)
+	s.t.Logf("%d cancels before the start, %d after", neverStarted, len(epochs)-neverStarted)
 }
--- a/integration/batch_load_test.go
+++ b/integration/batch_load_test.go
@@ -15,7 +15,8 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// batchSite is a site of eight workers in four racks, one to a zone.
+// batchSite starts a site with three endpoints and eight workers in four racks,
+// one rack per zone.
 func batchSite(t *testing.T) *Site {
 	return New(t, Options{
 		StandIns: func(c *standin.Config) { c.Services[0].Endpoints, c.Workers.Count = 3, 8 },
@@ -23,46 +24,47 @@
 	})
 }
 
-// jobLoad submits jobs, one after the other in each of a few goroutines, to
-// hosts drawn at random. A submission that was not answered is repeated under
-// its key, at any host, until it is; some that were answered are repeated too.
+// jobLoad submits jobs to random hosts from several goroutines. A submission is
+// retried with the same key until it is acknowledged; some acknowledged ones are
+// repeated as well.
 type jobLoad struct {
 	jobMix
-	site *Site
-	stop chan struct{}
-	work sync.WaitGroup
+	site       *Site
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 
-	mu  sync.Mutex // guards the fields below
-	ids map[string]string
+	mu  sync.Mutex        // guards the fields below
+	ids map[string]string // job IDs by submission key
 }
 
-// jobMix is what a jobLoad submits.
+// jobMix describes the jobs that a jobLoad submits.
 type jobMix struct {
-	// pace is how long a submitter waits between jobs.
-	pace time.Duration
-	// submitters is how many submit at once; 4 if 0.
+	// interval is the time between two jobs of one submitter.
+	interval time.Duration
+	// submitters is the number of concurrent submitters; 4 if 0.
 	submitters int
-	// runMS is the range of run times, milliCPU that of declared sizes.
+	// runMS is the range of run times in milliseconds, milliCPU the range of
+	// requested processors.
 	runMS, milliCPU [2]int64
 }
 
-// small are many jobs of which a worker holds many.
-func small(runMS [2]int64) jobMix {
-	return jobMix{pace: 50 * time.Millisecond, runMS: runMS, milliCPU: [2]int64{2000, 8000}}
+// smallJobs is a mix of frequent jobs, many of which fit on a worker.
+func smallJobs(runMS [2]int64) jobMix {
+	return jobMix{interval: 50 * time.Millisecond, runMS: runMS, milliCPU: [2]int64{2000, 8000}}
 }
 
-// startJobs starts submitting; the test must call finish.
+// startJobs starts to submit jobs. The test must call finish.
 func (s *Site) startJobs(seed uint64, mix jobMix) *jobLoad {
-	const usual = 4
+	const defaultSubmitters = 4
 	l := &jobLoad{jobMix: mix, site: s, stop: make(chan struct{}), ids: map[string]string{}}
-	for i := range cmp.Or(mix.submitters, usual) {
-		l.work.Go(func() { l.submitter(rand.New(rand.NewPCG(seed, uint64(i))), i) })
+	for i := range cmp.Or(mix.submitters, defaultSubmitters) {
+		l.goroutines.Go(func() { l.submitter(rand.New(rand.NewPCG(seed, uint64(i))), i) })
 	}
 	return l
 }
 
 func (l *jobLoad) submitter(rng *rand.Rand, number int) {
-	ticker := time.NewTicker(l.pace)
+	ticker := time.NewTicker(l.interval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -70,16 +72,16 @@
 			return
 		case <-ticker.C:
 		}
-		const again = 0.2
+		const repeatShare = 0.2
 		spec := l.spec(rng, fmt.Sprintf("job-%d-%d", number, n))
 		l.submit(rng, spec)
-		if rng.Float64() < again {
+		if rng.Float64() < repeatShare {
 			l.submit(rng, spec)
 		}
 	}
 }
 
-// spec draws a job.
+// spec returns a random job.
 func (l *jobLoad) spec(rng *rand.Rand, key string) *jobs.JobSpec {
 	urgent := rng.IntN(4) == 0
 	runMS := l.runMS[0] + rng.Int64N(l.runMS[1]-l.runMS[0])
@@ -90,8 +92,8 @@
 	}
 }
 
-// submit sends a job until it is acknowledged; the same key must always be the
-// same job.
+// submit retries a submission until it is acknowledged. The same key must always
+// return the same job ID.
 func (l *jobLoad) submit(rng *rand.Rand, spec *jobs.JobSpec) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -105,41 +107,41 @@
 			continue
 		}
 		l.mu.Lock()
-		if before, known := l.ids[spec.Key]; known && before != status.ID {
-			l.site.t.Errorf("key %s is job %s, and was %s", spec.Key, status.ID, before)
+		if previous, known := l.ids[spec.Key]; known && previous != status.ID {
+			l.site.t.Errorf("key %s is job %s, want %s as acknowledged before", spec.Key, status.ID, previous)
 		}
 		l.ids[spec.Key] = status.ID
 		l.mu.Unlock()
 		return
 	}
-	l.site.t.Errorf("%s was never acknowledged", spec.Key)
+	l.site.t.Errorf("submission of %s was not acknowledged in time", spec.Key)
 }
 
-// acknowledged returns how many jobs were.
+// acknowledged returns the number of acknowledged jobs.
 func (l *jobLoad) acknowledged() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.ids)
 }
 
-// await waits until n more jobs than now are acknowledged.
-func (l *jobLoad) await(n int) {
+// awaitJobs waits until n more jobs are acknowledged.
+func (l *jobLoad) awaitJobs(n int) {
 	l.site.t.Helper()
 	want := l.acknowledged() + n
 	l.site.WaitUntil("jobs acknowledged", func() bool { return l.acknowledged() >= want })
 }
 
-// finish stops submitting and waits until every acknowledged job is done. It
-// then checks that each was done once, by the workers' own records.
+// finish stops submitting, waits until every acknowledged job is done and checks,
+// from the workers' records, that each was done exactly once.
 func (l *jobLoad) finish() {
 	l.site.t.Helper()
 	close(l.stop)
-	l.work.Wait()
-	left := map[string]bool{}
+	l.goroutines.Wait()
+	remaining := map[string]bool{}
 	for _, id := range l.ids {
-		left[id] = true
+		remaining[id] = true
 	}
-	l.site.untilDone(left)
+	l.site.untilDone(remaining)
 	done := map[string]int{}
 	for _, r := range l.site.History() {
 		if r.RunEnded != nil && r.RunEnded.State == infra.RunDone {
@@ -148,42 +150,43 @@
 	}
 	for key, id := range l.ids {
 		if done[id] != 1 {
-			l.site.t.Errorf("%s (%s) was done %d times", key, id, done[id])
+			l.site.t.Errorf("%s (job %s) was done %d times, want once", key, id, done[id])
 		}
 	}
 	if len(done) != len(l.ids) {
-		l.site.t.Errorf("%d jobs were done, %d acknowledged", len(done), len(l.ids))
+		l.site.t.Errorf("%d jobs were done, want the %d acknowledged", len(done), len(l.ids))
 	}
 	l.site.t.Logf("%d jobs done", len(l.ids))
 }
 
-// untilDone waits until the jobs are done, as any host says; it empties left.
-func (s *Site) untilDone(left map[string]bool) {
+// untilDone waits until a host reports each of the jobs as done. It removes done
+// jobs from remaining.
+func (s *Site) untilDone(remaining map[string]bool) {
 	s.t.Helper()
 	defer func() {
-		for id := range left {
+		for id := range remaining {
 			for _, h := range s.Hosts {
 				if st, err := s.Job(h, id); err == nil {
-					s.t.Logf("left: %+v", *st)
+					s.t.Logf("not done: %+v", *st)
 					break
 				}
 			}
 		}
 	}()
 	s.WaitUntil("all jobs done", func() bool {
-		for id := range left {
-			h := s.Hosts[len(left)%len(s.Hosts)]
+		for id := range remaining {
+			h := s.Hosts[len(remaining)%len(s.Hosts)]
 			st, err := s.Job(h, id)
 			if err != nil || st.State != "done" {
 				return false
 			}
-			delete(left, id)
+			delete(remaining, id)
 		}
 		return true
 	})
 }
 
-// runsOf returns the records of the runs of a site, in order.
+// runsOf returns the run records of the site that match, in order.
 func (s *Site) runsOf(match func(check.Record) bool) []check.Record {
 	s.t.Helper()
 	var out []check.Record
@@ -195,6 +198,5 @@
 	return out
 }
 
-// pause waits for a time that was drawn; it decides nothing but when a fault
-// comes.
-func pause(d time.Duration) { <-time.After(d) }
+// sleep delays a fault. Tests must not rely on it for synchronization.
+func sleep(d time.Duration) { <-time.After(d) }
--- a/integration/batch_store_test.go
+++ b/integration/batch_store_test.go
@@ -10,10 +10,10 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// TestRunsOutliveTheStore has the store down for longer than a session and
-// than a task's lease. What runs goes on, since hosts renew the leases at the
-// workers; nothing is stopped or started anew.
-func TestRunsOutliveTheStore(t *testing.T) {
+// TestRunsContinueWithoutStore takes the store down for longer than a session and
+// a task lease. Runs must continue, since the owners renew their leases at the
+// workers; none may be stopped or restarted.
+func TestRunsContinueWithoutStore(t *testing.T) {
 	t.Parallel()
 	s := batchSite(t)
 	ids := map[string]bool{}
@@ -26,38 +26,38 @@
 		s.must(err)
 		ids[st.ID] = true
 	}
-	s.WaitUntil("all run", func() bool { return len(s.runsOf(began)) == len(ids) })
+	s.WaitUntil("all run", func() bool { return len(s.runsOf(runBegan)) == len(ids) })
 	s.TableFaults(standin.Faults{Down: true})
 	settings := s.Hosts[0].settings
-	pause(max(settings.Lease.Session.D(), settings.Lease.TaskLease.D()) + 2*time.Second)
-	if cut := s.runsOf(unfinished); len(cut) > 0 {
-		t.Errorf("%d of %d runs were cut short while the store was down, such as %+v", len(cut), len(ids), *cut[0].RunEnded)
+	sleep(max(settings.Lease.Session.D(), settings.Lease.TaskLease.D()) + 2*time.Second)
+	if interrupted := s.runsOf(runCutShort); len(interrupted) > 0 {
+		t.Errorf("%d of %d runs were cut short while the store was down, such as %+v", len(interrupted), len(ids), *interrupted[0].RunEnded)
 	}
 	s.TableFaults(standin.Faults{})
 	n := len(ids)
 	s.untilDone(ids)
-	if got := len(s.runsOf(began)); got != n {
-		t.Errorf("%d runs of %d jobs", got, n)
+	if got := len(s.runsOf(runBegan)); got != n {
+		t.Errorf("%d runs of %d jobs, want one each", got, n)
 	}
 	s.Check()
 }
 
-func began(r check.Record) bool { return r.RunBegan != nil }
+func runBegan(r check.Record) bool { return r.RunBegan != nil }
 
-// unfinished matches runs that ended before they were done.
-func unfinished(r check.Record) bool {
+// runCutShort matches runs that ended before they were done.
+func runCutShort(r check.Record) bool {
 	return r.RunEnded != nil && r.RunEnded.State != infra.RunDone
 }
 
-// TestJobsAndLostCommits loses answers of the store after the writes took
-// effect: each commit is settled, none repeated blindly.
-func TestJobsAndLostCommits(t *testing.T) {
+// TestJobsWithLostStoreAnswers loses responses of the store to writes that took
+// effect. Owners must find out the outcome of each commit before they repeat it.
+func TestJobsWithLostStoreAnswers(t *testing.T) {
 	t.Parallel()
 	s := batchSite(t)
-	l := s.startJobs(19, small([2]int64{100, 800}))
-	l.await(10)
+	l := s.startJobs(19, smallJobs([2]int64{100, 800}))
+	l.awaitJobs(10)
 	s.TableFaults(standin.Faults{LoseShare: 0.3, Seed: 19})
-	l.await(120)
+	l.awaitJobs(120)
 	s.TableFaults(standin.Faults{})
 	l.finish()
 	s.WaitShardsHeld()
--- a/integration/config_register_test.go
+++ b/integration/config_register_test.go
@@ -18,34 +18,34 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// registerInput is one operation on the configuration, seen as a register of
-// versions that is changed by compare-and-swap.
+// registerInput is one operation on the configuration, modeled as a register that
+// holds a version and is changed by compare-and-swap.
 type registerInput struct {
-	// read is set for a listing of the versions.
+	// read is set if the operation reads the newest version.
 	read bool
-	// base is what a change was made from.
+	// base is the version that a change is based on.
 	base int64
 }
 
-// registerOutput is what the operator was told.
+// registerOutput is the response to an operation.
 type registerOutput struct {
-	// version is the version accepted or read; 0 if nothing was.
+	// version is the version accepted or read; 0 if there is none.
 	version int64
-	// lost, notRun and unknown tell how a change that was not accepted
-	// ended.
-	lost, notRun, unknown bool
+	// conflict, notRun and unknown are the outcomes of a change that was not
+	// accepted.
+	conflict, notRun, unknown bool
 }
 
-// registerModel says what may be told: a change is accepted on top of just its
-// base, and lost only if its base was overtaken.
+// registerModel allows a change to be accepted only if its base is the current
+// version, and to be in conflict only if the current version is later than its base.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, output any) []any {
 		at, in, out := state.(int64), input.(registerInput), output.(registerOutput)
 		switch {
-		case in.read && out.version == at, out.notRun, out.lost && at > in.base:
+		case in.read && out.version == at, out.notRun, out.conflict && at > in.base:
 			return []any{at}
-		case in.read, out.lost:
+		case in.read, out.conflict:
 			return nil
 		case out.unknown && at == in.base:
 			return []any{at, at + 1}
@@ -60,9 +60,9 @@
 	Equal: func(a, b any) bool { return a.(int64) == b.(int64) },
 }
 
-// TestConfigIsLinearizable has operators at all hosts change the configuration
-// from what they last read, while the store loses answers. What they were told
-// must fit one order of the changes.
+// TestConfigIsLinearizable changes and reads the configuration concurrently at
+// random hosts while the store loses responses. The recorded history must be
+// linearizable.
 func TestConfigIsLinearizable(t *testing.T) {
 	t.Parallel()
 	s := New(t, Options{})
@@ -94,22 +94,22 @@
 	}
 	work.Wait()
 	s.TableFaults(standin.Faults{})
-	won, lost := countRegister(history)
-	t.Logf("%d operations, %d accepted, %d lost", len(history), won, lost)
-	if won < 5 || lost < 5 {
-		t.Errorf("%d accepted and %d lost; the race was not met", won, lost)
+	accepted, conflicts := countRegister(history)
+	t.Logf("%d operations, %d accepted, %d conflicts", len(history), accepted, conflicts)
+	if accepted < 5 || conflicts < 5 {
+		t.Errorf("%d accepted and %d conflicts, want at least 5 of each", accepted, conflicts)
 	}
 	if !porcupine.CheckOperations(registerModel.ToModel(), history) {
-		t.Errorf("no order of the changes fits: %+v", history)
+		t.Errorf("the history is not linearizable: %+v", history)
 	}
 	s.Check()
 }
 
-// register changes or reads the configuration at a host. A read that was not
-// answered is not ok.
+// register changes or reads the configuration at a host. It returns false for a
+// read that failed.
 func (s *Site) register(h *Host, read bool, base int64, queue int) (registerOutput, bool) {
 	if read {
-		return s.newest(h)
+		return s.newestVersion(h)
 	}
 	v, err := s.Apply(h, base, func(c *settings.Settings) { c.Calls.Queue = queue })
 	if err == nil {
@@ -120,17 +120,18 @@
 	case !errors.As(err, &p), p.Outcome == "unknown":
 		return registerOutput{unknown: true}, true
 	case p.Name == "conflict":
-		return registerOutput{lost: true}, true
+		return registerOutput{conflict: true}, true
 	default:
 		return registerOutput{notRun: true}, true
 	}
 }
 
-// newest reads the newest version that a host finds in the store.
-func (s *Site) newest(h *Host) (registerOutput, bool) {
+// newestVersion reads the newest version at a host. It returns false if the read
+// failed.
+func (s *Site) newestVersion(h *Host) (registerOutput, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	c := configsclient.NewClient("http", hostOf(h.OperatorsURL), &http.Client{Transport: s.client.Transport},
+	c := configsclient.NewClient("http", hostPort(h.OperatorsURL), &http.Client{Transport: s.client.Transport},
 		goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	res, err := c.Versions()(ctx, nil)
 	if err != nil {
@@ -143,15 +144,15 @@
 	return registerOutput{version: list[0].Version}, true
 }
 
-func countRegister(history []porcupine.Operation) (won, lost int) {
+func countRegister(history []porcupine.Operation) (accepted, conflicts int) {
 	for _, op := range history {
 		out := op.Output.(registerOutput)
 		switch {
-		case out.lost:
-			lost++
+		case out.conflict:
+			conflicts++
 		case !op.Input.(registerInput).read && out.version > 0:
-			won++
+			accepted++
 		}
 	}
-	return won, lost
+	return accepted, conflicts
 }
--- a/integration/control.go
+++ b/integration/control.go
@@ -15,16 +15,16 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// Names of the platform's services among the links of an entry host.
+// Link names of the platform's services.
 const (
 	Table   = "table"
 	Objects = "objects"
 	Members = "members"
 )
 
-// Link returns the proxy through which an entry host reaches a service of the
-// platform, a peer, an endpoint or a worker. A member must have been read by
-// the host, as it has when New returns.
+// Link returns the proxy through which an entry host reaches a platform service,
+// a peer, an endpoint or a worker. The proxy of a member exists once the host has
+// read the membership list, which it has when New returns.
 func (s *Site) Link(host, to string) *faultproxy.Proxy {
 	s.t.Helper()
 	for _, h := range s.Hosts {
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// Cut parts an entry host from others: connections are reset, new ones
-// refused, until Join. Names are those of Link.
+// Disconnect resets the connections from an entry host to others, and refuses new
+// ones until Reconnect. Names are those of Link.
 func (s *Site) Disconnect(host string, from ...string) {
 	for _, name := range from {
 		p := s.Link(host, name)
@@ -48,15 +48,16 @@
 	}
 }
 
-// Drop parts an entry host from others: every byte is lost without a word,
-// until Join.
+// DropTraffic discards all bytes between an entry host and others until Reconnect.
+// Connections stay open.
 func (s *Site) DropTraffic(host string, from ...string) {
 	for _, name := range from {
 		s.Link(host, name).SetFaults(faultproxy.Faults{DropToTarget: true, DropToClient: true})
 	}
 }
 
-// Join undoes Cut and Drop. Connections that lost bytes are reset.
+// Reconnect undoes Disconnect and DropTraffic. It resets open connections, since
+// they may have lost bytes.
 func (s *Site) Reconnect(host string, to ...string) {
 	for _, name := range to {
 		p := s.Link(host, name)
@@ -76,8 +77,8 @@
 	return names
 }
 
-// DisconnectPeers parts an entry host from all others, both ways; ReconnectPeers undoes
-// it.
+// DisconnectPeers disconnects an entry host from all others, in both directions,
+// until ReconnectPeers.
 func (s *Site) DisconnectPeers(host string) {
 	s.Disconnect(host, s.Peers(host)...)
 	for _, other := range s.Peers(host) {
@@ -96,74 +97,75 @@
 // TableFaults replaces the faults of the table, for all entry hosts.
 func (s *Site) TableFaults(f standin.Faults) {
 	s.t.Helper()
-	s.must(s.post(s.at.Table+"/faults", f))
+	s.must(s.post(s.addresses.Table+"/faults", f))
 }
 
 // ObjectFaults replaces the faults of the object store, for all entry hosts.
 func (s *Site) ObjectFaults(f standin.Faults) {
 	s.t.Helper()
-	s.must(s.post(s.at.Objects+"/faults", f))
+	s.must(s.post(s.addresses.Objects+"/faults", f))
 }
 
-// MemberFaults replaces the faults of the membership list, for all.
+// MemberFaults replaces the faults of the membership list, for all entry hosts.
 func (s *Site) MemberFaults(f standin.Faults) {
 	s.t.Helper()
-	s.must(s.post(s.at.Members+"/faults", f))
+	s.must(s.post(s.addresses.Members+"/faults", f))
 }
 
 // EndpointFaults replaces the faults of an endpoint.
 func (s *Site) EndpointFaults(name string, f standin.EndpointFaults) {
 	s.t.Helper()
-	s.must(s.post("http://"+s.at.Others[name]+"/standin/faults", f))
+	s.must(s.post("http://"+s.addresses.Others[name]+"/standin/faults", f))
 }
 
 // WorkerFaults replaces the faults of a worker.
 func (s *Site) WorkerFaults(name string, f standin.WorkerFaults) {
 	s.t.Helper()
-	s.must(s.post("http://"+s.at.Others[name]+"/faults", f))
+	s.must(s.post("http://"+s.addresses.Others[name]+"/faults", f))
 }
 
-// Control asks the stand-ins' control address for an action, such as "leave",
-// "return", "kill", "revive" or "unreachable".
+// Control sends an action, such as "leave", "return", "kill", "revive" or
+// "unreachable", to the stand-ins.
 func (s *Site) Control(action string, target standin.Target) {
 	s.t.Helper()
-	s.must(s.post(s.at.Control+"/"+action, target))
+	s.must(s.post(s.addresses.Control+"/"+action, target))
 }
 
-// Remove takes a member from the membership list.
+// RemoveMember removes a member from the membership list.
 func (s *Site) RemoveMember(member string) {
 	s.t.Helper()
-	s.must(s.post(s.at.Members+"/remove", standin.Removal{Name: member}))
+	s.must(s.post(s.addresses.Members+"/remove", standin.Removal{Name: member}))
 }
 
-// List changes what the membership list says of a member.
+// SetMemberState changes the state of a member in the membership list.
 func (s *Site) SetMemberState(member string, state infra.MemberState) {
 	s.t.Helper()
-	s.must(s.post(s.at.Members+"/state", standin.StateChange{Name: member, State: state}))
+	s.must(s.post(s.addresses.Members+"/state", standin.StateChange{Name: member, State: state}))
 }
 
-// RegisterHost puts an entry host on the membership list again.
+// RegisterHost adds an entry host to the membership list again.
 func (s *Site) RegisterHost(h *Host) {
 	s.t.Helper()
-	s.must(s.post(s.at.Control+"/entry-host",
+	s.must(s.post(s.addresses.Control+"/entry-host",
 		standin.EntryHostConfig{Name: h.Name, Peer: h.peer, Zone: h.settings.Host.Zone}))
 }
 
-// MemberList reads the true addresses and states of all members.
+// MemberList returns the members with their states and direct addresses, not those
+// of the proxies.
 func (s *Site) MemberList() (infra.MemberList, error) {
 	req, err := http.NewRequest(http.MethodGet, "/members", nil)
 	if err != nil {
-		return infra.MemberList{}, errors.Wrap(err, "members")
+		return infra.MemberList{}, errors.Wrap(err, "request membership list")
 	}
-	return readMembers(req, s.at.Members, s.client)
+	return readMembers(req, s.addresses.Members, s.client)
 }
 
-// shardsOf returns the shards that a list gives.
+// shardsOf returns the names of the shards for a membership list.
 func shardsOf(lease settings.Lease, list infra.MemberList) []string {
 	return roster.Build(roster.Roster{}, list, lease).Shards()
 }
 
-// post sends a value as JSON to a stand-in.
+// post sends v as JSON to a stand-in and expects status 200.
 func (s *Site) post(url string, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -176,7 +178,7 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		return errors.Newf("%s: status %d: %s: %v", url, resp.StatusCode, text, err)
+		return errors.Newf("post to %s: status %d: %s: %v", url, resp.StatusCode, text, err)
 	}
 	return nil
 }
--- a/integration/tally.go
+++ b/integration/counts.go
@@ -7,14 +7,14 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// Tally counts exchanges by outcome.
+// OutcomeCounts holds the number of exchanges by outcome.
 type OutcomeCounts struct {
 	Answered, NotRun, Unknown int
-	// Reasons counts those without an answer by what was said of them.
+	// Reasons counts the exchanges without an answer by outcome and reason.
 	Reasons map[string]int
 }
 
-// CountOutcomes counts the exchanges that match.
+// CountOutcomes counts the outcomes of the exchanges that match.
 func CountOutcomes(exchanges []load.Exchange, match func(load.Exchange) bool) OutcomeCounts {
 	t := OutcomeCounts{Reasons: map[string]int{}}
 	for _, x := range exchanges {
@@ -35,12 +35,13 @@
 	return t
 }
 
-// Share returns the share that was answered, 0 of none.
+// AnsweredShare returns the share of exchanges that were answered, from 0 to 1. It
+// returns 0 if there are none.
 func (t OutcomeCounts) AnsweredShare() float64 {
 	return float64(t.Answered) / float64(max(1, t.Answered+t.NotRun+t.Unknown))
 }
 
-// String is for a test's log.
+// String returns the counts on one line for test logs.
 func (t OutcomeCounts) String() string {
 	return fmt.Sprintf("answered %d, not run %d, unknown %d, share %.4f, %v", t.Answered, t.NotRun, t.Unknown, t.AnsweredShare(), t.Reasons)
 }
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -6,9 +6,9 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// TestRollingDrain drains and restarts each entry host in turn under load. The
-// requests take longer than the balancer needs to notice, so that each drain
-// begins and ends with some in flight. None is lost.
+// TestRollingDrain drains and restarts each entry host in turn under load. No
+// request may be lost. Requests take longer than the balancer's poll interval, so
+// that some are in flight throughout each drain.
 func TestRollingDrain(t *testing.T) {
 	t.Parallel()
 	s := New(t, Options{StandIns: func(c *standin.Config) {
@@ -21,13 +21,13 @@
 		tr.Await("requests without "+h.Name, 40, Any)
 		s.Restart(h)
 		s.WaitShardsHeld()
-		tr.Await("requests with it again", 40, Any)
+		tr.Await("requests with the host restarted", 40, Any)
 	}
 	tr.Stop()
 	all := CountOutcomes(tr.Ended(), Any)
 	t.Log(all)
 	if all.NotRun+all.Unknown > 0 {
-		t.Errorf("requests were lost: %s", all)
+		t.Errorf("requests were lost, want all answered: %s", all)
 	}
 	s.Check()
 }
--- a/integration/endpoint_test.go
+++ b/integration/endpoint_test.go
@@ -13,28 +13,27 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// endpointFault is something that goes wrong at an endpoint and is put right.
+// endpointFault is a fault that is injected into an endpoint and cleared again.
 type endpointFault struct {
 	name  string
 	begin func(s *Site, endpoint string)
 	end   func(s *Site, endpoint string)
-	// least is the share of calls that must be answered meanwhile, once the
-	// first ones have met the fault.
-	least float64
-	// returns is set when the endpoint must get requests at once afterwards,
-	// as it is not ejected for longer and longer.
-	returns bool
+	// minAnsweredShare is the share of requests that must be answered during the
+	// fault, not counting the first ones, which trigger the ejection.
+	minAnsweredShare float64
+	// resumesAtOnce is set if the fault causes no ejection, so that the endpoint
+	// must receive requests as soon as the fault is cleared.
+	resumesAtOnce bool
 }
 
-// carefulCallers is traffic that the site can serve however slow the machine
-// is: 12 requests at once, where 20 slots remain beside the one endpoint, with
-// time enough that a process which stands still for a second decides nothing.
-// Some slots are always idle, so no entry host has a reason to refuse.
-var carefulCallers = TrafficOptions{Rate: 300, Bookings: 0.2, Repeat: 0.3, InFlight: 12, Timeout: 10 * time.Second}
+// moderateTraffic never occupies all of the 20 slots of the endpoints without a fault, so
+// no entry host has a reason to refuse a request. The timeout tolerates process
+// pauses of a second on a busy machine.
+var moderateTraffic = TrafficOptions{Rate: 300, Bookings: 0.2, Repeat: 0.3, InFlight: 12, Timeout: 10 * time.Second}
 
-// refusedForLoad matches requests that an entry host would not let wait, or
-// gave up before it had sent them.
-func refusedForLoad(x load.Exchange) bool {
+// refusedUnderLoad matches requests that an entry host rejected or dropped from
+// its queue for lack of free slots.
+func refusedUnderLoad(x load.Exchange) bool {
 	switch x.Reason {
 	case routing.ReasonQueueFull, routing.ReasonDeadlineUnreachable, routing.ReasonOverloaded, gateway.ReasonDeadline:
 		return x.Outcome == outcome.NotRun
@@ -43,13 +42,13 @@
 	}
 }
 
-// faultOf is a fault that the endpoint itself shows.
-func faultOf(name string, f standin.EndpointFaults, least float64) endpointFault {
+// selfFault returns a fault of the endpoint's process itself.
+func selfFault(name string, f standin.EndpointFaults, minAnsweredShare float64) endpointFault {
 	return endpointFault{
-		name:  name,
-		begin: func(s *Site, e string) { s.EndpointFaults(e, f) },
-		end:   func(s *Site, e string) { s.EndpointFaults(e, standin.EndpointFaults{}) },
-		least: least,
+		name:             name,
+		begin:            func(s *Site, e string) { s.EndpointFaults(e, f) },
+		end:              func(s *Site, e string) { s.EndpointFaults(e, standin.EndpointFaults{}) },
+		minAnsweredShare: minAnsweredShare,
 	}
 }
 
@@ -57,7 +56,8 @@
 	return []endpointFault{
 		{
 			"Leaving",
-			// The endpoint itself would refuse, and hide what it is sent.
+			// Only the list changes: an endpoint that knew that it is leaving
+			// would refuse requests, and the history wouldn't show them.
 			func(s *Site, e string) { s.SetMemberState(e, infra.Leaving) },
 			func(s *Site, e string) { s.SetMemberState(e, infra.Live) },
 			1, true,
@@ -80,62 +80,64 @@
 			"Hangs",
 			func(s *Site, e string) { s.EndpointFaults(e, standin.EndpointFaults{Hang: true, RefuseOverrun: true}) },
 			func(s *Site, e string) {
-				// What hung longer than the longest run, and so is no longer
-				// counted by its host, must end before overruns count again.
+				// Hanging requests that exceed the maximum run time no longer
+				// occupy a slot at their host. They must end before the
+				// endpoint accepts overruns again.
 				s.EndpointFaults(e, standin.EndpointFaults{RefuseOverrun: true})
-				hung := s.began(e)
-				s.WaitUntil("what hung has ended", func() bool { return s.ended(e) >= hung })
+				hanging := s.requestsBegun(e)
+				s.WaitUntil("the hanging requests have ended", func() bool { return s.requestsEnded(e) >= hanging })
 				s.EndpointFaults(e, standin.EndpointFaults{})
 			},
 			0.9, false,
 		},
-		faultOf("CutsAnswers", standin.EndpointFaults{CutNext: 1000}, 0.9),
-		faultOf("Slow", standin.EndpointFaults{SlowFactor: 10}, 0.99),
-		faultOf("FailsAll", standin.EndpointFaults{FailAll: true}, 0.9),
+		selfFault("CutsAnswers", standin.EndpointFaults{CutNext: 1000}, 0.9),
+		selfFault("Slow", standin.EndpointFaults{SlowFactor: 10}, 0.99),
+		selfFault("FailsAll", standin.EndpointFaults{FailAll: true}, 0.9),
 	}
 }
 
-// TestEndpointFaults lets one endpoint of six go wrong in each way under load.
-// The others answer, and no answer is passed on by halves.
+// TestEndpointFaults injects each fault into one of six endpoints under load. The
+// others must answer the requests, and no truncated answer may reach a caller.
 func TestEndpointFaults(t *testing.T) {
 	for _, f := range endpointFaults() {
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
 			s := New(t, Options{StandIns: func(c *standin.Config) { c.Services[0].Work.Sigma = 0.2 }})
-			tr := s.StartCallers(carefulCallers)
+			tr := s.StartCallers(moderateTraffic)
 			tr.Await("requests before", 300, Any)
 			const victim = "dispatch-2"
 			f.begin(s, victim)
-			tr.Await("requests that meet the fault", 300, Any)
-			from := len(tr.Ended())
-			tr.Await("requests meanwhile", 800, Any)
-			seen := tr.Ended()[from:]
-			good := CountOutcomes(seen, wellAnswered)
-			t.Logf("meanwhile: %s, well answered %d", CountOutcomes(seen, Any), good.Answered)
-			if share := float64(good.Answered) / float64(len(seen)); share < f.least {
-				t.Errorf("share answered %.4f", share)
+			tr.Await("requests right after the fault began", 300, Any)
+			first := len(tr.Ended())
+			tr.Await("requests during the fault", 800, Any)
+			during := tr.Ended()[first:]
+			good := CountOutcomes(during, answeredWithoutServerError)
+			t.Logf("during the fault: %s; answered with status below 500: %d", CountOutcomes(during, Any), good.Answered)
+			if share := float64(good.Answered) / float64(len(during)); share < f.minAnsweredShare {
+				t.Errorf("share answered %.4f during the fault, below the minimum for it", share)
 			}
 			f.end(s, victim)
-			if f.returns {
-				had := s.began(victim)
-				s.WaitUntil("the endpoint gets requests again", func() bool { return s.began(victim) > had })
+			if f.resumesAtOnce {
+				before := s.requestsBegun(victim)
+				s.WaitUntil("the endpoint receives requests again", func() bool { return s.requestsBegun(victim) > before })
 			}
 			tr.Await("requests after", 100, Answered)
 			tr.Stop()
-			if refused := CountOutcomes(tr.Ended(), refusedForLoad); refused.NotRun > 0 {
-				t.Errorf("refused beside idle endpoints: %v", refused.Reasons)
+			if refused := CountOutcomes(tr.Ended(), refusedUnderLoad); refused.NotRun > 0 {
+				t.Errorf("requests were refused while endpoints were idle: %v", refused.Reasons)
 			}
 			s.Check()
 		})
 	}
 }
 
-// TestEndpointLinksCut resets all connections to endpoints again and again
-// under saturating traffic. The endpoints go on with what they run.
+// TestEndpointLinksCut repeatedly resets all connections to endpoints under
+// saturating traffic. The endpoints keep processing their requests, so these must
+// continue to occupy slots.
 func TestEndpointLinksCut(t *testing.T) {
 	t.Parallel()
-	s := New(t, Options{StandIns: saturated})
-	tr := s.StartCallers(saturating)
+	s := New(t, Options{StandIns: slowEndpoints})
+	tr := s.StartCallers(saturatingTraffic)
 	for range 6 {
 		tr.Await("answers", 150, Answered)
 		for _, h := range s.Hosts {
@@ -150,11 +152,13 @@
 	s.Check()
 }
 
-// wellAnswered matches answers that are not the endpoint's own failure.
-func wellAnswered(x load.Exchange) bool { return x.Outcome == outcome.Answered && x.Status < 500 }
+// answeredWithoutServerError matches answers with a status below 500.
+func answeredWithoutServerError(x load.Exchange) bool {
+	return x.Outcome == outcome.Answered && x.Status < 500
+}
 
-// began counts the requests that an endpoint has begun to work on.
-func (s *Site) began(endpoint string) int {
+// requestsBegun returns the number of requests that an endpoint has started.
+func (s *Site) requestsBegun(endpoint string) int {
 	n := 0
 	for _, r := range s.History() {
 		if r.RequestBegan != nil && r.RequestBegan.Endpoint == endpoint {
@@ -164,8 +168,8 @@
 	return n
 }
 
-// ended counts the requests that an endpoint has ended.
-func (s *Site) ended(endpoint string) int {
+// requestsEnded returns the number of requests that have ended at an endpoint.
+func (s *Site) requestsEnded(endpoint string) int {
 	n := 0
 	for _, r := range s.History() {
 		if r.RequestEnded != nil && r.RequestEnded.Endpoint == endpoint {
--- a/integration/rig_test.go
+++ b/integration/helpers_test.go
@@ -7,23 +7,23 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// saturated makes endpoints slow enough that saturating traffic fills every
-// slot: 24 slots of 50 ms serve about 450 requests a second.
-func saturated(c *standin.Config) {
+// slowEndpoints makes requests take about 50 ms, so that saturatingTraffic, at 600
+// requests per second, occupies all 24 slots.
+func slowEndpoints(c *standin.Config) {
 	c.Services[0].Work = standin.WorkTime{MedianMS: 50, Sigma: 0.3, Seed: 1}
 }
 
-// saturating is traffic that fills every slot of a saturated site, sent to
-// all hosts whatever the balancer would say.
-var saturating = TrafficOptions{Rate: 600, Bookings: 0.2, Repeat: 0.3, AllHosts: true}
+// saturatingTraffic occupies every slot of a site with slowEndpoints. It goes to
+// all hosts, whether ready or not.
+var saturatingTraffic = TrafficOptions{Rate: 600, Bookings: 0.2, Repeat: 0.3, AllHosts: true}
 
-// owned reports whether hosts other than one hold all shards of endpoints,
-// in full or by half.
-func (s *Site) ownedWithout(out *Host) func() bool {
+// endpointsOwnedWithout returns a condition: running hosts other than excluded hold
+// all endpoint shards, in full or by half.
+func (s *Site) endpointsOwnedWithout(excluded *Host) func() bool {
 	return func() bool {
 		shards := map[string]bool{}
 		for _, h := range s.Hosts {
-			if h == out || !h.up() {
+			if h == excluded || !h.up() {
 				continue
 			}
 			status, err := h.Status()
@@ -40,7 +40,8 @@
 	}
 }
 
-// endpointShards counts the shards of endpoints.
+// endpointShards returns the number of endpoint shards, -1 if the membership list
+// is unavailable.
 func (s *Site) endpointShards() int {
 	list, err := s.MemberList()
 	if err != nil {
@@ -55,12 +56,12 @@
 	return n
 }
 
-// at matches exchanges with one host.
+// at matches exchanges with the given host.
 func at(h *Host) func(load.Exchange) bool {
 	return func(x load.Exchange) bool { return x.Target == h.CallersURL }
 }
 
-// both matches what two conditions match.
+// both matches exchanges that a and b both match.
 func both(a, b func(load.Exchange) bool) func(load.Exchange) bool {
 	return func(x load.Exchange) bool { return a(x) && b(x) }
 }
--- a/integration/history.go
+++ b/integration/history.go
@@ -6,11 +6,11 @@
 	"github.com/fireflygate/fireflygate/check"
 )
 
-// shownBreaches is how many breaches a failing test prints.
-const shownBreaches = 10
+// maxShownViolations limits the violations that a failing test prints.
+const maxShownViolations = 10
 
-// History returns all records so far, of the stand-ins and of the test
-// process. It is whole once the traffic has ended and the endpoints are idle.
+// History returns the records so far of the stand-ins and the test process. It is
+// complete once the traffic has ended and the endpoints are idle.
 func (s *Site) History() []check.Record {
 	s.t.Helper()
 	file, err := os.Open(s.recordsFile())
@@ -21,48 +21,48 @@
 	return append(records, s.Recorder.Records()...)
 }
 
-// Check checks the history against every promise, and fails the test for
-// breaches.
+// Check checks the history against all promises and fails the test for each
+// violation. It waits until the endpoints are idle.
 func (s *Site) Check() {
 	s.t.Helper()
 	s.CheckWithLimits(check.DefaultLimits())
 }
 
-// CheckWithLimits is Check with other limits.
+// CheckWithLimits is like Check with the given limits.
 func (s *Site) CheckWithLimits(limits check.Limits) {
 	s.t.Helper()
-	records := s.settled()
-	s.reportStrangers(records)
+	records := s.idleHistory()
+	s.reportUnknownRequests(records)
 	s.report(check.RunWithLimits(records, limits))
 }
 
-// reportStrangers fails the test for requests at endpoints that no caller of
-// the site sent. They would count against the slots, and are no fault of the
+// reportUnknownRequests fails the test if an endpoint received a request that no
+// caller of the site sent. Such a request occupies a slot but isn't a fault of the
 // site's entry hosts.
-func (s *Site) reportStrangers(records []check.Record) {
+func (s *Site) reportUnknownRequests(records []check.Record) {
 	s.t.Helper()
 	for _, r := range records {
 		if b := r.RequestBegan; b != nil && b.Call == "" {
-			s.t.Errorf("a stranger's %s request %q at %s", b.Method, b.Request, b.Endpoint)
+			s.t.Errorf("unknown %s request %q at %s, not sent by a caller of this site", b.Method, b.Request, b.Endpoint)
 			return
 		}
 	}
 }
 
-// report fails the test for the breaches that a check found.
+// report fails the test for each violation in a report.
 func (s *Site) report(report check.Report) {
 	s.t.Helper()
 	for i, v := range report.Violations {
-		if i == shownBreaches {
-			s.t.Errorf("and %d more", len(report.Violations)-i)
+		if i == maxShownViolations {
+			s.t.Errorf("%d more violations", len(report.Violations)-i)
 			break
 		}
-		s.t.Errorf("breach: %s: %s", v.Promise, v.Detail)
+		s.t.Errorf("violation: %s: %s", v.Promise, v.Detail)
 	}
 }
 
-// settled waits until the endpoints are idle and returns the history.
-func (s *Site) settled() []check.Record {
+// idleHistory waits until the endpoints are idle and returns the history.
+func (s *Site) idleHistory() []check.Record {
 	s.t.Helper()
 	var records []check.Record
 	s.WaitUntil("the endpoints are idle", func() bool {
--- a/integration/host.go
+++ b/integration/host.go
@@ -19,21 +19,21 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// statusTimeout bounds one question to an entry host.
+// statusTimeout limits one status or readiness request to an entry host.
 const statusTimeout = time.Second
 
-// Host is one entry host of a site. Its process may be replaced.
+// Host is one entry host of a site. Its process changes when it is restarted.
 type Host struct {
-	// Name is its name in the membership list.
+	// Name is the name in the membership list.
 	Name string
-	// Callers is the URL for callers, Operators that for operators.
+	// CallersURL is the base URL for callers, OperatorsURL that for operators.
 	CallersURL, OperatorsURL string
 
 	peer     string
 	dir      string
 	settings settings.Settings
 	links    *links
-	view     *httptest.Server
+	members  *httptest.Server
 	client   *http.Client
 
 	mu      sync.Mutex // guards the fields below
@@ -41,9 +41,9 @@
 	paused  bool
 }
 
-// start starts a process with the host's settings.
+// start starts a process with the settings in configDir.
 func (h *Host) start(program string) error {
-	p, err := startProcess(filepath.Join(h.dir, h.Name+".log"), os.Stderr, program, "serve", "-config", h.folder())
+	p, err := startProcess(filepath.Join(h.dir, h.Name+".log"), os.Stderr, program, "serve", "-config", h.configDir())
 	if err != nil {
 		return err
 	}
@@ -53,35 +53,35 @@
 	return nil
 }
 
-func (h *Host) folder() string { return filepath.Join(h.dir, h.Name) }
+func (h *Host) configDir() string { return filepath.Join(h.dir, h.Name) }
 
-// write writes the settings folder.
-func (h *Host) write() error {
+// writeConfig writes the settings to configDir.
+func (h *Host) writeConfig() error {
 	data, err := toml.Marshal(h.settings)
 	if err != nil {
-		return errors.Wrap(err, "settings")
+		return errors.Wrap(err, "encode settings")
 	}
-	if err := os.MkdirAll(h.folder(), 0o755); err != nil {
-		return errors.Wrap(err, "settings")
+	if err := os.MkdirAll(h.configDir(), 0o755); err != nil {
+		return errors.Wrap(err, "create settings directory")
 	}
-	return errors.Wrap(os.WriteFile(filepath.Join(h.folder(), "10-site.toml"), data, 0o644), "settings")
+	return errors.Wrap(os.WriteFile(filepath.Join(h.configDir(), "10-site.toml"), data, 0o644), "write settings")
 }
 
-// current returns the newest process.
+// current returns the process started last, nil if there is none.
 func (h *Host) current() *process {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.process
 }
 
-// up reports whether its process runs and is not paused.
+// up reports whether the process runs and is not paused.
 func (h *Host) up() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.process != nil && h.process.running() && !h.paused
 }
 
-// Ready reports whether a balancer would send it requests.
+// Ready reports whether the host is up and its readiness probe succeeds.
 func (h *Host) Ready() bool {
 	if !h.up() {
 		return false
@@ -90,7 +90,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.OperatorsURL+"/readyz", nil)
 	if err != nil {
-		panic(fmt.Sprintf("integration: bad address: %v", err))
+		panic(fmt.Sprintf("integration: invalid operators URL: %v", err))
 	}
 	resp, err := h.client.Do(req)
 	if err != nil {
@@ -100,11 +100,11 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Status asks it for its status, as operators do.
+// Status returns the status that the host reports to operators.
 func (h *Host) Status() (*operations.HostStatus, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	client := operationsclient.NewClient("http", hostOf(h.OperatorsURL), h.client, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
+	client := operationsclient.NewClient("http", hostPort(h.OperatorsURL), h.client, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	res, err := client.Status()(ctx, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, h.Name)
--- a/integration/lifecycle.go
+++ b/integration/lifecycle.go
@@ -6,10 +6,10 @@
 	"github.com/fireflygate/fireflygate/check"
 )
 
-// Kill ends an entry host's process at once.
+// Kill kills the process of an entry host and waits until it has ended.
 func (s *Site) Kill(h *Host) { h.current().kill() }
 
-// Pause stops an entry host's process until Resume.
+// Pause stops the process of an entry host with SIGSTOP, until Resume.
 func (s *Site) Pause(h *Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -17,7 +17,7 @@
 	h.process.signal(syscall.SIGSTOP)
 }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (s *Site) Resume(h *Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -25,8 +25,8 @@
 	h.paused = false
 }
 
-// Drain stops an entry host as planned. It fails the test unless the process
-// exits with 0.
+// Drain performs a planned stop of an entry host. It fails the test unless the
+// process exits with code 0.
 func (s *Site) Drain(h *Host) {
 	s.t.Helper()
 	s.Recorder.Add(check.Record{DrainBegan: &check.DrainBegan{Host: h.Name}})
@@ -34,15 +34,15 @@
 	code := p.terminate()
 	s.Recorder.Add(check.Record{DrainEnded: &check.DrainEnded{Host: h.Name}})
 	if code != 0 {
-		s.t.Fatalf("%s exited with %d: %s", h.Name, code, p.tail(2000))
+		s.t.Fatalf("%s exited with code %d after SIGTERM, want 0: %s", h.Name, code, p.tail(2000))
 	}
 }
 
-// Restart starts a new process of an entry host that has ended, and waits
-// until it is ready.
+// Restart starts a new process for an entry host whose process has ended, and
+// waits until it is ready.
 func (s *Site) Restart(h *Host) {
 	s.t.Helper()
-	s.examine(h.Name, h.current())
+	s.reportLog(h.Name, h.current())
 	s.must(h.start(s.programs.Gate))
 	s.WaitUntil(h.Name+" ready", h.Ready)
 }
--- a/integration/links.go
+++ b/integration/links.go
@@ -11,7 +11,8 @@
 	"github.com/fireflygate/fireflygate/faultproxy"
 )
 
-// links are the proxies through which one entry host reaches all others.
+// links holds the proxies through which one entry host reaches services and
+// members, by name.
 type links struct {
 	mu      sync.Mutex
 	proxies map[string]*faultproxy.Proxy
@@ -19,9 +20,9 @@
 
 func newLinks() *links { return &links{proxies: map[string]*faultproxy.Proxy{}} }
 
-// to returns the address of the proxy to a member, which is made at its first
+// address returns the address of the proxy for name, which is created at its first
 // use.
-func (l *links) to(name, target string) (string, error) {
+func (l *links) address(name, target string) (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p, ok := l.proxies[name]; ok {
@@ -35,26 +36,26 @@
 	return p.Addr(), nil
 }
 
-// get returns the proxy to a member, nil if there is none.
+// get returns the proxy for name, nil if there is none.
 func (l *links) get(name string) *faultproxy.Proxy {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.proxies[name]
 }
 
-// names returns those that are reached, in order.
+// names returns the names of all proxies in sorted order.
 func (l *links) names() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Sorted(maps.Keys(l.proxies))
 }
 
-// close ends all proxies.
+// close closes all proxies.
 func (l *links) close() {
 	for _, name := range l.names() {
 		_ = l.get(name).Close()
 	}
 }
 
-// hostOf returns IP:port of a base URL.
-func hostOf(url string) string { return strings.TrimPrefix(url, "http://") }
+// hostPort returns the IP:port of a base URL.
+func hostPort(url string) string { return strings.TrimPrefix(url, "http://") }
--- a/integration/main_test.go
+++ b/integration/main_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TestMain builds the programs once.
+// TestMain builds the programs once for all tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	os.Exit(run(m))
@@ -29,15 +29,14 @@
 	return m.Run()
 }
 
-// build builds the programs as they are, or with the mutation that was asked
-// for.
+// build builds the programs, with the mutation of the flag -mutation if it is set.
 func build(dir string) (Programs, error) {
 	if *mutationName == "" {
 		return Build(dir)
 	}
 	m, ok := mutationNamed(*mutationName)
 	if !ok {
-		return Programs{}, errors.Newf("no mutation is named %q", *mutationName)
+		return Programs{}, errors.Newf("flag -mutation: no mutation is named %q", *mutationName)
 	}
 	return BuildMutant(dir, m)
 }
--- a/integration/memberview.go
+++ b/integration/members_proxy.go
@@ -11,9 +11,9 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// newMemberView serves the membership list as one entry host sees it: with
-// the addresses of its proxies in place of the true ones.
-func newMemberView(upstream string, client *http.Client, l *links) *httptest.Server {
+// newMembersProxy serves the membership list to one entry host, with the addresses
+// of its fault proxies in place of those of the members.
+func newMembersProxy(upstream string, client *http.Client, l *links) *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		list, err := readMembers(r, upstream, client)
 		if err != nil {
@@ -21,12 +21,12 @@
 			return
 		}
 		for i, m := range list.Members {
-			if list.Members[i].Address, err = l.to(m.Name, m.Address); err != nil {
+			if list.Members[i].Address, err = l.address(m.Name, m.Address); err != nil {
 				http.Error(w, err.Error(), http.StatusInternalServerError)
 				return
 			}
 		}
-		// The host may be gone; nothing is left to do then.
+		// An error means that the host has closed the connection.
 		_ = json.NewEncoder(w).Encode(list)
 	}))
 }
@@ -35,16 +35,16 @@
 	var list infra.MemberList
 	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, upstream+"/members", nil)
 	if err != nil {
-		return list, errors.Wrap(err, "members")
+		return list, errors.Wrap(err, "request membership list")
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return list, errors.Wrap(err, "members")
+		return list, errors.Wrap(err, "request membership list")
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		return list, errors.Newf("members: status %d: %v", resp.StatusCode, err)
+		return list, errors.Newf("read membership list: status %d: %v", resp.StatusCode, err)
 	}
-	return list, errors.Wrap(json.Unmarshal(body, &list), "members")
+	return list, errors.Wrap(json.Unmarshal(body, &list), "decode membership list")
 }
--- a/integration/mutation.go
+++ b/integration/mutation.go
@@ -9,23 +9,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mutation is a mechanism broken on purpose, to see that its proof can fail.
+// Mutation is a deliberate fault in one mechanism, which a test must detect.
 type Mutation struct {
 	Name string
-	// File is the source file, from the root of the module; Old is a text in
-	// it that New stands for in the broken program.
+	// File is the source file, relative to the root of the module. New replaces
+	// Old, which must occur exactly once in it.
 	File, Old, New string
-	// Test is the scenario that must fail, as a pattern of go test.
+	// Test is the test that must fail, as a pattern for go test -run.
 	Test string
-	// Breach is a text that its output must hold.
+	// ExpectedOutput is a text that the output of Test must contain.
 	ExpectedOutput string
 }
 
-// Mutations returns all of them.
+// Mutations returns all mutations.
 func Mutations() []Mutation { return append(interactiveMutations, batchMutations...) }
 
-// BuildMutant builds the programs with one mechanism broken. The sources stay
-// as they are.
+// BuildMutant builds the programs into dir with a mutation applied. The source
+// files aren't changed.
 func BuildMutant(dir string, m Mutation) (Programs, error) {
 	source, err := filepath.Abs(filepath.Join("..", filepath.FromSlash(m.File)))
 	if err != nil {
@@ -36,13 +36,13 @@
 		return Programs{}, errors.Wrap(err, m.Name)
 	}
 	if n := strings.Count(string(text), m.Old); n != 1 {
-		return Programs{}, errors.Newf("%s: %s holds the text %d times, expected once", m.Name, m.File, n)
+		return Programs{}, errors.Newf("%s: %s contains the text to replace %d times, expected once", m.Name, m.File, n)
 	}
-	broken := filepath.Join(dir, "mutant.go")
-	if err := os.WriteFile(broken, []byte(strings.Replace(string(text), m.Old, m.New, 1)), 0o644); err != nil {
+	mutant := filepath.Join(dir, "mutant.go")
+	if err := os.WriteFile(mutant, []byte(strings.Replace(string(text), m.Old, m.New, 1)), 0o644); err != nil {
 		return Programs{}, errors.Wrap(err, m.Name)
 	}
-	overlay, err := json.Marshal(map[string]map[string]string{"Replace": {source: broken}})
+	overlay, err := json.Marshal(map[string]map[string]string{"Replace": {source: mutant}})
 	if err != nil {
 		return Programs{}, errors.Wrap(err, m.Name)
 	}
--- a/integration/mutation_test.go
+++ b/integration/mutation_test.go
@@ -13,7 +13,6 @@
 	mutationName  = flag.String("mutation", "", "run the tests with the programs of this mutation")
 )
 
-// mutationNamed returns a mutation.
 func mutationNamed(name string) (Mutation, bool) {
 	for _, m := range Mutations() {
 		if m.Name == name {
@@ -23,8 +22,8 @@
 	return Mutation{}, false
 }
 
-// TestMutations runs each mutation's scenario in a process of its own and
-// expects it to fail with the breach.
+// TestMutations runs the test of each mutation in a separate process. It must fail
+// with the expected output.
 func TestMutations(t *testing.T) {
 	if !*withMutations {
 		return
@@ -32,16 +31,16 @@
 	for _, m := range Mutations() {
 		t.Run(m.Name, func(t *testing.T) {
 			out, err := exec.Command(os.Args[0], "-test.run="+m.Test, "-mutation="+m.Name, "-test.count=1").CombinedOutput()
-			breach := "nothing"
+			failure := "nothing"
 			for line := range strings.Lines(string(out)) {
 				if strings.Contains(line, m.ExpectedOutput) {
-					breach = strings.TrimSpace(line)
+					failure = strings.TrimSpace(line)
 					break
 				}
 			}
-			t.Logf("%s: %s", m.Test, breach)
-			if err == nil || breach == "nothing" {
-				t.Errorf("not caught by %s: %v", m.Test, err)
+			t.Logf("%s: %s", m.Test, failure)
+			if err == nil || failure == "nothing" {
+				t.Errorf("%s did not fail with the expected output: %v", m.Test, err)
 			}
 		})
 	}
--- a/integration/mutation_text_test.go
+++ b/integration/mutation_text_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestMutationsFit finds each mutation's text in the sources: one that was
-// left behind by a change of them proves nothing.
-func TestMutationsFit(t *testing.T) {
+// TestMutationTextsMatchSources checks that the text of each mutation occurs once
+// in its source file: after a change of that file the mutation may no longer apply.
+func TestMutationTextsMatchSources(t *testing.T) {
 	for _, m := range Mutations() {
 		text, err := os.ReadFile(filepath.Join("..", filepath.FromSlash(m.File)))
 		if err != nil {
@@ -17,7 +17,7 @@
 			continue
 		}
 		if n := strings.Count(string(text), m.Old); n != 1 {
-			t.Errorf("%s: %s holds the text %d times, expected once", m.Name, m.File, n)
+			t.Errorf("%s: %s contains the text to replace %d times, expected once", m.Name, m.File, n)
 		}
 	}
 }
--- a/integration/mutations_batch.go
+++ b/integration/mutations_batch.go
@@ -1,6 +1,6 @@
 package integration
 
-// batchMutations break the mechanisms of jobs and configurations.
+// batchMutations are faults in the mechanisms of jobs and configurations.
 var batchMutations = []Mutation{
 	{
 		Name: "wait-for-task-leases",
@@ -18,7 +18,7 @@
 		Name: "fence-of-the-shard",
 		File: "batch/shard_commit.go",
 		Old:  "if !s.faults.noFence {", New: "if false {",
-		Test: "^TestOwnerCommitsLate$", ExpectedOutput: "not in time: all jobs done",
+		Test: "^TestOwnerCommitsLate$", ExpectedOutput: "timed out waiting for: all jobs done",
 	},
 	{
 		Name: "submission-under-its-key",
@@ -54,24 +54,24 @@
 		Name: "leases-without-the-store",
 		File: "ownership/grants.go",
 		Old:  "promised.After(until) {", New: "s.endpoint && promised.After(until) {",
-		Test: "^TestRunsOutliveTheStore$", ExpectedOutput: "cut short while the store was down",
+		Test: "^TestRunsContinueWithoutStore$", ExpectedOutput: "cut short while the store was down",
 	},
 	{
 		Name: "compare-and-swap-of-the-head",
 		File: "configstore/store.go",
 		Old:  "Conditions: []infra.Condition{{Key: headKey, Version: rowVersion}},", New: "Conditions: nil,",
-		Test: "^TestConfigIsLinearizable$", ExpectedOutput: "no order of the changes fits",
+		Test: "^TestConfigIsLinearizable$", ExpectedOutput: "the history is not linearizable",
 	},
 	{
 		Name: "start-with-the-configuration",
 		File: "gate/run.go",
 		Old:  "if _, ok := g.watcher.Version(); !ok || !g.roster.Load().Known() {", New: "if !g.roster.Load().Known() {",
-		Test: "^TestConfigSpreadsWithoutTheStore$", ExpectedOutput: "a configuration never reverts",
+		Test: "^TestConfigSpreadsWithoutStore$", ExpectedOutput: "a configuration never reverts",
 	},
 	{
 		Name: "spread-among-peers",
 		File: "gate/peers.go",
 		Old:  "current, ok := s.watcher.Current()\n\tif !ok {", New: "current, ok := s.watcher.Current()\n\tif ok {",
-		Test: "^TestConfigSpreadsWithoutTheStore$", ExpectedOutput: "not in time: version 2 in force",
+		Test: "^TestConfigSpreadsWithoutStore$", ExpectedOutput: "timed out waiting for: version 2 in force",
 	},
 }
--- a/integration/mutations_interactive.go
+++ b/integration/mutations_interactive.go
@@ -1,6 +1,6 @@
 package integration
 
-// interactiveMutations break the mechanisms of calls and bookings.
+// interactiveMutations are faults in the mechanisms of calls and bookings.
 var interactiveMutations = []Mutation{
 	{
 		Name: "half-shares",
@@ -19,7 +19,7 @@
 		File: "booking/claim.go",
 		Old:  "b.opt.Committer.Commit(ctx, []infra.Condition{{Key: key}}, ",
 		New:  "b.opt.Committer.Commit(ctx, nil, ",
-		Test: "^TestWholePath$", ExpectedOutput: "a booking runs at most once",
+		Test: "^TestCallsAndBookings$", ExpectedOutput: "a booking runs at most once",
 	},
 	{
 		Name: "drain-order",
--- a/integration/norace.go
+++ b/integration/norace.go
@@ -2,6 +2,5 @@
 
 package integration
 
-// raceDetector tells whether the processes are built with the race detector,
-// as the test is.
+// raceDetector reports whether this build uses the race detector. Build follows it.
 const raceDetector = false
--- a/integration/options.go
+++ b/integration/options.go
@@ -7,38 +7,35 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// Service is the interactive service of a site.
+// Service is the name of a site's interactive service.
 const Service = "dispatch"
 
-// region is where a site is.
 const region = "bergamo"
 
 var zones = []string{"citta-alta", "borgo-palazzo", "longuelo", "colognola"}
 
-// Options is what a site looks like.
+// Options configures a site.
 type Options struct {
-	// Hosts is how many entry hosts it has; 3 if 0. They are named gate-0
-	// and so on.
+	// Hosts is the number of entry hosts, named gate-0 and so on; 3 if 0.
 	Hosts int
 	// StandIns changes the stand-ins' configuration.
 	StandIns func(*standin.Config)
 	// Settings changes the settings of each entry host.
 	Settings func(host int, s *settings.Settings)
-	// Programs are run in place of those that TestMain built.
+	// Programs replaces the programs that TestMain built, if set.
 	Programs *Programs
 }
 
-// hosts returns how many entry hosts there are.
 func (o Options) hosts() int {
-	const usual = 3
+	const defaultHosts = 3
 	if o.Hosts == 0 {
-		return usual
+		return defaultHosts
 	}
 	return o.Hosts
 }
 
-// standIns returns the stand-ins' configuration: 6 endpoints of 4 slots and 4
-// workers, unless the options say otherwise.
+// standIns returns the stand-ins' configuration. The default is 6 endpoints of 4
+// slots and 4 workers.
 func (o Options) standIns() standin.Config {
 	c := standin.DefaultConfig()
 	c.Region, c.Zones = region, zones
@@ -53,8 +50,8 @@
 	return c
 }
 
-// settings returns the settings of an entry host. Leases are short, so that
-// a scenario takes seconds.
+// settings returns the settings of an entry host. Leases are short, so that a
+// test waits only seconds for them to expire.
 func (o Options) settings(host int) settings.Settings {
 	s := settings.Default()
 	s.Host.Region, s.Host.Zone = region, zones[host%len(zones)]
--- a/integration/process.go
+++ b/integration/process.go
@@ -10,21 +10,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// process is a child process, with its standard error in a file.
+// process is a child process whose standard error goes to a file.
 type process struct {
 	cmd *exec.Cmd
 	log string
-	// ended is closed when it has ended; err is then what Wait returned.
+	// ended is closed when the process has ended. err is the result of Wait, valid
+	// after that.
 	ended chan struct{}
 	err   error
 }
 
-// startProcess starts a program. Its standard error is appended to the file
-// log, its standard output goes to out.
+// startProcess starts a program. It appends the program's standard error to the
+// file log and writes its standard output to out.
 func startProcess(log string, out io.Writer, program string, args ...string) (*process, error) {
 	file, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, errors.Wrap(err, "process log")
+		return nil, errors.Wrap(err, "open process log")
 	}
 	defer file.Close()
 	p := &process{cmd: exec.Command(program, args...), log: log, ended: make(chan struct{})}
@@ -39,12 +40,11 @@
 	return p, nil
 }
 
-// signal sends a signal; one that comes after the end has no effect.
+// signal sends a signal. It has no effect once the process has ended.
 func (p *process) signal(s syscall.Signal) {
 	_ = p.cmd.Process.Signal(s)
 }
 
-// running reports whether it has not ended.
 func (p *process) running() bool {
 	select {
 	case <-p.ended:
@@ -54,26 +54,27 @@
 	}
 }
 
-// kill ends it at once and waits for its end.
+// kill sends SIGKILL and waits until the process has ended.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// terminate asks it to stop, waits for its end and returns its exit code.
+// terminate sends SIGTERM, waits until the process has ended and returns its exit
+// code.
 func (p *process) terminate() int {
 	p.signal(syscall.SIGTERM)
 	<-p.ended
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// raced reports whether the race detector found something in it.
-func (p *process) raced() bool {
+// hasDataRace reports whether the log contains a report of the race detector.
+func (p *process) hasDataRace() bool {
 	data, err := os.ReadFile(p.log)
 	return err == nil && bytes.Contains(data, []byte("WARNING: DATA RACE"))
 }
 
-// tail returns the last bytes of its log.
+// tail returns the last n bytes of the log, or the error from reading it.
 func (p *process) tail(n int) string {
 	data, err := os.ReadFile(p.log)
 	if err != nil {
--- a/integration/programs.go
+++ b/integration/programs.go
@@ -8,21 +8,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// module is the import path of the project.
+// module is the module path of the project.
 const module = "github.com/fireflygate/fireflygate"
 
-// Programs are the paths of the built programs.
+// Programs holds the paths of the built programs.
 type Programs struct {
 	Gate    string
 	StandIn string
 }
 
-// Build builds both programs into dir, with the race detector if the caller
-// was built with it. Extra flags go to go build.
+// Build builds the programs into dir, with the race detector if this package was
+// built with it. flags are passed to go build.
 func Build(dir string, flags ...string) (Programs, error) {
 	p := Programs{Gate: filepath.Join(dir, "fireflygate"), StandIn: filepath.Join(dir, "fireflygate-standin")}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return p, errors.Wrap(err, "build")
+		return p, errors.Wrap(err, "create build directory")
 	}
 	args := []string{"build", "-o", dir + string(filepath.Separator)}
 	if raceDetector {
--- a/integration/repeat.go
+++ b/integration/repeat.go
@@ -6,12 +6,12 @@
 	"github.com/fireflygate/fireflygate/load"
 )
 
-// Repeat sends a booking's request once more, to any host, under the same key
-// and with the same body.
+// Resend sends the request of a booking again, with the same key and body, to the
+// given host.
 func (tr *Traffic) Resend(x load.Exchange, to *Host) load.Exchange {
 	x.Retried = true
 	x.ID += "-repeat-" + to.Name
-	x = load.Send(context.Background(), tr.site.client, tr.site.traffic(tr.options), x, to.CallersURL)
+	x = load.Send(context.Background(), tr.site.client, tr.site.loadConfig(tr.options), x, to.CallersURL)
 	tr.observe(x)
 	return x
 }
--- a/integration/site.go
+++ b/integration/site.go
@@ -18,46 +18,47 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// maxSites is how many sites run at once.
+// maxSites limits the sites that run concurrently.
 const maxSites = 4
 
-// Patience is how long Until waits; it bounds a scenario and decides nothing.
+// ConditionTimeout is the longest time that WaitUntil waits for a condition.
 const ConditionTimeout = 30 * time.Second
 
-// pollInterval is how often conditions are looked at.
+// pollInterval is the time between two evaluations of a condition.
 const pollInterval = 20 * time.Millisecond
 
 var (
-	running = make(chan struct{}, maxSites)
+	siteSlots = make(chan struct{}, maxSites)
 	// built holds the programs that TestMain built.
 	built Programs
 )
 
-// Site is a running site. Its methods fail the test for what could not be
-// brought about; breaches of promises are what Check returns.
+// Site is a running site. Its methods fail the test if an action fails; Check
+// fails it for violations of promises.
 type Site struct {
 	Hosts []*Host
-	// Recorder takes what the test process records: callers and drains.
+	// Recorder holds the records of the test process: of callers, drains and
+	// configurations.
 	Recorder *check.Recorder
 
-	t        testing.TB
-	programs Programs
-	dir      string
-	block    block
-	standIn  *process
-	at       standin.Addresses
-	client   *http.Client
-	callers  int
-	watchers sync.WaitGroup
-	machine  machineWatch
-	stop     chan struct{}
+	t          testing.TB
+	programs   Programs
+	dir        string
+	block      addressBlock
+	standIn    *process
+	addresses  standin.Addresses
+	client     *http.Client
+	callers    int
+	background sync.WaitGroup
+	pauses     pauseMonitor
+	stop       chan struct{}
 }
 
-// New starts a site and waits until all its shards are held in full. It ends
-// with the test.
+// New starts a site and waits until all its shards are held in full. The site is
+// stopped when the test ends.
 func New(t testing.TB, o Options) *Site {
 	t.Helper()
-	running <- struct{}{}
+	siteSlots <- struct{}{}
 	s := &Site{
 		t: t, dir: t.TempDir(), programs: built, Recorder: check.NewRecorder(nil),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}},
@@ -67,7 +68,7 @@
 		s.programs = *o.Programs
 	}
 	t.Cleanup(s.close)
-	s.watchers.Go(func() { s.machine.run(s.stop) })
+	s.background.Go(func() { s.pauses.run(s.stop) })
 	s.must(s.start(o))
 	s.WaitShardsHeld()
 	return s
@@ -76,7 +77,7 @@
 // start starts the stand-ins, then the entry hosts.
 func (s *Site) start(o Options) error {
 	var err error
-	if s.block, err = takeBlock(); err != nil {
+	if s.block, err = reserveBlock(); err != nil {
 		return err
 	}
 	if err := s.startStandIns(o.standIns()); err != nil {
@@ -91,44 +92,47 @@
 		if err := h.start(s.programs.Gate); err != nil {
 			return err
 		}
-		s.watchers.Go(func() { s.watch(h) })
+		s.background.Go(func() { s.watchConfig(h) })
 	}
 	return nil
 }
 
-// startStandIns starts their process and reads its addresses.
+// startStandIns starts the process of the stand-ins and reads their addresses from
+// its output.
 func (s *Site) startStandIns(c standin.Config) error {
-	c.Listen = s.block.standIns()
+	c.Listen = s.block.standInIP()
 	data, err := toml.Marshal(c)
 	if err != nil {
-		return errors.Wrap(err, "stand-ins")
+		return errors.Wrap(err, "encode stand-in configuration")
 	}
 	file := filepath.Join(s.dir, "standin.toml")
 	if err := os.WriteFile(file, data, 0o644); err != nil {
-		return errors.Wrap(err, "stand-ins")
+		return errors.Wrap(err, "write stand-in configuration")
 	}
 	r, w, err := os.Pipe()
 	if err != nil {
-		return errors.Wrap(err, "stand-ins")
+		return errors.Wrap(err, "create pipe for stand-ins")
 	}
 	defer r.Close()
 	s.standIn, err = startProcess(filepath.Join(s.dir, "standin.log"), w,
 		s.programs.StandIn, "serve", "-config", file, "-records", s.recordsFile())
-	// The child has its own copy; ours would hide its end.
+	// The child has its own copy. While this one is open, reads don't return an end
+	// of file when the child ends.
 	w.Close()
 	if err != nil {
 		return err
 	}
 	line, err := bufio.NewReader(r).ReadBytes('\n')
 	if err != nil {
-		return errors.Wrapf(err, "stand-ins: %s", s.standIn.tail(2000))
+		return errors.Wrapf(err, "read addresses from stand-ins, end of their log: %s", s.standIn.tail(2000))
 	}
-	return errors.Wrap(json.Unmarshal(line, &s.at), "stand-ins")
+	return errors.Wrap(json.Unmarshal(line, &s.addresses), "decode addresses from stand-ins")
 }
 
 func (s *Site) recordsFile() string { return filepath.Join(s.dir, "records.jsonl") }
 
-// addHost makes the links and settings of an entry host, and lists it.
+// addHost creates the links and settings of an entry host, and adds it to the
+// membership list.
 func (s *Site) addHost(o Options, i int) error {
 	h := &Host{
 		Name:         fmt.Sprintf("gate-%d", i),
@@ -138,69 +142,70 @@
 		dir:          s.dir, links: newLinks(), client: s.client,
 	}
 	s.Hosts = append(s.Hosts, h)
-	h.view = newMemberView(s.at.Members, s.client, h.links)
+	h.members = newMembersProxy(s.addresses.Members, s.client, h.links)
 	h.settings = o.settings(i)
 	h.settings.Host.Name = h.Name
-	h.settings.Host.Listen, h.settings.Host.Operators = hostOf(h.CallersURL), hostOf(h.OperatorsURL)
+	h.settings.Host.Listen, h.settings.Host.Operators = hostPort(h.CallersURL), hostPort(h.OperatorsURL)
 	h.settings.Host.Peer = h.peer
-	for _, one := range []struct {
+	for _, service := range []struct {
 		name, target string
 		to           *string
 	}{
-		{"table", s.at.Table, &h.settings.Platform.Table},
-		{"objects", s.at.Objects, &h.settings.Platform.Objects},
-		{"members", h.view.URL, &h.settings.Platform.Members},
+		{"table", s.addresses.Table, &h.settings.Platform.Table},
+		{"objects", s.addresses.Objects, &h.settings.Platform.Objects},
+		{"members", h.members.URL, &h.settings.Platform.Members},
 	} {
-		address, err := h.links.to(one.name, hostOf(one.target))
+		address, err := h.links.address(service.name, hostPort(service.target))
 		if err != nil {
 			return err
 		}
-		*one.to = "http://" + address
+		*service.to = "http://" + address
 	}
-	if err := h.write(); err != nil {
+	if err := h.writeConfig(); err != nil {
 		return err
 	}
-	return s.post(s.at.Control+"/entry-host", standin.EntryHostConfig{Name: h.Name, Peer: h.peer, Zone: h.settings.Host.Zone})
+	return s.post(s.addresses.Control+"/entry-host", standin.EntryHostConfig{Name: h.Name, Peer: h.peer, Zone: h.settings.Host.Zone})
 }
 
-// close ends all processes and proxies.
+// close stops all processes and proxies.
 func (s *Site) close() {
-	defer func() { <-running }()
-	defer s.keep()
+	defer func() { <-siteSlots }()
+	defer s.keepFiles()
 	close(s.stop)
 	for _, h := range s.Hosts {
 		if p := h.current(); p != nil {
 			p.kill()
-			s.examine(h.Name, p)
+			s.reportLog(h.Name, p)
 		}
 	}
-	s.watchers.Wait()
+	s.background.Wait()
 	for _, h := range s.Hosts {
 		h.links.close()
-		h.view.Close()
+		h.members.Close()
 	}
 	if s.standIn != nil {
 		s.standIn.kill()
-		s.examine("stand-ins", s.standIn)
+		s.reportLog("stand-ins", s.standIn)
 	}
-	if s.block.guard != nil {
-		s.block.guard.Close()
+	if s.block.lock != nil {
+		s.block.lock.Close()
 	}
 	s.client.CloseIdleConnections()
 }
 
-// examine reports data races, and what a process logged if the test failed.
-func (s *Site) examine(name string, p *process) {
-	const shown = 6000
-	if p.raced() {
-		s.t.Errorf("%s: data race", name)
+// reportLog fails the test if the process logged a data race, and prints the end
+// of the log if the test has failed.
+func (s *Site) reportLog(name string, p *process) {
+	const maxLogTail = 6000
+	if p.hasDataRace() {
+		s.t.Errorf("%s: the race detector reported a data race", name)
 	}
 	if s.t.Failed() {
-		s.t.Logf("%s logged at last:\n%s", name, p.tail(shown))
+		s.t.Logf("end of the log of %s:\n%s", name, p.tail(maxLogTail))
 	}
 }
 
-// must fails the test for what could not be brought about.
+// must ends the test if err is not nil.
 func (s *Site) must(err error) {
 	s.t.Helper()
 	if err != nil {
--- a/integration/soak_test.go
+++ b/integration/soak_test.go
@@ -16,22 +16,22 @@
 
 var (
 	soakSeed  = flag.Uint64("soak.seed", 1, "first seed of TestSoak")
-	soakCount = flag.Int("soak.count", 0, "how many seeds TestSoak runs, one after the other")
+	soakCount = flag.Int("soak.count", 0, "number of consecutive seeds that TestSoak runs")
 )
 
-// victims are what one fault of a schedule strikes.
+// victims are the members that one fault of a schedule may affect.
 type victims struct {
 	host             *Host
 	endpoint, worker string
 }
 
-// siteFault is something that goes wrong and is put right.
+// siteFault is a fault that is injected into a site and cleared again.
 type siteFault struct {
 	name       string
 	begin, end func(s *Site, v victims)
-	// host is set when it strikes an entry host, restarts when its end needs
-	// a healthy site, drains when it is a planned stop.
-	host, restarts, drains bool
+	// host is set if the fault affects an entry host, endLast if other faults
+	// must be cleared first, plannedStop if it drains the host.
+	host, endLast, plannedStop bool
 }
 
 func tableFault(name string, f standin.Faults) siteFault {
@@ -50,7 +50,7 @@
 	}
 }
 
-// hostFaults strike an entry host.
+// hostFaults returns the faults of entry hosts.
 func hostFaults() []siteFault {
 	return []siteFault{
 		{"host killed", func(s *Site, v victims) { s.Kill(v.host) }, func(s *Site, v victims) { s.Restart(v.host) }, true, true, false},
@@ -84,7 +84,7 @@
 	}
 }
 
-// otherFaults strike the store, endpoints and workers.
+// otherFaults returns the faults of the store, endpoints and workers.
 func otherFaults() []siteFault {
 	faults := []siteFault{
 		tableFault("table down", standin.Faults{Down: true}),
@@ -107,32 +107,32 @@
 	return faults
 }
 
-// runSchedule lets two faults at once come and go, twice, under load, as a
-// seed says.
+// runSchedule injects and clears two overlapping faults under load, twice. The
+// seed selects the faults, their victims and the load.
 func runSchedule(t *testing.T, seed uint64) {
 	const rounds = 2
 	rng := rand.New(rand.NewPCG(seed, 0))
 	options := Options{StandIns: func(c *standin.Config) { c.Services[0].Work.Sigma = 0.2 }}
 	traffic := TrafficOptions{Rate: 300, Bookings: 0.3, Repeat: 0.3}
 	if rng.IntN(2) == 0 {
-		options, traffic = Options{StandIns: saturated}, saturating
+		options, traffic = Options{StandIns: slowEndpoints}, saturatingTraffic
 	}
 	s := New(t, options)
 	tr := s.StartCallers(traffic)
 	tr.Await("requests before", 200, Any)
-	beside := false
+	drainWithFault := false
 	for round := range rounds {
-		s.submitSome(rng, round)
+		s.submitJobs(rng, round)
 		first, second := pickFaults(rng)
 		a, b := pickVictims(s, rng)
-		beside = beside || (first.drains || second.drains) && second.host
+		drainWithFault = drainWithFault || (first.plannedStop || second.plannedStop) && second.host
 		t.Logf("seed %d: %s (%s, %s, %s), %s (%s, %s, %s)", seed,
 			first.name, a.host.Name, a.endpoint, a.worker, second.name, b.host.Name, b.endpoint, b.worker)
 		first.begin(s, a)
 		tr.Await("requests with the first fault", 100+rng.IntN(400), Any)
 		second.begin(s, b)
 		tr.Await("requests with both faults", 200+rng.IntN(800), Any)
-		if first.restarts {
+		if first.endLast {
 			second.end(s, b)
 			first.end(s, a)
 		} else {
@@ -141,45 +141,44 @@
 		}
 		s.WaitShardsHeld()
 	}
-	tr.Await("answers at the end", 100, Answered)
+	tr.Await("answers after the faults", 100, Answered)
 	tr.Stop()
 	t.Log(CountOutcomes(tr.Ended(), Any))
-	if beside {
-		checkBesideDrain(t, s, tr)
+	if drainWithFault {
+		checkDrainWithFault(t, s, tr)
 		return
 	}
 	s.Check()
 }
 
-// checkBesideDrain checks a schedule in which a host was drained while another
-// host failed. What the draining host had forwarded there may be unknown, which
-// package check can't tell from a request that was cut off; so the promise of
-// the planned stop is checked here: who was in flight was told by the host
-// itself how the request ended.
-func checkBesideDrain(t *testing.T, s *Site, tr *Traffic) {
+// checkDrainWithFault checks a schedule in which one host was drained while another
+// had a fault. Requests that the draining host had forwarded to the other may have
+// an unknown outcome, which package check would count as cut off. Instead, each
+// request in flight at the drain must have received a response from the host.
+func checkDrainWithFault(t *testing.T, s *Site, tr *Traffic) {
 	t.Helper()
-	var rest []check.Record
+	var records []check.Record
 	began := map[string][]time.Time{}
-	for _, r := range s.settled() {
+	for _, r := range s.idleHistory() {
 		if r.DrainBegan != nil {
 			began[r.DrainBegan.Host] = append(began[r.DrainBegan.Host], r.At)
 			continue
 		}
-		rest = append(rest, r)
+		records = append(records, r)
 	}
-	s.report(check.Run(rest))
+	s.report(check.Run(records))
 	for _, h := range s.Hosts {
 		for _, at := range began[h.Name] {
 			for _, x := range tr.Ended() {
 				if x.Target == h.CallersURL && x.Sent.Before(at) && x.Done.After(at) && x.Status == 0 {
-					t.Errorf("breach: %s: call %s at %s: %s", check.GracefulStop, x.ID, h.Name, x.Reason)
+					t.Errorf("violation: %s: call %s at %s got no response: %s", check.GracefulStop, x.ID, h.Name, x.Reason)
 				}
 			}
 		}
 	}
 }
 
-// pickFaults returns two faults, the first at an entry host.
+// pickFaults returns two random faults, the first of an entry host.
 func pickFaults(rng *rand.Rand) (first, second siteFault) {
 	hosts := hostFaults()
 	first = hosts[rng.IntN(len(hosts))]
@@ -188,7 +187,7 @@
 	return first, second
 }
 
-// pickVictims returns what the two strike: never the same.
+// pickVictims returns random victims for two faults, without a member in common.
 func pickVictims(s *Site, rng *rand.Rand) (first, second victims) {
 	hosts, endpoints, workers := rng.Perm(len(s.Hosts)), rng.Perm(6), rng.Perm(4)
 	of := func(i int) victims {
@@ -201,8 +200,8 @@
 	return of(0), of(1)
 }
 
-// submitSome submits a few jobs; those that are not taken are not missed.
-func (s *Site) submitSome(rng *rand.Rand, round int) {
+// submitJobs submits a few random jobs and ignores errors.
+func (s *Site) submitJobs(rng *rand.Rand, round int) {
 	const count = 12
 	for i := range count {
 		run := int64(200 + rng.IntN(3000))
@@ -213,7 +212,8 @@
 	}
 }
 
-// TestTwoFaultsAtOnce runs schedules of fixed seeds.
+// TestTwoFaultsAtOnce runs the schedules of fixed seeds. The promises must hold
+// with two concurrent faults.
 func TestTwoFaultsAtOnce(t *testing.T) {
 	for _, seed := range []uint64{1, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -223,13 +223,13 @@
 	}
 }
 
-// TestSoak runs as many schedules as were asked for, and tells how to run the
-// first that fails again.
+// TestSoak runs the schedules of -soak.count consecutive seeds. It stops at the
+// first failure and prints the command that repeats it.
 func TestSoak(t *testing.T) {
 	for i := range *soakCount {
 		seed := *soakSeed + uint64(i)
 		if !t.Run(fmt.Sprint(seed), func(t *testing.T) { runSchedule(t, seed) }) {
-			t.Fatalf("again: make soak SEED=%d COUNT=1", seed)
+			t.Fatalf("to repeat: make soak SEED=%d COUNT=1", seed)
 		}
 	}
 }
--- a/integration/store_test.go
+++ b/integration/store_test.go
@@ -7,13 +7,14 @@
 	"github.com/fireflygate/fireflygate/standin"
 )
 
-// TestStoreFaults lets the store fail in each way for longer than a session,
-// under load. Calls go on; bookings are answered or not run.
+// TestStoreFaults injects each fault into the store for longer than a session,
+// under load. Calls must be answered as before, and no booking may have an unknown
+// outcome.
 func TestStoreFaults(t *testing.T) {
-	for _, one := range []struct {
+	for _, tc := range []struct {
 		name  string
 		fault standin.Faults
-		// bookings tells whether bookings go on as well.
+		// bookings is set if bookings must still be answered during the fault.
 		bookings bool
 	}{
 		{"Down", standin.Faults{Down: true}, false},
@@ -22,19 +23,19 @@
 		{"Slow", standin.Faults{DelayMS: 300}, true},
 		{"LosesAnswers", standin.Faults{LoseShare: 0.3, Seed: 1}, true},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			undisturbed(t, 0, func(t *testing.T, s *Site) func() {
-				// Fewer calls wait at once than there are slots, whatever the
-				// machine does beside: so none has to be refused for want of one.
+			withoutMachinePause(t, 0, func(t *testing.T, s *Site) func() {
+				// Fewer calls are in flight than there are slots, so none is
+				// refused for lack of a free slot, even on a busy machine.
 				calls := s.StartCallers(TrafficOptions{Rate: 160, InFlight: 16, Timeout: 2000e6})
 				bookings := s.StartCallers(TrafficOptions{Rate: 40, Bookings: 1, Repeat: 0.3, Timeout: 2000e6})
 				calls.Await("calls before", 240, Any)
-				was, booked := len(calls.Ended()), len(bookings.Ended())
-				s.TableFaults(one.fault)
-				// At 160 a second this is three sessions.
-				calls.Await("calls meanwhile", 720, Any)
-				is, bookedBy := len(calls.Ended()), len(bookings.Ended())
+				callsBefore, bookingsBefore := len(calls.Ended()), len(bookings.Ended())
+				s.TableFaults(tc.fault)
+				// At 160 calls per second this takes three sessions.
+				calls.Await("calls during the fault", 720, Any)
+				callsAfter, bookingsAfter := len(calls.Ended()), len(bookings.Ended())
 				s.TableFaults(standin.Faults{})
 				bookings.Await("bookings after", 50, Answered)
 				calls.Stop()
@@ -42,35 +43,37 @@
 				s.WaitShardsHeld()
 				s.Check()
 				return func() {
-					judgeCalls(t, calls.Answerable(calls.Ended()[:was]), calls.Answerable(calls.Ended()[was:is]))
-					judgeBookings(t, bookings.Answerable(bookings.Ended()[booked:bookedBy]), one.bookings)
+					checkCalls(t, calls.Answerable(calls.Ended()[:callsBefore]), calls.Answerable(calls.Ended()[callsBefore:callsAfter]))
+					checkBookings(t, bookings.Answerable(bookings.Ended()[bookingsBefore:bookingsAfter]), tc.bookings)
 				}
 			})
 		})
 	}
 }
 
-// judgeCalls checks that calls go on as before a fault of the store.
-func judgeCalls(t *testing.T, before, meanwhile []load.Exchange) {
+// checkCalls checks that a fault of the store doesn't lower the share of calls that
+// are answered.
+func checkCalls(t *testing.T, before, during []load.Exchange) {
 	t.Helper()
-	was, is := CountOutcomes(before, Any), CountOutcomes(meanwhile, Any)
-	t.Logf("calls before: %s; meanwhile: %s", was, is)
-	if is.AnsweredShare() < was.AnsweredShare() {
-		t.Errorf("calls: share answered %.4f, %.4f before", is.AnsweredShare(), was.AnsweredShare())
+	countsBefore, countsDuring := CountOutcomes(before, Any), CountOutcomes(during, Any)
+	t.Logf("calls before the fault: %s; during it: %s", countsBefore, countsDuring)
+	if countsDuring.AnsweredShare() < countsBefore.AnsweredShare() {
+		t.Errorf("calls: share answered %.4f during the fault, want at least %.4f as before", countsDuring.AnsweredShare(), countsBefore.AnsweredShare())
 	}
 }
 
-// judgeBookings checks what became of bookings meanwhile, which a fault that
-// lets the store work leaves some answers.
-func judgeBookings(t *testing.T, meanwhile []load.Exchange, goOn bool) {
+// checkBookings checks that no booking had an unknown outcome during a fault of
+// the store and, if wantAnswers is set, that some were answered.
+func checkBookings(t *testing.T, during []load.Exchange, wantAnswers bool) {
 	t.Helper()
-	bookings := CountOutcomes(meanwhile, Any)
+	bookings := CountOutcomes(during, Any)
 	t.Logf("bookings: %s", bookings)
-	// A repeat of a booking that ran may find its outcome unreadable.
-	if first := CountOutcomes(meanwhile, not(Repeat)); first.Unknown > 0 {
-		t.Errorf("bookings: %s", first)
+	// A resent booking may have an unknown outcome, since the stored one can't be
+	// read during the fault.
+	if first := CountOutcomes(during, not(Repeat)); first.Unknown > 0 {
+		t.Errorf("bookings sent once, want no unknown outcome: %s", first)
 	}
-	if goOn && bookings.Answered == 0 {
-		t.Errorf("no booking was answered: %s", bookings)
+	if wantAnswers && bookings.Answered == 0 {
+		t.Errorf("no booking was answered during the fault, want at least one: %s", bookings)
 	}
 }
--- a/integration/traffic.go
+++ b/integration/traffic.go
@@ -12,28 +12,25 @@
 	"github.com/fireflygate/fireflygate/outcome"
 )
 
-// TrafficOptions is what callers send.
+// TrafficOptions describes the requests that callers send.
 type TrafficOptions struct {
-	// Rate is requests a second; 200 if 0.
+	// Rate is the number of requests per second; 200 if 0.
 	Rate float64
-	// Bookings is the share with an idempotency key, Repeat the share of
-	// those that are sent again, to any host.
+	// Bookings is the share of requests with an idempotency key. Repeat is the
+	// share of bookings that are resent, to any host.
 	Bookings, Repeat float64
-	// Timeout is the deadline of a request; 1 s if 0.
+	// Timeout limits each request; 1 s if 0.
 	Timeout time.Duration
-	// InFlight bounds the requests that wait for their answer at once, 2048 if
-	// 0. One that would exceed it is not sent, so that callers slow down with
-	// the machine in place of overloading it.
+	// InFlight limits the requests in flight; 2048 if 0. Requests above the limit
+	// are not sent, so that callers don't overload a slow machine.
 	InFlight int
-	// AllHosts sends to every host, ready or not; otherwise to those that
-	// the balancer found ready.
+	// AllHosts sends requests to all hosts instead of those that are ready.
 	AllHosts bool
 }
 
-// timeout returns the deadline of a request.
 func (o TrafficOptions) timeout() time.Duration { return cmp.Or(o.Timeout, time.Second) }
 
-// Traffic is callers that send until Stop.
+// Traffic is a group of callers that send requests until Stop.
 type Traffic struct {
 	site    *Site
 	options TrafficOptions
@@ -47,13 +44,13 @@
 	exchanges []load.Exchange
 }
 
-// Callers starts callers. The test must Stop them.
+// StartCallers starts callers that send requests until Stop or the end of the test.
 func (s *Site) StartCallers(o TrafficOptions) *Traffic {
 	s.callers++
 	ctx, cancel := context.WithCancel(context.Background())
 	tr := &Traffic{site: s, options: o, cancel: cancel, stop: make(chan struct{}), ended: make(chan struct{})}
 	s.t.Cleanup(func() { tr.Stop() })
-	config := s.traffic(o)
+	config := s.loadConfig(o)
 	config.Seed, config.Observe = uint64(s.callers), tr.observe
 	b := newBalancer(s.Hosts)
 	config.Targets = b.targets
@@ -67,18 +64,18 @@
 	return tr
 }
 
-// traffic returns what package load is to send.
-func (s *Site) traffic(o TrafficOptions) load.Config {
+// loadConfig returns the configuration of package load for the given options.
+func (s *Site) loadConfig(o TrafficOptions) load.Config {
 	const (
-		usualRate   = 200
-		usualFlight = 2048
+		defaultRate     = 200
+		defaultInFlight = 2048
 	)
 	if o.Rate == 0 {
-		o.Rate = usualRate
+		o.Rate = defaultRate
 	}
 	o.Timeout = o.timeout()
 	if o.InFlight == 0 {
-		o.InFlight = usualFlight
+		o.InFlight = defaultInFlight
 	}
 	names := map[string]string{}
 	for _, h := range s.Hosts {
@@ -102,7 +99,8 @@
 	tr.exchanges = append(tr.exchanges, x)
 }
 
-// Stop ends the traffic and waits for all answers.
+// Stop stops sending and waits until all requests in flight have ended. It may be
+// called more than once.
 func (tr *Traffic) Stop() load.Summary {
 	tr.cancel()
 	<-tr.ended
@@ -122,14 +120,14 @@
 	return tr.exchanges[:len(tr.exchanges):len(tr.exchanges)]
 }
 
-// Await waits until n more requests than now have ended that match.
-func (tr *Traffic) Await(what string, n int, match func(load.Exchange) bool) {
+// Await waits until n more requests that match have ended.
+func (tr *Traffic) Await(description string, n int, match func(load.Exchange) bool) {
 	tr.site.t.Helper()
-	seen := len(tr.Ended())
-	tr.site.WaitUntil(what, func() bool { return Count(tr.Ended()[seen:], match) >= n })
+	first := len(tr.Ended())
+	tr.site.WaitUntil(description, func() bool { return Count(tr.Ended()[first:], match) >= n })
 }
 
-// Count returns how many exchanges match.
+// Count returns the number of exchanges that match.
 func Count(exchanges []load.Exchange, match func(load.Exchange) bool) int {
 	n := 0
 	for _, x := range exchanges {
@@ -146,10 +144,10 @@
 // Booking matches requests with an idempotency key.
 func Booking(x load.Exchange) bool { return x.Key != "" }
 
-// Call matches requests without one.
+// Call matches requests without an idempotency key.
 func Call(x load.Exchange) bool { return x.Key == "" }
 
-// Repeat matches bookings that were sent again.
+// Repeat matches bookings that were resent.
 func Repeat(x load.Exchange) bool { return x.Retried }
 
 // Answered matches requests that were answered.
--- a/integration/wait.go
+++ b/integration/wait.go
@@ -8,24 +8,25 @@
 	"github.com/fireflygate/fireflygate/ownership"
 )
 
-// Until waits until a condition holds, and fails the test after Patience.
-func (s *Site) WaitUntil(what string, holds func() bool) {
+// WaitUntil waits until a condition holds. It ends the test as failed after
+// ConditionTimeout.
+func (s *Site) WaitUntil(description string, condition func() bool) {
 	s.t.Helper()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	timeout := time.NewTimer(ConditionTimeout)
 	defer timeout.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-timeout.C:
-			s.t.Fatalf("not in time: %s", what)
+			s.t.Fatalf("timed out waiting for: %s", description)
 		case <-ticker.C:
 		}
 	}
 }
 
-// WaitShardsHeld waits until every shard is held in full by the hosts that are up,
-// and all of them are ready.
+// WaitShardsHeld waits until the running hosts hold every shard in full and are all
+// ready.
 func (s *Site) WaitShardsHeld() {
 	s.t.Helper()
 	s.WaitUntil("all shards held in full", func() bool {
@@ -34,8 +35,7 @@
 	})
 }
 
-// Held counts the shards of endpoints and workers that are held in full by
-// the hosts that are up.
+// HeldShards returns the number of shards that running hosts hold in full.
 func (s *Site) HeldShards() int {
 	n := 0
 	for _, h := range s.Hosts {
@@ -44,8 +44,8 @@
 	return n
 }
 
-// ShardsHeldBy counts the shards with a prefix, such as "ep/", that a host may use
-// in full.
+// ShardsHeldBy returns the number of shards that a host holds in full and whose
+// names begin with prefix, such as "ep/". It returns 0 for a host that is not up.
 func (s *Site) ShardsHeldBy(h *Host, prefix string) int {
 	if !h.up() {
 		return 0
@@ -63,8 +63,8 @@
 	return n
 }
 
-// shards returns how many shards the hosts' settings and members give, 0
-// until that is known.
+// shards returns the number of shards for the current membership list, 0 if the
+// list is unavailable.
 func (s *Site) shards() int {
 	list, err := s.MemberList()
 	if err != nil {
@@ -82,9 +82,9 @@
 	return true
 }
 
-// watch records which configuration a host reports, as an operator would see
-// it, until the site ends. A host that is not up has none.
-func (s *Site) watch(h *Host) {
+// watchConfig records the configuration version that a host reports, and the end
+// of its process, until the site stops.
+func (s *Site) watchConfig(h *Host) {
 	const interval = 100 * time.Millisecond
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -93,7 +93,7 @@
 		status, err := h.Status()
 		switch {
 		case err == nil && status.State == "starting":
-			// It has none in force yet and takes no request.
+			// No version is in force yet, and the host accepts no requests.
 		case err == nil:
 			seen = true
 			s.Recorder.Add(check.Record{ConfigInForce: &check.ConfigInForce{Host: h.Name, Version: uint64(status.ConfigVersion)}})
