--- a/check/record.go
+++ b/check/record.go
@@ -128,7 +128,7 @@
 	Version uint64 `json:"version"`
 }
 
-// ConfigApplied records the configuration version that an entry host applies.
+// ConfigInForce records the configuration version that an entry host applies.
 type ConfigInForce struct {
 	Host    string `json:"host"`
 	Version uint64 `json:"version"`
--- a/integration/mutations_batch.go
+++ b/integration/mutations_batch.go
@@ -70,7 +70,7 @@
 	},
 	{
 		Name: "spread-among-peers",
-		File: "gate/peers.go",
+		File: "gate/configsync.go",
 		Old:  "current, ok := s.watcher.Current()\n\tif !ok {", New: "current, ok := s.watcher.Current()\n\tif ok {",
 		Test: "^TestConfigSpreadsWithoutStore$", ExpectedOutput: "timed out waiting for: version 2 in force",
 	},
--- a/integration/mutations_interactive.go
+++ b/integration/mutations_interactive.go
@@ -42,8 +42,8 @@
 	{
 		Name: "withdrawal-of-written-frames",
 		File: "peer/call.go",
-		Old:  "return Result{Kind: outcome.Unknown, Err: err}\n}\n\n// resolve",
-		New:  "return Result{Kind: outcome.NotRun, Err: err}\n}\n\n// resolve",
+		Old:  "return Result{Kind: outcome.Unknown, Err: err}\n}\n\n// decodeReply",
+		New:  "return Result{Kind: outcome.NotRun, Err: err}\n}\n\n// decodeReply",
 		Test: "^TestCutOffFromPeers$", ExpectedOutput: "not run is true",
 	},
 	{
@@ -61,8 +61,8 @@
 	{
 		Name: "whole-answers",
 		File: "gateway/answer.go",
-		Old:  "head, err := io.ReadAll(io.LimitReader(body, wholeAnswer))\n\tif err != nil {",
-		New:  "head, err := io.ReadAll(io.LimitReader(body, wholeAnswer))\n\tif err != nil && len(head) == 0 {",
+		Old:  "head, err := io.ReadAll(io.LimitReader(body, maxBufferedResponse))\n\tif err != nil {",
+		New:  "head, err := io.ReadAll(io.LimitReader(body, maxBufferedResponse))\n\tif err != nil && len(head) == 0 {",
 		Test: "^TestEndpointFaults$/^CutsAnswers$", ExpectedOutput: "every caller gets the whole answer",
 	},
 	{
--- a/tenure/driver.go
+++ b/tenure/driver.go
@@ -112,7 +112,7 @@
 	d.subscribers = append(d.subscribers, f)
 }
 
-// TableAvailable reports whether the table has answered recently.
+// StoreOK reports whether the table has answered recently.
 func (d *Driver) StoreOK() bool { return d.storeOK.Load() }
 
 // HandOver drains all shards and gives them to other hosts; this host takes no
