--- a/election/acquire.go
+++ b/election/acquire.go
@@ -22,8 +22,9 @@
 	return r, rows[0].Version, err
 }
 
-// Acquire makes self the next owner if the row still has the given version. It
-// returns ErrDeposed if another host was faster.
+// Acquire commits an owner's row for self in the epoch after that of previous,
+// and returns the Committer of the new owner. previous and version are the
+// results of Read; if the row has changed since, Acquire returns ErrDeposed.
 func Acquire(ctx context.Context, table infra.Table, self, previous Record, version uint64) (*Committer, error) {
 	self.Epoch, self.Seq, self.Resigned = previous.Epoch+1, 0, false
 	c := NewCommitter(table, self, version)
--- a/election/candidates.go
+++ b/election/candidates.go
@@ -7,49 +7,51 @@
 	"github.com/fireflygate/fireflygate/relay"
 )
 
-// candidateTTL is how long a host counts as available after its last ping.
-// Hosts ping the owner every 300 ms, but after a lost answer they check the
-// owner's row first.
+// candidateTTL is how long a host counts as available after its last ping. It
+// covers several ping intervals of 300 ms, since a host that gets no answer
+// checks the owner's row before it pings again.
 const candidateTTL = 2 * time.Second
 
 // Candidates records the hosts that ping the owner, with their processors. It
 // is safe for concurrent use.
 type Candidates struct {
-	mu   sync.Mutex
-	seen map[string]candidate
+	mu        sync.Mutex
+	byAddress map[string]candidate
 }
 
 // candidate is a host that could take the domain over or relay orders.
 type candidate struct {
 	cores float64
 	zone  string
-	// firstSeen is the first ping since the host was last unavailable.
+	// lastSeen is the time of the last ping, firstSeen that of the first one after
+	// the host's last gap of more than candidateTTL.
 	firstSeen, lastSeen time.Duration
 }
 
-// Observe records a ping at the monotonic time now from a host with the given
-// availability zone and number of processors; 0 processors mean that the host
-// no longer accepts the domain.
-func (c *Candidates) Observe(host, zone string, cores float64, now time.Duration) {
+// Observe records a ping at the monotonic time now from the host with the given
+// address, availability zone and number of processors. A host with 0 processors
+// no longer accepts the domain and is removed, as are hosts that haven't pinged
+// for candidateTTL.
+func (c *Candidates) Observe(address, zone string, cores float64, now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, old := range c.seen {
+	for other, old := range c.byAddress {
 		if now-old.lastSeen > candidateTTL {
-			delete(c.seen, name)
+			delete(c.byAddress, other)
 		}
 	}
 	if cores <= 0 {
-		delete(c.seen, host)
+		delete(c.byAddress, address)
 		return
 	}
-	if c.seen == nil {
-		c.seen = map[string]candidate{}
+	if c.byAddress == nil {
+		c.byAddress = map[string]candidate{}
 	}
 	firstSeen := now
-	if old, found := c.seen[host]; found {
+	if old, found := c.byAddress[address]; found {
 		firstSeen = old.firstSeen
 	}
-	c.seen[host] = candidate{cores: cores, zone: zone, firstSeen: firstSeen, lastSeen: now}
+	c.byAddress[address] = candidate{cores: cores, zone: zone, firstSeen: firstSeen, lastSeen: now}
 }
 
 // RelayHosts returns the available hosts, which may relay orders.
@@ -57,7 +59,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var all []relay.Host
-	for address, h := range c.seen {
+	for address, h := range c.byAddress {
 		if now-h.lastSeen <= candidateTTL {
 			all = append(all, relay.Host{Address: address, Zone: h.zone, Cores: h.cores})
 		}
@@ -65,12 +67,13 @@
 	return all
 }
 
-// Strongest returns the number of processors of the strongest available host
-// and how long such a host has been available, or 0 if there is none.
+// Strongest returns the number of processors of the strongest available host,
+// or 0 if there is none. seenFor is the longest time that a host with as many
+// processors has been available.
 func (c *Candidates) Strongest(now time.Duration) (cores float64, seenFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, h := range c.seen {
+	for _, h := range c.byAddress {
 		if now-h.lastSeen > candidateTTL || h.cores < cores {
 			continue
 		}
--- a/election/candidates_test.go
+++ b/election/candidates_test.go
@@ -7,8 +7,8 @@
 	"github.com/fireflygate/fireflygate/election"
 )
 
-// TestCandidates checks that Strongest ignores hosts that stop or no longer
-// ping.
+// TestCandidates checks that Strongest ignores hosts that are stopping or no
+// longer ping.
 func TestCandidates(t *testing.T) {
 	var candidates election.Candidates
 	expect := func(at time.Duration, cores float64, seenFor time.Duration) {
@@ -31,6 +31,6 @@
 	expect(6*s, 0.2, 5*s) // "also" stopped pinging
 	candidates.Observe("weak", "zone", 0.2, 7*s)
 	candidates.Observe("also", "zone", 0.8, 7*s)
-	expect(8*s, 0.8, 1*s) // its time restarts after the gap
+	expect(8*s, 0.8, 1*s) // "also" counts as available since its pings resumed
 	expect(20*s, 0, 0)
 }
--- a/election/committer.go
+++ b/election/committer.go
@@ -80,7 +80,7 @@
 	c.record.HandedOver = true
 }
 
-// Resign commits that the owner has stopped.
+// Resign commits that the owner has stopped. Refresh does nothing afterwards.
 func (c *Committer) Resign(ctx context.Context) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,9 +149,11 @@
 	}
 }
 
-// resolveConflict inspects the owner's row after a conflict. The row may hold
-// this commit, applied by an earlier attempt; this owner's previous commit,
-// whose version was unknown; or the commit of another owner.
+// resolveConflict inspects the owner's row among the rows of a conflict. If an
+// earlier attempt has applied this commit, it returns true. If the row holds
+// this owner's previous commit, whose version was unknown, it returns false and
+// the commit can be retried. In both cases it records the row's version. If the
+// row belongs to another owner, it returns ErrDeposed.
 func (c *Committer) resolveConflict(rows []infra.Row) (applied bool, err error) {
 	for _, row := range rows {
 		if row.Key != OwnerKey || row.Version == 0 {
--- a/election/handover.go
+++ b/election/handover.go
@@ -31,8 +31,8 @@
 	OwnedFor time.Duration
 	// CommitAge is the age of the owner's last commit.
 	CommitAge time.Duration
-	// PredecessorHandedOver is set if the previous owner handed the domain over
-	// for a host with more processors than this one.
+	// PredecessorHandedOver is set if the previous owner resigned to hand the
+	// domain over to a host with more processors than this one.
 	PredecessorHandedOver bool
 }
 
--- a/election/status.go
+++ b/election/status.go
@@ -6,7 +6,7 @@
 // the owner's row themselves. It is above the interval of heartbeat commits.
 const StaleAfter = 750 * time.Millisecond
 
-// Status is a host's answer about its own ownership.
+// Status is what a host answers when asked whether it owns the domain.
 type Status struct {
 	// Incarnation identifies the host's process.
 	Incarnation string
@@ -17,21 +17,21 @@
 	CommitAge time.Duration
 }
 
-// Owns reports whether the host holds the ownership that the row leader names.
-func (s *Status) Owns(leader *Record) bool {
-	return s.Owner && s.Incarnation == leader.Incarnation && s.Epoch == leader.Epoch
+// Owns reports whether the host is the owner that the row names.
+func (s *Status) Owns(row *Record) bool {
+	return s.Owner && s.Incarnation == row.Incarnation && s.Epoch == row.Epoch
 }
 
-// SuspectReason returns why the answer of the host that the row leader names
-// gives reason to check the row, empty if it doesn't, and whether the owner's
-// process has terminated. A live process that denies the ownership may not have
-// received the answer to its acquiring commit yet, so it doesn't count as
-// terminated.
-func (s *Status) SuspectReason(leader *Record) (reason string, terminated bool) {
+// SuspectReason compares a host's status with the owner's row that names the
+// host. It returns why the row must be read again, empty if it needn't, and
+// whether the process that acquired the domain has terminated. A live process
+// that denies the ownership may not have received the answer to its acquiring
+// commit yet, so it doesn't count as terminated.
+func (s *Status) SuspectReason(row *Record) (reason string, terminated bool) {
 	switch {
-	case s.Incarnation != leader.Incarnation:
+	case s.Incarnation != row.Incarnation:
 		return "another life of the host", true
-	case !s.Owns(leader):
+	case !s.Owns(row):
 		return "no longer the owner", false
 	case s.CommitAge > StaleAfter:
 		return "its commits fail", false
--- a/election/status_test.go
+++ b/election/status_test.go
@@ -10,7 +10,7 @@
 // TestSuspectReason checks that only a changed incarnation counts as a
 // terminated owner process.
 func TestSuspectReason(t *testing.T) {
-	leader := &election.Record{Host: "a", Incarnation: "a-1", Epoch: 3}
+	row := &election.Record{Host: "a", Incarnation: "a-1", Epoch: 3}
 	for _, c := range []struct {
 		name           string
 		status         election.Status
@@ -24,7 +24,7 @@
 		{"owner of an earlier epoch", election.Status{Incarnation: "a-1", Owner: true, Epoch: 2}, "no longer the owner", false},
 		{"last commit too old", election.Status{Incarnation: "a-1", Owner: true, Epoch: 3, CommitAge: time.Second}, "its commits fail", false},
 	} {
-		if reason, terminated := c.status.SuspectReason(leader); reason != c.reason || terminated != c.wantTerminated {
+		if reason, terminated := c.status.SuspectReason(row); reason != c.reason || terminated != c.wantTerminated {
 			t.Errorf("%s: reason %q, terminated %v; want %q, %v", c.name, reason, terminated, c.reason, c.wantTerminated)
 		}
 	}
--- a/election/takeoverdelay_test.go
+++ b/election/takeoverdelay_test.go
@@ -44,7 +44,7 @@
 		want     time.Duration
 	}{
 		{"as many as an owner that may be alive", alive, 0.8, timeout},
-		{"a quarter of those", alive, 0.2, timeout + 225*time.Millisecond},
+		{"a quarter of the processors of such an owner", alive, 0.2, timeout + 225*time.Millisecond},
 		{"as many as a resigned owner", resigned, 0.8, 0},
 		{"a quarter of a resigned owner's", resigned, 0.2, 225 * time.Millisecond},
 	} {
