--- a/control/commit.go
+++ b/control/commit.go
@@ -10,9 +10,11 @@
 	"github.com/fireflygate/fireflygate/event"
 )
 
-// flush commits changed state, one batch at a time: immediately if a caller
-// waits, urgent changes after flushDelay, all others after a further half of the
-// poll interval. The owner's row is committed at least every heartbeatInterval.
+// flush starts a commit of changed state unless one is in flight. Urgent changes
+// are committed at once if a caller waits, else flushDelay after the previous
+// commit. All changes are committed once some have existed for flushDelay plus
+// half the poll interval. The owner's row, which is part of every commit, is
+// committed at least every heartbeatInterval.
 func (o *Owner) flush(now time.Time) {
 	if o.committing || o.resigning {
 		return
@@ -45,8 +47,10 @@
 	go o.commit(b)
 }
 
-// commit writes a batch and posts the outcome to the loop. If the batch can't
-// be applied any more, the owner has been deposed and quits.
+// commit writes a batch together with the owner's row, in which it updates the
+// number of processors. Once the batch is durable, the loop marks it as flushed,
+// replies to waiters and runs afterCommit. If the commit fails, as it does when
+// the owner has been deposed, the owner quits.
 func (o *Owner) commit(b *dispatch.Batch) {
 	start := boottime()
 	best, _ := o.candidates.Strongest(start)
@@ -69,8 +73,8 @@
 	})
 }
 
-// recordCommit records an applied commit that was started at the boottime
-// start.
+// recordCommit records the version of the owner's row after an applied commit,
+// and the boottime start at which that commit began.
 func (o *Owner) recordCommit(start time.Duration) {
 	o.committedVersion.Store(o.committer.Version())
 	o.committedAt.Store(int64(start))
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -126,7 +126,8 @@
 	return runner.Answer{Status: runner.Done, ClockMS: f.clock()}
 }
 
-// Renew implements runner.Client; it returns early from waits for ended runs.
+// Renew implements runner.Client. It holds its answer for a few milliseconds at
+// most, even if the owner allows more.
 func (f *fleet) Renew(ctx context.Context, at runner.Worker, o runner.Renewal) (runner.Answer, runner.Report) {
 	f.mu.Lock()
 	w := f.workers[at.ID]
@@ -146,7 +147,7 @@
 		return runner.Answer{Status: runner.Fenced, ClockMS: rep.ClockMS}, runner.Report{}
 	}
 	if o.WaitMS > 0 && len(rep.Ends) == 0 {
-		// Keep the wait short so that ended runs are reported soon.
+		// A short wait, since runs that end meanwhile are reported by the next poll.
 		t := time.NewTimer(5 * time.Millisecond)
 		defer t.Stop()
 		select {
--- a/control/follow.go
+++ b/control/follow.go
@@ -15,16 +15,16 @@
 // replacing it. It returns after each change of owner.
 func (n *Node) follow(ctx context.Context) {
 	_, leader, _ := n.current()
-	d := suspicion{reason: "no owner is known", terminated: true}
+	s := suspicion{reason: "no owner is known", terminated: true}
 	if leader.Host != "" && !leader.Resigned {
-		d = n.watchLeader(ctx, leader)
+		s = n.watchLeader(ctx, leader)
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	event.OwnerSuspected.Log(n.opts.Log, slog.String("host", leader.Host), slog.Uint64("epoch", leader.Epoch),
-		slog.String("why", d.reason), slog.Uint64("version", d.version))
-	n.replace(ctx, d)
+		slog.String("why", s.reason), slog.Uint64("version", s.version))
+	n.replace(ctx, s)
 }
 
 // suspicion is the reason for replacing the owner, and what is known of its
@@ -33,44 +33,46 @@
 	reason string
 	// terminated is set if the owner's process seems to have terminated.
 	terminated bool
-	// version is the version of the owner's row in the owner's last answer, and
-	// since the time from which it is known to be unchanged.
+	// version is the last known version of the owner's row, and since the time from
+	// which the row is known to be unchanged, zero if there is no such time.
 	version uint64
 	since   time.Time
 }
 
-// watchLeader pings the owner until there is a reason to suspect it.
-func (n *Node) watchLeader(ctx context.Context, leader election.Record) (d suspicion) {
+// watchLeader pings the owner until there is a reason to suspect it, and
+// returns the suspicion. It returns early if the context ends.
+func (n *Node) watchLeader(ctx context.Context, leader election.Record) (s suspicion) {
 	t := time.NewTicker(pingInterval)
 	defer t.Stop()
 	for {
 		r, res := n.ping(ctx, leader)
 		switch res {
 		case outcome.NotRun:
-			d.reason, d.terminated = "unreachable", true
-			return d
+			s.reason, s.terminated = "unreachable", true
+			return s
 		case outcome.Unknown:
-			d.reason = "no answer"
-			return d
+			s.reason = "no answer"
+			return s
 		}
 		a := r.status()
-		d.reason, d.terminated = a.SuspectReason(&leader)
+		s.reason, s.terminated = a.SuspectReason(&leader)
 		if a.Owns(&leader) {
-			d.version, d.since = r.Version, time.Now().Add(-a.CommitAge)
+			s.version, s.since = r.Version, time.Now().Add(-a.CommitAge)
 		}
-		if d.reason != "" {
-			return d
+		if s.reason != "" {
+			return s
 		}
 		n.recordLeaderAnswer()
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return d
+			return s
 		}
 	}
 }
 
-// ping asks the owner for its status.
+// ping asks the owner for its status, and records the hosts and the number of
+// relays that the owner reports.
 func (n *Node) ping(ctx context.Context, leader election.Record) (pingReply, outcome.Kind) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -79,7 +81,7 @@
 	res := n.client.Call(ctx, leader.Host, methodPing, q, &r)
 	n.setHosts(r.Hosts)
 	if r.Owner {
-		n.relays.Store(int64(r.Relays))
+		n.relaysPerZone.Store(int64(r.Relays))
 	}
 	return r, res.Kind
 }
@@ -93,11 +95,11 @@
 
 // replace polls the owner's row until it names another owner or this host has
 // taken the domain over.
-func (n *Node) replace(ctx context.Context, d suspicion) {
+func (n *Node) replace(ctx context.Context, s suspicion) {
 	_, old, _ := n.current()
 	t := time.NewTicker(rowPollInterval)
 	defer t.Stop()
-	for !n.tryReplace(ctx, old, &d) {
+	for !n.tryReplace(ctx, old, &s) {
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -106,10 +108,11 @@
 	}
 }
 
-// tryReplace makes one attempt to find a new owner or to take the domain over.
-// It records in d since when the row is unchanged, and reports whether it
-// succeeded.
-func (n *Node) tryReplace(ctx context.Context, old election.Record, d *suspicion) bool {
+// tryReplace makes one attempt to find a new owner or to take the domain over,
+// and reports whether it succeeded. After a takeover it returns only when this
+// host's ownership has ended. It updates the version and the time in s by what
+// it reads.
+func (n *Node) tryReplace(ctx context.Context, old election.Record, s *suspicion) bool {
 	if hint, ok := n.newerHint(old); ok {
 		n.followOwner(hint)
 		return true
@@ -120,24 +123,24 @@
 	switch {
 	case err != nil:
 		event.OwnerReadFailed.Log(n.opts.Log, slog.Any("err", err))
-		d.since = time.Time{}
+		s.since = time.Time{}
 		n.askPeers(ctx)
 		return false
 	case record.Host != "" && !record.Resigned && !record.SameOwnership(&old):
 		n.followOwner(record)
 		return true
-	case d.since.IsZero() || version != d.version:
-		if !d.since.IsZero() && n.ownerAlive(ctx, record) {
+	case s.since.IsZero() || version != s.version:
+		if !s.since.IsZero() && n.ownerAlive(ctx, record) {
 			n.setLeader(record, nil)
 			return true
 		}
-		d.version, d.since = version, time.Now()
+		s.version, s.since = version, time.Now()
 		if record.Host == "" {
-			d.since = d.since.Add(-suspectTimeout) // no owner to wait for
+			s.since = s.since.Add(-suspectTimeout) // no owner to wait for
 		}
 	}
-	wait := election.AcquireWait(&record, n.opts.Cores, n.takeoverTimeout(d.terminated)+readDelay)
-	return time.Since(d.since) >= wait && n.takeOver(ctx, record, version)
+	wait := election.AcquireWait(&record, n.opts.Cores, n.takeoverTimeout(s.terminated)+readDelay)
+	return time.Since(s.since) >= wait && n.takeOver(ctx, record, version)
 }
 
 // followOwner makes the host follow another owner.
@@ -205,7 +208,8 @@
 	return true
 }
 
-// lead runs an owner until it is deposed or has resigned.
+// lead loads the domain's state and runs an owner until it is deposed or has
+// resigned.
 func (n *Node) lead(ctx context.Context, c *election.Committer, previous election.Record) {
 	n.mu.Lock()
 	opts := n.opts
@@ -214,13 +218,13 @@
 	defer o.relays.close()
 	o.candidates = &n.candidates
 	// The load that made the previous owner use relays persists.
-	o.relayScaler.Restore(int(n.relays.Load()))
+	o.relayScaler.Restore(int(n.relaysPerZone.Load()))
 	o.predecessorHandedOver = previous.Resigned && previous.HandedOver && previous.Cores > opts.Cores
 	go n.announceOwnership(ctx, previous, c.Record(), func() {
 		o.post(func() { o.state.PredecessorStopped(time.Now()) })
 	})
-	opts.lead(true)
-	defer opts.lead(false)
+	opts.recordOwnership(true)
+	defer opts.recordOwnership(false)
 	go o.keepRowFresh()
 	// Requests that arrive while the state is loaded wait for the loop.
 	n.setLeader(c.Record(), o)
--- a/control/forward.go
+++ b/control/forward.go
@@ -24,8 +24,10 @@
 // Outcome is the outcome of a caller's request.
 type Outcome struct {
 	Result Result
-	State  workload.State
-	Count  int
+	// State is the job's state, for Node.State; Count the number of jobs, for
+	// Node.Pending.
+	State workload.State
+	Count int
 	// RetryAfter is the time after which to retry a refused request.
 	RetryAfter time.Duration
 }
@@ -55,7 +57,8 @@
 // route passes a request to the owner until it is answered or the context ends.
 // All requests are idempotent: one with an unknown outcome is sent again, if
 // need be to the next owner. A request is refused only if no owner can have
-// executed it.
+// executed it. id names the job or queue in log records; local executes the
+// request if this host is the owner.
 func (n *Node) route(ctx context.Context, id string, m peer.Method, request any, local func(*Owner) reply) (out Outcome) {
 	var tracker outcomeTracker
 	start := time.Now()
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -61,8 +61,9 @@
 	return leaderInfo{Record: n.leader, Fresh: n.leaderSeen > 0 && boottime()-n.leaderSeen < election.StaleAfter}
 }
 
-// handleNewOwner records that a host claims ownership. An owner with a lower
-// epoch has been deposed and quits.
+// handleNewOwner records the row of an owner that is newer than those known to
+// this host, as a hint for replacing the current owner. If this host owns the
+// domain, its own ownership has ended and its owner quits.
 func (n *Node) handleNewOwner(r election.Record) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,7 +84,9 @@
 	return n.hint, n.hint.Epoch > current.Epoch && n.hint.Epoch >= n.maxEpoch
 }
 
-// askPeers asks some of the seeds and known hosts who owns the domain.
+// askPeers asks some of the seeds and known hosts who owns the domain, until one
+// answers that is the owner or had a recent answer from it. It passes that
+// answer to handleNewOwner.
 func (n *Node) askPeers(ctx context.Context) {
 	for _, address := range n.otherHosts(maxPeersAsked) {
 		attempt, cancel := context.WithTimeout(ctx, pingTimeout)
@@ -97,8 +100,9 @@
 	}
 }
 
-// maxPeersAsked bounds the hosts asked in one round; maxPeersNotified bounds
-// the hosts that a new owner notifies, the others find its row.
+// maxPeersAsked bounds the hosts asked in one round. maxPeersNotified bounds
+// the recorded addresses of hosts and the hosts that a new owner notifies; other
+// hosts read the owner's row.
 const (
 	maxPeersAsked    = 4
 	maxPeersNotified = 64
@@ -118,7 +122,8 @@
 	return all[:min(limit, len(all))]
 }
 
-// addHost records the address of a host that pinged this one.
+// addHost records the address of a host that pinged this one. It drops the
+// oldest address if there are too many.
 func (n *Node) addHost(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -130,7 +135,8 @@
 	}
 }
 
-// setHosts records the hosts known to the owner.
+// setHosts replaces the known hosts by those that the owner reports. An empty
+// list is ignored: the owner sends none if this host knows as many.
 func (n *Node) setHosts(hosts []string) {
 	if len(hosts) == 0 {
 		return
@@ -155,8 +161,8 @@
 
 // announceOwnership notifies the previous owner and the known hosts of the new
 // owner, for those that can't reach the table service. It calls previousStopped
-// when the previous owner has answered, after which that one issues no more
-// orders.
+// when the previous owner's host has answered; that host issues no orders from
+// then on.
 func (n *Node) announceOwnership(ctx context.Context, previous, current election.Record, previousStopped func()) {
 	addresses := n.otherHosts(maxPeersNotified)
 	if previous.Address != "" && previous.Address != n.opts.Address && !slices.Contains(addresses, previous.Address) {
--- a/control/loopstats.go
+++ b/control/loopstats.go
@@ -12,11 +12,11 @@
 const (
 	// planning computes orders.
 	planning activity = iota
-	// ordering passes orders to the sessions.
-	ordering
+	// issuingOrders passes orders to the sessions.
+	issuingOrders
 	// polling requests reports from workers.
 	polling
-	// flushing collects changes to commit.
+	// flushing encodes changes of the state and starts their commit.
 	flushing
 	// handlingEvents handles answers, reports, callers' requests and membership.
 	handlingEvents
@@ -25,6 +25,8 @@
 	activityCount
 )
 
+// activityNames holds the log keys and metric labels of the activities, in the
+// order of the constants. They stay as they are when a constant is renamed.
 var activityNames = [activityCount]string{"planning", "ordering", "looking", "flushing", "hearing", "summing"}
 
 // String returns the activity's name in logs and metrics.
@@ -43,7 +45,8 @@
 	cycles, limited int
 }
 
-// add adds the time since start to an activity and returns the current time.
+// add adds the time since start to an activity. It returns the current time, at
+// which the next activity starts.
 func (l *loopStats) add(a activity, start time.Time) time.Time {
 	now := time.Now()
 	l.spent[a] += now.Sub(start)
--- a/control/members.go
+++ b/control/members.go
@@ -6,7 +6,7 @@
 	"github.com/fireflygate/fireflygate/runner"
 )
 
-// Members returns the workers of the domain. The list may lag behind changes.
+// Members lists the workers of the domain. The list may lag behind changes.
 type Members interface {
 	// List returns all live and leaving workers.
 	List(ctx context.Context) ([]runner.Worker, error)
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -110,8 +110,8 @@
 	m.commits.WithLabelValues(result).Observe(elapsed.Seconds())
 }
 
-// state sets the gauges of the domain's state.
-func (m *Metrics) state(s *dispatch.Summary) {
+// setState sets the gauges of the domain's state.
+func (m *Metrics) setState(s *dispatch.Summary) {
 	m.openJobs.Set(float64(s.OpenJobs))
 	m.tailsOverTarget.Set(float64(s.OverTarget))
 	m.workers.WithLabelValues("usable").Set(float64(s.Usable))
@@ -122,8 +122,9 @@
 	}
 }
 
-// load sets the metrics of the owner's traffic and loop.
-func (m *Metrics) load(t flow.State, l *loopStats) {
+// setLoad sets the gauges of the owner's traffic, and adds the time that the
+// loop spent since the last summary.
+func (m *Metrics) setLoad(t flow.State, l *loopStats) {
 	for a, d := range l.spent {
 		m.loopSeconds.WithLabelValues(activity(a).String()).Add(d.Seconds()) //nolint:gosec // a few activities
 	}
@@ -136,13 +137,14 @@
 	}
 }
 
-// lead records that the ownership of the domain began or ended.
-func (m *Metrics) lead(owner bool) {
+// recordOwnership records that the ownership of the domain began or ended. At
+// its end it clears the gauges of the domain's state.
+func (m *Metrics) recordOwnership(owner bool) {
 	if owner {
 		m.owner.Set(1)
 		m.takeovers.Inc()
 		return
 	}
 	m.owner.Set(0)
-	m.state(&dispatch.Summary{})
+	m.setState(&dispatch.Summary{})
 }
--- a/control/node.go
+++ b/control/node.go
@@ -27,8 +27,8 @@
 	mu sync.Mutex
 	// owner is set while this host owns the domain.
 	owner *Owner
-	// leader is the owner's row as last read; changed is closed when leader or
-	// owner changes.
+	// leader is the owner's row as last read; changed is closed and replaced when
+	// leader or owner changes.
 	leader  election.Record
 	changed chan struct{}
 	// leaderSeen is the boottime of the leader's last answer.
@@ -47,7 +47,7 @@
 	// payloadCache holds the payloads of jobs whose starts this host relays.
 	payloadCache payloadCache
 	// relays is the number of relays per zone reported by the last owner.
-	relays atomic.Int64
+	relaysPerZone atomic.Int64
 }
 
 // NewNode returns a Node. The caller serves its peer server and calls Run.
@@ -96,7 +96,8 @@
 // Server returns the server of peers' requests.
 func (n *Node) Server() *peer.Server { return n.server }
 
-// SetConfig applies a configuration unless a newer one is already in use.
+// SetConfig applies a configuration unless the same or a newer version is
+// already in use.
 func (n *Node) SetConfig(c Config) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -130,8 +131,8 @@
 	}
 }
 
-// Ready reports whether the host can serve callers: it has a configuration and
-// the owner has answered recently.
+// Ready reports whether the host can serve callers: it has a configuration, and
+// it is the owner and its commits succeed or the owner has answered recently.
 func (n *Node) Ready() bool {
 	if n.config.Load() == nil {
 		return false
@@ -156,7 +157,9 @@
 	return n.owner, n.leader, n.changed
 }
 
-// setLeader records the domain's owner; o is nil unless it is this host.
+// setLeader records the owner's row r and, if this host is the owner, its Owner
+// o, which is nil otherwise. It wakes requests that wait for a change of owner
+// and, if o is nil, updates the addresses in the peer client.
 func (n *Node) setLeader(r election.Record, o *Owner) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -191,7 +194,8 @@
 	n.leaderSeen = boottime()
 }
 
-// Run follows the owner or leads the domain until the context ends.
+// Run waits for the first configuration, and then follows the owner or leads the
+// domain until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	select {
 	case <-n.configSet:
--- a/control/options.go
+++ b/control/options.go
@@ -40,13 +40,15 @@
 	// OwnershipChanged, if set, is called when this host's ownership of the domain
 	// begins or ends.
 	OwnershipChanged func(owner bool)
-	// Without is the set of scheduling mechanisms to disable in experiments.
+	// Disabled is the set of scheduling mechanisms that are switched off, for
+	// experiments.
 	Disabled mechanism.Set
 }
 
-// lead records that the ownership of the domain began or ended.
-func (o *Options) lead(owner bool) {
-	o.Metrics.lead(owner)
+// recordOwnership updates the metrics and calls OwnershipChanged when the
+// ownership of the domain begins or ends.
+func (o *Options) recordOwnership(owner bool) {
+	o.Metrics.recordOwnership(owner)
 	if o.OwnershipChanged != nil {
 		o.OwnershipChanged(owner)
 	}
@@ -85,19 +87,20 @@
 	// well below the two seconds within which a leaving worker must stop getting
 	// work.
 	membersPollInterval = 400 * time.Millisecond
-	// flushDelay collects ended runs for one commit; the start of dependent tasks
-	// doesn't wait for it.
+	// flushDelay is the time for which ended runs are collected for one commit; the
+	// start of dependent tasks doesn't wait for it.
 	flushDelay = 30 * time.Millisecond
 	// maxBatchWrites bounds one commit. The table service accepts 100 rows per
 	// transaction, including the owner's.
 	maxBatchWrites = 98
 	// maxPlanInterval is the longest time between two planning cycles.
 	maxPlanInterval = 100 * time.Millisecond
-	// minPlanInterval is the least time between two planning cycles, within which
-	// events are collected for one cycle.
+	// minPlanInterval is the least time between the beginnings of two planning
+	// cycles, within which events are collected for the second.
 	minPlanInterval = 4 * time.Millisecond
-	// planIdleFactor is the pause between two cycles as a multiple of the last
-	// one's duration. It leaves most of the processor to orders and reports.
+	// planIdleFactor times the duration of a cycle is the least time from its
+	// beginning to that of the next cycle, if that is more than minPlanInterval. It
+	// leaves most of the processor to orders and reports.
 	planIdleFactor = 4
 	// pollRetryInterval is the least time between two polls of an unresponsive
 	// worker.
--- a/control/orders.go
+++ b/control/orders.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// issueStart queues a start. It isn't sent if it has become outdated in the
-// queue.
+// issueStart queues a start. A start that has become outdated in the queue isn't
+// sent and counts as fenced.
 func (o *Owner) issueStart(s dispatch.StartOrder) {
 	session := o.sessions[s.Worker.ID]
 	issuedAt := boottime()
@@ -59,7 +59,8 @@
 	}
 }
 
-// handleStartAnswer handles the answer to a start.
+// handleStartAnswer handles the answer to a start. It polls the worker if it is
+// unknown whether the start was carried out.
 func (o *Owner) handleStartAnswer(s dispatch.StartOrder, a runner.Answer, rt flow.RoundTrip) {
 	now := time.Now()
 	if rt.Duration > 0 {
@@ -75,7 +76,8 @@
 }
 
 // pollNow polls a worker with its newest token, in addition to a poll that may
-// be waiting there, to learn which unanswered starts were executed.
+// be waiting there, for a recent report or to learn which unanswered starts were
+// carried out. Queued starts with an older token aren't sent any more.
 func (o *Owner) pollNow(id string) {
 	w, renewal, ok := o.state.Renewal(time.Now(), id, o.ownershipValid())
 	s := o.sessions[id]
@@ -147,7 +149,8 @@
 	}
 }
 
-// pollWorker starts a poll of a worker if one is due.
+// pollWorker starts a poll of a worker if one is due. It first starts a session
+// if the worker has none.
 func (o *Owner) pollWorker(now time.Time, id string) {
 	s := o.sessions[id]
 	if s == nil {
@@ -166,7 +169,8 @@
 	s.polls <- poll{worker: info, renewal: renewal}
 }
 
-// handlePoll handles a worker's answer to a poll.
+// handlePoll applies a worker's answer and report to the state, and sets the time
+// of the next poll.
 func (o *Owner) handlePoll(s *session, p poll, a runner.Answer, rep runner.Report, rt flow.RoundTrip) {
 	now := time.Now()
 	o.opts.Metrics.order("look", a.Status)
--- a/control/outcometracker.go
+++ b/control/outcometracker.go
@@ -8,9 +8,10 @@
 	uncertain bool
 }
 
-// add reports whether r is the outcome of the request. A refusal isn't once an
-// earlier attempt may have been executed: that attempt could still arrive, and
-// a job reported as refused would run.
+// add records the reply to one attempt and reports whether it is the outcome of
+// the request. mayHaveRun says that the owner may have executed this attempt
+// without confirming it. From then on a refusal isn't the outcome, since the
+// attempt could still arrive and run a job that was reported as refused.
 func (t *outcomeTracker) add(r reply, mayHaveRun bool) bool {
 	t.uncertain = t.uncertain || mayHaveRun
 	switch r.Result {
--- a/control/owner.go
+++ b/control/owner.go
@@ -33,7 +33,9 @@
 	waiters map[string][]chan reply
 	config  Config
 	// committing is set while a commit is in flight.
-	committing   bool
+	committing bool
+	// lastCommit, summarizedAt and steppedAt are when the last commit, summary and
+	// step began.
 	lastCommit   time.Time
 	summarizedAt time.Time
 	steppedAt    time.Time
@@ -41,15 +43,17 @@
 	// starts at the last summary.
 	backlog       flow.Backlog
 	startsCounted uint64
-	// planned is when the last plan was made; startLimitReached is set if the
-	// limit on starts in flight cut it short.
-	planned           time.Time
+	// plannedAt is when the last plan was made; startLimitReached is set if the
+	// limit on starts in flight cut that plan short.
+	plannedAt         time.Time
 	startLimitReached bool
 	// loop holds the loop's statistics since the last summary.
 	loop loopStats
 	// stepDuration is the duration of the last step.
 	stepDuration time.Duration
-	dirtySince   time.Time
+	// dirtySince is when a step first found changes after the last full flush, zero
+	// if it found none.
+	dirtySince time.Time
 	// committedAt is the boottime at which the last applied commit began.
 	committedAt atomic.Int64
 	// cycleAt is the boottime at which the last cycle of the loop began.
@@ -68,12 +72,14 @@
 	// which the ownership began.
 	candidates *election.Candidates
 	ownedSince time.Duration
-	// predecessorHandedOver is set if the previous owner handed the domain over
-	// for a stronger host than this one, handingOver once this owner does.
+	// predecessorHandedOver is set if the previous owner resigned to hand the domain
+	// over to a host with more processors than this one; handingOver is set once
+	// this owner hands the domain over.
 	predecessorHandedOver, handingOver bool
-	stopped                            chan struct{}
-	quit                               context.CancelCauseFunc
-	epoch                              uint64
+	// stopped is closed when the loop has ended or will never run.
+	stopped chan struct{}
+	quit    context.CancelCauseFunc
+	epoch   uint64
 }
 
 // maxQueuedFuncs bounds the functions queued for the loop; post blocks beyond
@@ -101,7 +107,8 @@
 	return o
 }
 
-// post runs f on the loop, unless the owner has ended.
+// post queues f for the loop, unless the owner has ended. It returns before f
+// runs.
 func (o *Owner) post(f func()) {
 	select {
 	case o.events <- f:
@@ -181,10 +188,10 @@
 		p := o.state.PlanAtMost(now, o.traffic.AvailableStarts())
 		at = o.loop.add(planning, at)
 		o.loop.planned(p.StartLimitReached)
-		o.planned, o.startLimitReached = now, p.StartLimitReached
+		o.plannedAt, o.startLimitReached = now, p.StartLimitReached
 		o.issueOrders(p)
 		o.requestPermits(now)
-		at = o.loop.add(ordering, at)
+		at = o.loop.add(issuingOrders, at)
 	}
 	o.pollWorkers(now)
 	at = o.loop.add(polling, at)
@@ -196,7 +203,7 @@
 // planDue reports whether to plan now. After a plan was cut short by the limit
 // on starts in flight, it waits for answers, or for maxPlanInterval.
 func (o *Owner) planDue(now time.Time) bool {
-	return !o.startLimitReached || o.traffic.CanPlanStarts() || now.Sub(o.planned) >= maxPlanInterval
+	return !o.startLimitReached || o.traffic.CanPlanStarts() || now.Sub(o.plannedAt) >= maxPlanInterval
 }
 
 // abandonWaiters responds to all waiters that the outcome is unknown.
--- a/control/payloadcache.go
+++ b/control/payloadcache.go
@@ -21,9 +21,9 @@
 // payloadSum returns the checksum that identifies a payload, never 0.
 func payloadSum(payload string) uint64 { return max(xxhash.Sum64String(payload), 1) }
 
-// lookup returns the payload of a start. A nonzero sum identifies a cached
-// payload; it returns false if that isn't cached. Otherwise payload is cached
-// and returned.
+// lookup returns the payload of a start of the job. If sum is 0, it caches and
+// returns payload. Otherwise it returns the job's cached payload, or false if
+// none is cached or its checksum isn't sum.
 func (p *payloadCache) lookup(job, payload string, sum uint64) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/control/relayorder.go
+++ b/control/relayorder.go
@@ -33,7 +33,7 @@
 
 	Kind            orderKind
 	Worker, Address string
-	Task            taskName
+	Task            taskID
 	Run             uint64
 	// Payload is the payload of the task's job. It is empty if the relay received
 	// it with an earlier start of the job; PayloadSum is then its checksum.
@@ -49,21 +49,21 @@
 	WaitMS       int64
 }
 
-// taskName is a task's ID, encoded as an array.
-type taskName struct {
+// taskID is a task's ID, encoded as an array.
+type taskID struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Job                     string
 	Occurrence, Step, Index int
 }
 
-// newTaskName returns the encoded form of a task's ID.
-func newTaskName(t workload.TaskID) taskName {
-	return taskName{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step, Index: t.Index}
+// newTaskID returns the encoded form of a task's ID.
+func newTaskID(t workload.TaskID) taskID {
+	return taskID{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step, Index: t.Index}
 }
 
 // id returns the task's ID.
-func (t taskName) id() workload.TaskID {
+func (t taskID) id() workload.TaskID {
 	return workload.TaskID{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step, Index: t.Index}
 }
 
@@ -76,26 +76,26 @@
 	Status    runner.Status
 	ClockMS   int64
 	Err       string
-	Active    []activeRow
-	Ends      []endRow
+	Active    []activeRun
+	Ends      []runEnd
 }
 
-// activeRow is an active run and endRow an ended run in a worker's report.
+// activeRun is an active run and runEnd an ended run in a worker's report.
 type (
-	activeRow struct {
+	activeRun struct {
 		_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
-		Task    taskName
+		Task    taskID
 		Run     uint64
 		Saved   string
 		Percent int
 		Usage   int64
 	}
-	endRow struct {
+	runEnd struct {
 		_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 		Number uint64
-		Task   taskName
+		Task   taskID
 		Run    uint64
 		Kind   runner.EndKind
 		Saved  string
@@ -110,11 +110,11 @@
 	}
 	for i := range rep.Active {
 		x := &rep.Active[i]
-		r.Active = append(r.Active, activeRow{Task: newTaskName(x.Task), Run: x.Run, Saved: x.Checkpoint, Percent: x.Percent, Usage: x.Usage})
+		r.Active = append(r.Active, activeRun{Task: newTaskID(x.Task), Run: x.Run, Saved: x.Checkpoint, Percent: x.Percent, Usage: x.Usage})
 	}
 	for i := range rep.Ends {
 		x := &rep.Ends[i]
-		r.Ends = append(r.Ends, endRow{Number: x.Number, Task: newTaskName(x.Task), Run: x.Run, Kind: x.Kind, Saved: x.Checkpoint})
+		r.Ends = append(r.Ends, runEnd{Number: x.Number, Task: newTaskID(x.Task), Run: x.Run, Kind: x.Kind, Saved: x.Checkpoint})
 	}
 	return r
 }
@@ -142,7 +142,8 @@
 	return rep
 }
 
-// executeRelayed sends a relayed order to its worker.
+// executeRelayed sends a relayed order to its worker and returns the reply for
+// the owner. It caches the payload of a start.
 func (n *Node) executeRelayed(ctx context.Context, q *relayRequest) *relayReply {
 	w := runner.Worker{ID: q.Worker, Address: q.Address, Capacity: infra.Resources{}}
 	var rep runner.Report
--- a/control/relays.go
+++ b/control/relays.go
@@ -38,7 +38,8 @@
 	// orders counts the orders since the last summary.
 	orders atomic.Int64
 
-	mu    sync.Mutex // guards the field below
+	mu sync.Mutex // guards known
+	// known holds the state of the relays by address.
 	known map[string]*relayState
 }
 
@@ -67,7 +68,8 @@
 	return r
 }
 
-// setTable replaces the relay table.
+// setTable replaces the relay table. It connects to the new relays and drops the
+// state of removed ones.
 func (r *relays) setTable(t *relay.Table) {
 	previous, current := r.table.Swap(t).Addresses(), t.Addresses()
 	addresses := map[string]string{}
@@ -90,7 +92,7 @@
 // close closes the connections to relays.
 func (r *relays) close() { r.client.Close() }
 
-// state returns the state of a relay; r.mu must be held.
+// state returns the state of a relay, creating it if needed; r.mu must be held.
 func (r *relays) state(address string) *relayState {
 	s := r.known[address]
 	if s == nil {
@@ -108,7 +110,8 @@
 	return r.table.Load().RelayFor(w.ID, w.Zone, func(address string) bool { return !now.Before(r.state(address).avoidUntil) })
 }
 
-// recordAnswer records whether a relay answered an order.
+// recordAnswer records whether a relay answered an order. After maxLostOrders
+// consecutive orders without an answer, the relay is avoided for avoidDuration.
 func (r *relays) recordAnswer(address string, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,9 +143,11 @@
 	return false
 }
 
-// relayOrder sends an order through the worker's relay. It returns false if
-// there is none or the order wasn't sent; the caller then sends it directly. A
-// nil reply means that the outcome is unknown.
+// relayOrder sends an order through the worker's relay. It returns false if the
+// caller must send the order directly: the worker has no relay, or the relay
+// didn't get the order and ctx hasn't ended. A nil reply with true means that
+// the outcome is unknown. relayOrder sets the worker in q, and replaces a
+// payload that the relay has cached by its checksum.
 func (r *relays) relayOrder(ctx context.Context, w *runner.Worker, q *relayRequest) (*relayReply, bool) {
 	r.orders.Add(1)
 	address := r.relayOf(w)
@@ -198,20 +203,20 @@
 // Start implements runner.Client.
 func (r *relays) Start(ctx context.Context, w runner.Worker, o runner.Start) runner.Answer {
 	return r.sendOrder(ctx, &w, &relayRequest{
-		Kind: relayStart, Task: newTaskName(o.Task), Run: o.Run, Payload: o.Payload, LeaseUntil: o.LeaseUntil, Token: o.Token,
+		Kind: relayStart, Task: newTaskID(o.Task), Run: o.Run, Payload: o.Payload, LeaseUntil: o.LeaseUntil, Token: o.Token,
 		Checkpoint: o.Checkpoint, Permit: o.Permit,
 	}, func() runner.Answer { return r.direct.Start(ctx, w, o) })
 }
 
 // Stop implements runner.Client.
 func (r *relays) Stop(ctx context.Context, w runner.Worker, o runner.Stop) runner.Answer {
-	return r.sendOrder(ctx, &w, &relayRequest{Kind: relayStop, Task: newTaskName(o.Task), Run: o.Run, Token: o.Token},
+	return r.sendOrder(ctx, &w, &relayRequest{Kind: relayStop, Task: newTaskID(o.Task), Run: o.Run, Token: o.Token},
 		func() runner.Answer { return r.direct.Stop(ctx, w, o) })
 }
 
 // SetCPULimit implements runner.Client.
 func (r *relays) SetCPULimit(ctx context.Context, w runner.Worker, o runner.CPULimit) runner.Answer {
-	return r.sendOrder(ctx, &w, &relayRequest{Kind: relayCPULimit, Task: newTaskName(o.Task), Run: o.Run, Percent: o.Percent, Token: o.Token},
+	return r.sendOrder(ctx, &w, &relayRequest{Kind: relayCPULimit, Task: newTaskID(o.Task), Run: o.Run, Percent: o.Percent, Token: o.Token},
 		func() runner.Answer { return r.direct.SetCPULimit(ctx, w, o) })
 }
 
--- a/control/relays_test.go
+++ b/control/relays_test.go
@@ -36,8 +36,8 @@
 }
 
 // TestOrdersGoThroughRelay checks that jobs complete with the owner's orders
-// sent through another host, and that tasks get their payload though it is sent
-// once.
+// sent through another host, and that each task gets its payload although the
+// owner sends a job's payload to a relay only with the first start.
 func TestOrdersGoThroughRelay(t *testing.T) {
 	c, owner := newRelayCluster(t, 3)
 	startsBefore := c.clients[owner.name].starts.Load()
--- a/control/requests.go
+++ b/control/requests.go
@@ -39,7 +39,9 @@
 	}
 }
 
-// submit accepts a job and answers once it is durable.
+// submit accepts a job and answers once it is durable. It refuses a new job
+// while the table service is unavailable or too many starts are queued. It sets
+// the time of submission in spec if there is none.
 func (o *Owner) submit(ctx context.Context, spec *workload.Job, q workload.Queue) reply {
 	return o.runOnLoop(ctx, func(answer chan reply) {
 		if o.state.JobStored(spec.ID) {
@@ -103,7 +105,8 @@
 	})
 }
 
-// awaitDurable sends a reply once the job's latest change is durable.
+// awaitDurable makes the job's latest change urgent, and sends a reply once that
+// change is durable.
 func (o *Owner) awaitDurable(id string, answer chan reply) {
 	o.waiters[id] = append(o.waiters[id], answer)
 	o.state.MarkUrgent(id)
--- a/control/resign.go
+++ b/control/resign.go
@@ -13,9 +13,9 @@
 // errResigned is the cause of the end of an owner that resigned.
 var errResigned = errors.New("resigned for a planned stop")
 
-// resign stops issuing orders, commits all changes and gives the domain up, so
-// that another host can take over at once. It returns when the owner has ended,
-// which it forces when the context ends.
+// resign stops issuing orders, commits changes and gives the domain up, so that
+// another host can take over at once. It returns when the owner has ended. If
+// the context ends first, the owner quits, and may not have given the domain up.
 func (o *Owner) resign(ctx context.Context) {
 	o.post(func() { o.beginResign(ctx) })
 	select {
@@ -27,8 +27,7 @@
 }
 
 // beginResign starts the resignation; it runs on the loop. If a commit is in
-// flight, the last commit follows it through afterCommit, without polling the
-// loop.
+// flight, afterCommit starts the last commit once the former is applied.
 func (o *Owner) beginResign(ctx context.Context) {
 	if o.resigning {
 		return
@@ -42,8 +41,9 @@
 	o.commitRemaining(ctx)
 }
 
-// commitRemaining commits all remaining changes and then gives the domain up.
-// The owner accepts no more requests.
+// commitRemaining commits one last batch of changes and then gives the domain
+// up. The owner accepts no more requests. Callers that wait for changes beyond
+// maxBatchWrites get an unknown outcome.
 func (o *Owner) commitRemaining(ctx context.Context) {
 	b, err := o.state.Flush(time.Now(), maxBatchWrites)
 	if err != nil {
--- a/control/resign_test.go
+++ b/control/resign_test.go
@@ -17,13 +17,13 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// maxTurns bounds the functions posted to the loop while a commit is in flight:
+// maxPosted bounds the functions posted to the loop while a commit is in flight:
 // the resignation and the end of the commit.
-const maxTurns = 2
+const maxPosted = 2
 
-// TestResignDuringCommit guards against a resignation that keeps posting to the
-// loop while a commit is in flight, which starves the host. Afterwards all
-// changes must be committed and the domain given up.
+// TestResignDuringCommit guards against a resignation that posts to the loop
+// again and again while a commit is in flight, which would keep the host's
+// processor busy. Both jobs must be durable in the end, and the domain given up.
 func TestResignDuringCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &blockingTable{Table: memtable.New()}
@@ -37,9 +37,9 @@
 			defer close(resigned)
 			o.resign(o.ctx)
 		}()
-		if turns := runPosted(o); turns > maxTurns {
+		if posted := runPosted(o); posted > maxPosted {
 			close(table.hold)
-			t.Fatalf("%d or more functions were posted to the loop while a commit was in flight, want at most %d", turns, maxTurns)
+			t.Fatalf("%d or more functions were posted to the loop while a commit was in flight, want at most %d", posted, maxPosted)
 		}
 		close(table.hold)
 		go o.run()
@@ -52,13 +52,13 @@
 // a limit is reached. It returns their number.
 func runPosted(o *Owner) int {
 	const endless = 100
-	for turns := range endless {
+	for posted := range endless {
 		synctest.Wait()
 		select {
 		case f := <-o.events:
 			f()
 		default:
-			return turns
+			return posted
 		}
 	}
 	return endless
--- a/control/summary.go
+++ b/control/summary.go
@@ -11,18 +11,20 @@
 // summaryInterval is the interval of log lines on the state of the domain.
 const summaryInterval = time.Second
 
-// summarize periodically logs the state of the domain and updates metrics.
+// summarize logs the state of the domain once per summaryInterval, updates
+// metrics and the estimate of the backlog, adapts the number of relays, logs the
+// jobs that have ended or expired, and resets the loop's statistics.
 func (o *Owner) summarize(now time.Time) {
 	if now.Sub(o.summarizedAt) < summaryInterval {
 		return
 	}
 	o.summarizedAt = now
 	sum := o.state.AttributeTime(now)
-	o.opts.Metrics.state(&sum)
+	o.opts.Metrics.setState(&sum)
 	traffic := o.traffic.State(now)
 	event.DomainState.Log(o.opts.Log, slog.Uint64("epoch", o.epoch), slog.Any("state", sum),
 		slog.Any("traffic", traffic), slog.Any("loop", o.loop), slog.Int64("commit_age_ms", o.commitAge().Milliseconds()))
-	o.opts.Metrics.load(traffic, &o.loop)
+	o.opts.Metrics.setLoad(traffic, &o.loop)
 	o.backlog.Observe(int(sum.Stats.Starts-o.startsCounted), o.loop.overloaded()) //nolint:gosec // of a second
 	o.startsCounted = sum.Stats.Starts
 	o.scaleRelays(now, sum.Workers)
@@ -35,7 +37,8 @@
 	}
 }
 
-// scaleRelays adapts the number of relays to the load of the last interval.
+// scaleRelays adapts the number of relays to the load of the last interval, and
+// replaces the relay table.
 func (o *Owner) scaleRelays(now time.Time, workers int) {
 	relaysPerZone := o.relayScaler.Observe(relay.Load{
 		Workers: workers, Orders: int(o.relays.orders.Swap(0)), RoundTrip: o.traffic.RoundTrip(now), StartLimitReached: o.loop.overloaded(),
--- a/control/traffic.go
+++ b/control/traffic.go
@@ -33,7 +33,8 @@
 
 // maxStartDelay returns how long a start may be queued behind other orders to
 // its worker; later its task may be done or its job cancelled. It is below the
-// order timeout, so that no start is sent after an order without an answer.
+// order timeout, so that a start queued behind an order that times out isn't
+// sent.
 func (t *traffic) maxStartDelay() time.Duration { return t.orderTimeout() * 5 / 6 }
 
 // send sends an order and returns the answer and its round trip. The worker may
