--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// raiseToken raises the worker's fencing token, which voids all earlier orders
-// that haven't been carried out once the worker has seen it. It returns false
-// if a raised token is already on its way.
+// raiseToken raises the worker's fencing token. Once the worker has seen the new
+// token, it refuses all earlier orders that haven't been carried out. raiseToken
+// does nothing and returns false if the worker hasn't seen the current token.
 func (s *State) raiseToken(w *worker) bool {
 	if w.token != w.tokenSeen {
 		return false // already raised
--- a/dispatch/besteffort_test.go
+++ b/dispatch/besteffort_test.go
@@ -17,13 +17,13 @@
 	r.submit(queueShort, "serving", step(2, 7, longRunning, func(s *workload.Step) {
 		s.Image, s.TailTarget = "web", 50*time.Millisecond
 	}))
-	var at []runner.ActiveRun
+	var runs []runner.ActiveRun
 	for _, o := range r.plan() {
-		at = append(at, withTail(o, 5))
+		runs = append(runs, withTail(o, 5))
 	}
 	for range 10 {
 		r.advance(500 * time.Millisecond)
-		r.report(worker(0), at, nil)
+		r.report(worker(0), runs, nil)
 	}
 	r.submit(queueLong, "batch", step(6, 4, func(s *workload.Step) { s.BestEffort, s.Image = true, "plan" }))
 	started := len(r.plan())
--- a/dispatch/burst_test.go
+++ b/dispatch/burst_test.go
@@ -17,11 +17,11 @@
 // runBurst simulates, for each seed, 30 s of best-effort jobs that request most
 // of the capacity left by serving tasks, with higher load in between. With
 // takeover set, another owner takes over during the burst.
-func runBurst(t *testing.T, without mechanism.Set, takeover bool) burstResult {
+func runBurst(t *testing.T, disabled mechanism.Set, takeover bool) burstResult {
 	t.Helper()
 	var sum burstResult
 	for seed := range uint64(3) {
-		b := newBurst(t, seed, without)
+		b := newBurst(t, seed, disabled)
 		n := 0
 		for second := range 30 {
 			jobs := 5
@@ -49,8 +49,9 @@
 	return sum
 }
 
-// TestBurst checks that the policy beats order of arrival, and placement
-// without interference estimates, in the same burst.
+// TestBurst checks that in the same burst the full policy completes more jobs on
+// time than starts in order of arrival and than placement without interference
+// estimates, and keeps tails over their targets for less time than the latter.
 func TestBurst(t *testing.T) {
 	full := runBurst(t, 0, false)
 	byArrival := runBurst(t, mechanism.Of(mechanism.Timeliness), false)
--- a/dispatch/burstrig_test.go
+++ b/dispatch/burstrig_test.go
@@ -38,6 +38,7 @@
 	random *rand.Rand
 	// effects holds the slack lost by pair of best-effort and serving image.
 	effects map[[2]string]float64
+	// phase holds, by serving job, the phase of its load as a share of the period.
 	phase   map[string]float64
 	workers map[string]*simWorker
 	// ended and due hold when each job was complete and when it should be.
@@ -66,9 +67,9 @@
 }
 
 // newBurst returns workers with serving tasks and no best-effort jobs.
-func newBurst(t *testing.T, seed uint64, without mechanism.Set) *burst {
+func newBurst(t *testing.T, seed uint64, disabled mechanism.Set) *burst {
 	b := &burst{
-		rig:    &rig{t: t, now: time.Unix(1000, 0), rows: map[string][]byte{}, disabled: without},
+		rig:    &rig{t: t, now: time.Unix(1000, 0), rows: map[string][]byte{}, disabled: disabled},
 		random: rand.New(rand.NewPCG(seed, 1)), effects: map[[2]string]float64{}, phase: map[string]float64{},
 		workers: map[string]*simWorker{}, ended: map[string]time.Time{}, due: map[string]time.Time{},
 	}
@@ -198,7 +199,7 @@
 func (b *burst) sendReport(id string) {
 	b.t.Helper()
 	c := b.workers[id]
-	var at []runner.ActiveRun
+	var runs []runner.ActiveRun
 	for _, task := range c.tasks() {
 		r := c.runs[task]
 		a := runner.ActiveRun{Task: task, Run: r.number, Percent: 100}
@@ -208,9 +209,9 @@
 			a.Percent = int(100 * r.progress / r.total)
 			a.Usage = r.step.Needs.MilliCPU * int64(r.cpuLimit) / 100
 		}
-		at = append(at, a)
+		runs = append(runs, a)
 	}
-	b.report(id, at, c.ends)
+	b.report(id, runs, c.ends)
 	c.ends = nil
 }
 
@@ -258,7 +259,8 @@
 	return nil
 }
 
-// replaceOwner lets a new owner take over from the committed rows.
+// replaceOwner makes a new owner take over with the committed rows, including
+// the interference estimates.
 func (b *burst) replaceOwner() {
 	b.t.Helper()
 	var roster []string
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -83,7 +83,9 @@
 }
 
 // choose returns the worker with the lowest cost for a task, or nil if it fits
-// nowhere. A non-nil filter excludes workers.
+// nowhere. With a filter, only workers for which it returns true are considered;
+// without one, choose records that the task fits nowhere, and later calls skip
+// workers that haven't changed since.
 func (c *cycle) choose(t *task, filter func(*worker) bool) *worker {
 	st := t.step
 	rt := c.rankTask(st)
@@ -135,7 +137,8 @@
 }
 
 // placeGang starts all tasks of a gang, or none. A gang with SameRack is placed
-// within one rack if any has the capacity.
+// within one rack if any has the capacity. If the gang fits nowhere, capacity is
+// reserved for one of its tasks.
 func (c *cycle) placeGang(st *step) {
 	for i := range st.tasks {
 		if t := &st.tasks[i]; t.done || len(t.runs) > 0 || !c.safeToStart(t) {
@@ -192,7 +195,7 @@
 }
 
 // tryGang returns a worker for each task of a gang, or nil if they don't all
-// fit.
+// fit. With a filter, only workers for which it returns true are considered.
 func (c *cycle) tryGang(st *step, filter func(*worker) bool) []*worker {
 	placed := make([]*worker, 0, len(st.tasks))
 	var taken []*run
--- a/dispatch/cpulimit.go
+++ b/dispatch/cpulimit.go
@@ -22,8 +22,8 @@
 	cpuLimitRetry = 300 * time.Millisecond
 )
 
-// colocation returns the worker as package colocate describes it, and its
-// best-effort runs in the same order.
+// colocation returns the worker as package colocate describes it, and the run of
+// each of its BestEffort tasks, in the same order.
 func (w *worker) colocation(now time.Time) (*colocate.Worker, []*run) {
 	c := &colocate.Worker{}
 	var bestEffort []*run
@@ -97,8 +97,10 @@
 	return max(r.usage, r.task.step.spec.Needs.MilliCPU)
 }
 
-// learnFromTails updates the interference model with the tails of a report. A
-// report with unchanged figures covers the same window and is skipped.
+// learnFromTails applies the tails of a report: it records which are over their
+// target, requests a decision on CPU limits, and updates the interference model.
+// The model skips a report with unchanged figures, which covers the same window
+// as the previous one.
 func (s *State) learnFromTails(now time.Time, w *worker) {
 	sum, serving := int64(0), false
 	for _, r := range w.runsByNumber {
@@ -121,7 +123,8 @@
 	s.estimatesChanged = true
 }
 
-// updateOverTarget records when a tail went over its target.
+// updateOverTarget records since when the run's tail has been over its target,
+// if it is.
 func (r *run) updateOverTarget(now time.Time) {
 	tail := time.Duration(r.usage) * time.Millisecond
 	switch {
@@ -133,7 +136,9 @@
 }
 
 // adjustCPULimits limits or stops best-effort runs next to serving tasks whose
-// tail is too long, and returns the CPU limit orders.
+// tail is too long, and lifts the limits once the tails allow it. It returns the
+// CPU limit orders, including failed ones that are repeated. Stops are added to
+// those that the next Plan returns.
 func (s *State) adjustCPULimits(now time.Time) []CPULimitOrder {
 	var orders []CPULimitOrder
 	for _, w := range s.workers {
@@ -180,7 +185,8 @@
 	r.worker.counts.add(r)
 }
 
-// retryCPULimits repeats the CPU limit orders that failed.
+// retryCPULimits appends the CPU limit orders that failed and are due to be
+// repeated to orders, and returns the result.
 func (w *worker) retryCPULimits(now time.Time, orders []CPULimitOrder) []CPULimitOrder {
 	for _, r := range w.runsByNumber {
 		if r.cpuLimitUnconfirmed && r.phase == running && now.Sub(r.cpuLimitSetAt) >= cpuLimitRetry {
@@ -190,7 +196,8 @@
 	return orders
 }
 
-// cpuLimitOrder returns the order that sets the run's CPU limit.
+// cpuLimitOrder returns the order that sets the run's CPU limit, and records that
+// it is sent now.
 func (r *run) cpuLimitOrder(now time.Time) CPULimitOrder {
 	r.cpuLimitSetAt, r.cpuLimitUnconfirmed = now, false
 	return CPULimitOrder{
--- a/dispatch/cpulimit_test.go
+++ b/dispatch/cpulimit_test.go
@@ -38,7 +38,7 @@
 	return a
 }
 
-// halfDone returns a report of a run past its half that uses one core.
+// halfDone returns a report of a run that is 60% done and uses one core.
 func halfDone(o dispatch.StartOrder) runner.ActiveRun {
 	return runner.ActiveRun{Task: o.Start.Task, Run: o.Start.Run, Percent: 60, Usage: 1000}
 }
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -11,7 +11,7 @@
 	highImpact map[string]int
 	// lowImpact says by image whether it suits all workers.
 	lowImpact map[string]bool
-	// shareByClass caches the share for workers with one class.
+	// shareByClass caches the results of share for workers with one class.
 	shareByClass map[string]float64
 	// tasks counts all unfinished best-effort tasks.
 	tasks int
@@ -57,8 +57,9 @@
 	}
 }
 
-// share returns the share of the demand that doesn't suit all workers and suits
-// a worker with these classes.
+// share returns the share of the unfinished best-effort tasks whose image is
+// high-impact in general but has a low impact on all of the given classes, those
+// of a worker.
 func (d *bestEffortDemand) share(s *State, classes map[string]int) float64 {
 	if d.tasks == 0 {
 		return 0
--- a/dispatch/drain.go
+++ b/dispatch/drain.go
@@ -14,13 +14,13 @@
 		if !w.info.Draining {
 			continue
 		}
-		leaving := !now.Before(w.drainingAt.Add(w.info.LeavesIn - drainStopMargin))
+		leavesSoon := !now.Before(w.drainingAt.Add(w.info.LeavesIn - drainStopMargin))
 		for _, r := range w.runs {
 			if r.phase != running {
 				continue
 			}
 			spec := r.task.step.spec
-			if spec.LongRunning || (leaving && spec.Checkpointing) {
+			if spec.LongRunning || (leavesSoon && spec.Checkpointing) {
 				s.Stats.Evictions++
 				s.orderStop(now, r, WorkerDraining)
 			}
--- a/dispatch/export_test.go
+++ b/dispatch/export_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// PlanCompared places the waiting tasks as Plan does, and compares each choice
-// from the shortlist with that of a search over all workers.
+// PlanCompared places the waiting tasks as Plan does, except for gangs. It
+// compares the worker chosen from the shortlist with the choice of a search over
+// all workers, and describes the differences.
 func (s *State) PlanCompared(now time.Time) (starts []StartOrder, differences []string) {
 	c := newCycle(s, now)
 	waiting := s.waitingSteps(now)
@@ -18,15 +19,15 @@
 			if t.done || len(t.runs) > 0 || !c.headroomAllows(t) {
 				continue
 			}
-			full, listed := c.choose(t, nil), list.best()
-			if full != listed {
-				differences = append(differences, fmt.Sprintf("%v: %s by full search, %s from the shortlist", t.id(), workerID(full), workerID(listed)))
+			fromSearch, fromShortlist := c.choose(t, nil), list.best()
+			if fromSearch != fromShortlist {
+				differences = append(differences, fmt.Sprintf("%v: %s by full search, %s from the shortlist", t.id(), workerID(fromSearch), workerID(fromShortlist)))
 			}
-			if listed == nil {
+			if fromShortlist == nil {
 				break
 			}
 			s.nextRun++
-			c.start(t, listed, s.nextRun)
+			c.start(t, fromShortlist, s.nextRun)
 			list.updateBest()
 		}
 	}
--- a/dispatch/faultchecks_test.go
+++ b/dispatch/faultchecks_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// waitingDespiteCapacity returns the long-running tasks without a run that a
-// worker could take.
+// waitingDespiteCapacity describes the long-running tasks that don't run although
+// a worker has the capacity for them.
 func (s *faultSim) waitingDespiteCapacity() []string {
 	var found []string
 	running := map[workload.TaskID]bool{}
--- a/dispatch/faultsim_test.go
+++ b/dispatch/faultsim_test.go
@@ -192,7 +192,7 @@
 	}
 }
 
-// replaceOwner lets a new owner take over from the committed rows.
+// replaceOwner makes a new owner take over with the committed rows.
 func (s *faultSim) replaceOwner() {
 	var roster []string
 	for key, value := range s.rows {
@@ -249,8 +249,9 @@
 	})
 }
 
-// deliver sends an order to a worker and returns its answer, either of which
-// may be delayed or lost.
+// deliver sends an order to a worker, where do carries it out, and passes the
+// status of the answer to answered. The order or the answer may be delayed or
+// lost; without an answer, answered gets runner.Unknown after orderTimeout.
 func (s *faultSim) deliver(id string, do func(w *faultWorker) runner.Status, answered func(runner.Status)) {
 	w := s.worker(id)
 	toWorker, toOwner := s.between(0, testTick), s.between(0, 3*testTick)
@@ -306,7 +307,8 @@
 	}
 }
 
-// startOn carries out a start order on a worker.
+// startOn carries out a start order on a worker, with a run that fails or is slow
+// at random. It fails the test if the task's successful end is already durable.
 func (s *faultSim) startOn(w *faultWorker, o dispatch.StartOrder) runner.Status {
 	i := slices.IndexFunc(s.jobs, func(j *workload.Job) bool { return j.ID == o.Start.Task.Job })
 	step := &s.jobs[i].Steps[o.Start.Task.Step]
--- a/dispatch/faultworker_test.go
+++ b/dispatch/faultworker_test.go
@@ -105,7 +105,7 @@
 	return runner.Done
 }
 
-// renew renews the lease and returns a report.
+// renew renews the lease, discards acknowledged ends and returns a report.
 func (w *faultWorker) renew(clock int64, o runner.Renewal) (runner.Status, runner.Report) {
 	if !w.fence(o.Token) {
 		return runner.Fenced, runner.Report{}
--- a/dispatch/flush.go
+++ b/dispatch/flush.go
@@ -27,7 +27,8 @@
 type Batch struct {
 	Writes []infra.Write
 	// jobs holds the jobs of the batch with the states that it writes.
-	jobs   []batchJob
+	jobs []batchJob
+	// roster holds the IDs of the workers in the roster parts that it writes.
 	roster []string
 	// ends holds, by worker, the last end that is durable once the batch is.
 	ends map[string]uint64
@@ -74,7 +75,10 @@
 	}
 }
 
-// flush collects the changes of the jobs that include accepts.
+// flush collects changes of the roster, of the estimates if these are due, and of
+// the jobs for which include returns true, and no longer counts them as changed.
+// If no changed job remains, it also collects the ends that may be acknowledged
+// once the batch is durable, and deletes expired jobs.
 func (s *State) flush(now time.Time, limit int, include func(*job) bool) (*Batch, error) {
 	b := &Batch{}
 	if err := s.flushRoster(b); err != nil {
@@ -168,7 +172,8 @@
 	return ends
 }
 
-// flushExpired deletes the rows of jobs that finished more than Retention ago.
+// flushExpired removes jobs that finished more than Retention ago, and deletes
+// their rows.
 func (s *State) flushExpired(now time.Time, b *Batch, limit int) {
 	for id, j := range s.jobs {
 		if len(b.Writes)+2 > limit {
@@ -189,7 +194,9 @@
 	return found
 }
 
-// MarkFlushed records that a batch is durable.
+// MarkFlushed records that a batch is durable: jobs whose rows it wrote may
+// start, workers that it added to the roster may get orders, and the ends that it
+// covers are acknowledged to their workers.
 func (s *State) MarkFlushed(b *Batch) {
 	for _, f := range b.jobs {
 		f.job.rowStored = true
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -44,8 +44,8 @@
 	unfinishedSteps int
 }
 
-// newJob returns the state of a submitted job. now and wallNow are the same
-// moment on the monotonic and the wall clock.
+// newJob returns the state of a submitted job. now and wallNow are the current
+// time on the monotonic clock and, in milliseconds, on the wall clock.
 func newJob(now time.Time, wallNow int64, spec *workload.Job, q workload.Queue) *job {
 	age := max(wallNow-spec.Submitted, 0)
 	j := &job{
@@ -101,7 +101,7 @@
 }
 
 // expiry returns the time from which a completed occurrence has no value to its
-// caller: three times its objective after it was due.
+// caller: three times as long after its due time as its objective.
 func (j *job) expiry(o *occurrence) time.Time {
 	return o.due.Add(3 * j.objective(o).Sub(o.due))
 }
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -55,9 +55,9 @@
 	return w != nil && w.info.Address != m.Address && (w.reported || s.awaitingReport[m.ID] != nil)
 }
 
-// rejectEntry handles an entry that can't be used. The worker may still be
-// alive, so it isn't treated as missing, which would start its runs a second
-// time.
+// rejectEntry handles an entry that can't be used. Its worker gets no new tasks.
+// As it may still be alive, it doesn't count as missing from the list, since its
+// tasks would then be started a second time.
 func (s *State) rejectEntry(now time.Time, id string) {
 	w := s.workers[id]
 	if w == nil {
@@ -98,9 +98,9 @@
 	return w
 }
 
-// InheritWorker adds a worker of an earlier owner's roster. Until it reports,
-// or any lease from the earlier owner has expired, it may hold runs of
-// inherited jobs that no other worker reports.
+// InheritWorker adds a worker of an earlier owner's roster. It may hold runs of
+// inherited jobs until it reports or all leases given by the earlier owner have
+// expired.
 func (s *State) InheritWorker(now time.Time, m runner.Worker) {
 	w := s.addWorker(m)
 	w.inRoster = true
@@ -139,7 +139,8 @@
 // HasWorker reports whether the worker is known.
 func (s *State) HasWorker(id string) bool { return s.workers[id] != nil }
 
-// removeIfExpired removes an unlisted worker once no run can be alive there.
+// removeIfExpired removes an unlisted worker, also from the roster, once no run
+// can be alive there.
 func (s *State) removeIfExpired(w *worker, now time.Time) {
 	if w.listed || len(w.runs) > 0 || !w.leaseExpired(now) {
 		return
@@ -151,7 +152,8 @@
 }
 
 // HandleRestart records that another incarnation of the worker answered at its
-// address, which ends all runs of the known one.
+// address. The known incarnation has terminated: its runs and leases have ended,
+// and it is removed.
 func (s *State) HandleRestart(now time.Time, id string) {
 	w := s.workers[id]
 	if w == nil {
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -20,16 +20,18 @@
 // Plan returns the orders to give now.
 func (s *State) Plan(now time.Time) Plan { return s.PlanAtMost(now, math.MaxInt) }
 
-// PlanAtMost returns the orders to give now, with a limit on starts; the steps
-// first in the queue get them, and the rest reserve no capacity. A gang that
-// starts below the limit starts whole, even if that exceeds the limit.
-func (s *State) PlanAtMost(now time.Time, starts int) Plan {
+// PlanAtMost ends the runs whose leases have expired and returns the orders to
+// give now, which the State then counts as given. There are at most maxStarts
+// starts, for the steps first in the queue; steps beyond the limit reserve no
+// capacity. A gang that starts below the limit starts whole, even if that exceeds
+// the limit.
+func (s *State) PlanAtMost(now time.Time, maxStarts int) Plan {
 	s.ExpireLeases(now)
 	s.drain(now)
 	var p Plan
 	p.CPULimits = s.adjustCPULimits(now)
 	c := newCycle(s, now)
-	c.maxStarts = starts
+	c.maxStarts = maxStarts
 	list := s.waitingSteps(now)
 	c.computeCapacity(list)
 	for _, w := range list {
@@ -139,7 +141,8 @@
 	}
 }
 
-// placeStep starts as many of a step's tasks as fit.
+// placeStep starts as many of a step's tasks as fit. If one doesn't fit, it
+// preempts other runs or reserves capacity for it.
 func (c *cycle) placeStep(st *step) {
 	if st.spec.Gang {
 		c.placeGang(st)
@@ -180,10 +183,11 @@
 	}
 }
 
-// safeToStart reports whether no other run of a task can be alive. Run
-// locations in the store that no longer hold must be overwritten first, since a
-// later owner relies on them. An inherited task waits for the workers that the
-// store names or, if it names none, for all workers that haven't reported.
+// safeToStart reports whether no other run of a task can be alive. An inherited
+// task waits for the workers that the store names or, if it names none, for all
+// workers that haven't reported. A task without a run for which the store still
+// names workers must wait until its row is written again, since a later owner
+// relies on these; safeToStart makes that change urgent.
 func (c *cycle) safeToStart(t *task) bool {
 	j := t.step.job
 	if j.inherited && !t.inheritanceResolved {
@@ -205,7 +209,8 @@
 	return true
 }
 
-// start reserves the capacity and orders the start.
+// start adds a run of the task to the worker, which reserves its capacity, and
+// adds the start order to the plan.
 func (c *cycle) start(t *task, w *worker, number uint64) {
 	r := &run{
 		task: t, number: number, token: w.token, worker: w, phase: ordered,
--- a/dispatch/poolcapacity.go
+++ b/dispatch/poolcapacity.go
@@ -20,8 +20,9 @@
 // of a usual short task.
 const minUsefulShare = 0.1
 
-// computeCapacity computes the capacity of each pool, given the steps that
-// wait.
+// computeCapacity computes the capacity of each pool. It passes the use and the
+// demand of short tasks, including those of the waiting steps, to the pool's
+// headroom tracker.
 func (c *cycle) computeCapacity(waiting []*waitingStep) {
 	c.pools = map[string]*poolCapacity{}
 	pool := func(name string) *poolCapacity {
@@ -54,8 +55,9 @@
 	}
 }
 
-// headroomAllows reports whether a task may start without taking the headroom
-// of short tasks. It only holds back long-running tasks that have never run.
+// headroomAllows reports whether a task may start without taking the headroom,
+// the capacity that must stay free for short tasks. It only holds back
+// long-running tasks that have never run.
 func (c *cycle) headroomAllows(t *task) bool {
 	if !t.step.spec.LongRunning || t.started || c.s.cfg.Disabled.Has(mechanism.Headroom) {
 		return true
--- a/dispatch/preempt.go
+++ b/dispatch/preempt.go
@@ -22,8 +22,9 @@
 	preemptAttemptsPerCycle = 2
 )
 
-// freeUpCapacity preempts runs of lower-priority queues for one task of a step
-// that fits nowhere.
+// freeUpCapacity stops runs of lower-priority queues on one worker and reserves
+// that worker for a task of a step that fits nowhere. It does so only once the
+// step has waited for preemptAfter.
 func (c *cycle) freeUpCapacity(st *step) {
 	if st.blockedSince.IsZero() {
 		st.blockedSince = c.now
--- a/dispatch/record.go
+++ b/dispatch/record.go
@@ -56,7 +56,8 @@
 	Runs       []uint64 `msgpack:"r"`
 }
 
-// RosterRow lists workers where runs may be alive.
+// RosterRow is one part of the roster, the list of workers where runs may be
+// alive.
 type RosterRow struct {
 	Workers []runner.Worker `msgpack:"w"`
 }
--- a/dispatch/renewal.go
+++ b/dispatch/renewal.go
@@ -11,7 +11,7 @@
 	// run ends; the maximum that the worker protocol allows.
 	longPoll = 2 * time.Second
 	// unflushedPollInterval is the minimum time between two polls of a worker
-	// whose ends aren't durable, which would otherwise be answered at once.
+	// whose ends aren't durable. It answers such polls at once.
 	unflushedPollInterval = 500 * time.Millisecond
 )
 
@@ -26,7 +26,8 @@
 }
 
 // Renewal returns the next renewal for a worker, false if it isn't known. The
-// lease is extended only if extend is set and the worker isn't suspected.
+// lease is extended only if extend is set and the worker isn't suspected; the
+// new end of the lease counts from now on, whether the worker answers or not.
 func (s *State) Renewal(now time.Time, id string, extend bool) (runner.Worker, runner.Renewal, bool) {
 	w := s.workers[id]
 	if w == nil {
@@ -40,7 +41,7 @@
 	}
 	if w.reported && w.unresponsiveSince.IsZero() && w.token == w.tokenSeen && w.lastEnd == w.acknowledged {
 		o.WaitMS = longPoll.Milliseconds()
-		if load, _ := w.colocation(now); load.NeedsFrequentPolls() {
+		if colocated, _ := w.colocation(now); colocated.NeedsFrequentPolls() {
 			o.WaitMS = tailWindow.Milliseconds()
 		}
 	}
@@ -58,9 +59,10 @@
 	return until
 }
 
-// EarlyPolls returns the workers to poll although a long poll is pending there:
-// a best-effort task is new next to serving tasks or a tail is long, and the
-// last report is older than its window.
+// EarlyPolls returns the workers to poll although a long poll is pending there,
+// and records that they are polled now. These are workers where a best-effort
+// task is new next to serving tasks or a tail is long, and whose last report is
+// older than its window.
 func (s *State) EarlyPolls(now time.Time) []string {
 	var ids []string
 	for id, w := range s.workers {
@@ -69,7 +71,7 @@
 			continue
 		}
 		w.earlyPollCheckedAt = now
-		if load, _ := w.colocation(now); load.NeedsFrequentPolls() {
+		if colocated, _ := w.colocation(now); colocated.NeedsFrequentPolls() {
 			w.earlyPolledAt = now
 			ids = append(ids, id)
 		}
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -120,7 +120,8 @@
 	}
 }
 
-// taskDone records that a run of the task finished its work.
+// taskDone handles the successful end of a run: it completes the task, or all
+// tasks of its gang, and then the job if nothing else is unfinished.
 func (s *State) taskDone(now time.Time, t *task) {
 	st := t.step
 	if st.spec.LongRunning {
@@ -151,8 +152,9 @@
 	}
 }
 
-// taskFailed counts a failed run and fails the job once the task has used up
-// its attempts. A gang counts as one task.
+// taskFailed records a failed run and its worker, which the task avoids from then
+// on, and fails the job once the task has used up its attempts. A gang counts as
+// one task.
 func (s *State) taskFailed(now time.Time, w *worker, t *task, number uint64) {
 	t.failedOn = append(t.failedOn, w.info.ID)
 	if t.step.spec.LongRunning {
@@ -176,7 +178,9 @@
 	}
 }
 
-// recordActive applies the runs that a worker reports as alive.
+// recordActive updates the runs that a worker reports as alive, and adopts those
+// that this owner didn't start. It orders runs to stop that are no longer needed
+// or whose last stop had no effect.
 func (s *State) recordActive(now time.Time, w *worker, active []runner.ActiveRun) {
 	for i := range active {
 		a := &active[i]
@@ -207,7 +211,8 @@
 }
 
 // adopt adds a run that this owner didn't start, and stops it if it is a
-// duplicate. A run of an unknown task is stopped and nil returned.
+// duplicate. It returns nil for a run that is known to have ended, and for a run
+// of an unknown task, which it stops.
 func (s *State) adopt(now time.Time, w *worker, a *runner.ActiveRun) *run {
 	j := s.jobs[a.Task.Job]
 	var t *task
--- a/dispatch/rig_test.go
+++ b/dispatch/rig_test.go
@@ -68,7 +68,8 @@
 	r.state.SetQueues([]workload.Queue{queueShort, queueLong})
 }
 
-// takeOver starts the next owner from the committed rows.
+// takeOver replaces the State with that of the next owner, which restores the
+// jobs from the committed rows and inherits the workers of the roster.
 func (r *rig) takeOver(roster ...string) {
 	r.startOwner(r.epoch + 1)
 	for _, key := range slices.Sorted(maps.Keys(r.rows)) {
@@ -141,7 +142,8 @@
 // clock returns the reading of all workers' clocks.
 func (r *rig) clock() int64 { return 1 + r.now.Sub(r.startedAt).Milliseconds() }
 
-// report answers a renewal and returns the ends that were new.
+// report polls a worker, handles its answer with the given runs and ends, and
+// returns the ends that were new.
 func (r *rig) report(id string, active []runner.ActiveRun, ends []runner.RunEnd) []runner.RunEnd {
 	r.t.Helper()
 	_, o, ok := r.state.Renewal(r.now, id, true)
@@ -152,7 +154,7 @@
 		runner.Report{ClockMS: r.clock(), Active: active, Ends: ends})
 }
 
-// noAnswer lets a renewal fail without an answer.
+// noAnswer polls a worker and handles the poll as unanswered.
 func (r *rig) noAnswer(id string) {
 	r.t.Helper()
 	_, o, ok := r.state.Renewal(r.now, id, true)
@@ -162,7 +164,8 @@
 	r.state.HandleReport(r.now, id, o, runner.Answer{Status: runner.Unknown}, runner.Report{})
 }
 
-// submit accepts and commits a job.
+// submit accepts and commits a job. If it has long-running tasks, submit also
+// advances the time until they no longer wait for other jobs.
 func (r *rig) submit(q workload.Queue, id string, steps ...workload.Step) {
 	r.t.Helper()
 	job := &workload.Job{ID: id, Queue: q.Name, Steps: steps, Submitted: r.now.UnixMilli()}
@@ -174,7 +177,7 @@
 	r.flush()
 	for i := range steps {
 		if steps[i].LongRunning {
-			r.advance(arrivalQuietPeriod) // until its tasks no longer wait for other jobs
+			r.advance(arrivalQuietPeriod)
 			return
 		}
 	}
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -34,9 +34,12 @@
 	// that, a run being stopped may never have existed and would report no end.
 	confirmed bool
 	// startedAt is when the start was ordered or first seen by this owner.
-	startedAt  time.Time
-	reserved   infra.Resources
-	percent    int
+	startedAt time.Time
+	reserved  infra.Resources
+	// percent is the reported progress; for a serving run, 100 once it serves.
+	percent int
+	// usage is the processors used over the last report's window, in thousandths
+	// of a core; for a serving run, its tail in milliseconds.
 	usage      int64
 	checkpoint string
 	// cpuLimit is the share of its processors that it may use, in percent.
--- a/dispatch/shortlist.go
+++ b/dispatch/shortlist.go
@@ -76,7 +76,8 @@
 	return l
 }
 
-// best returns the best worker for one more task, or nil if it fits nowhere.
+// best returns the best worker for one more task. If the task fits nowhere, it
+// records that and returns nil.
 func (l *shortlist) best() *worker {
 	if len(l.workers) > 0 {
 		return l.workers[0].w
--- a/dispatch/slowlink_test.go
+++ b/dispatch/slowlink_test.go
@@ -70,8 +70,8 @@
 	Timeout() time.Duration
 	AvailableStarts() int
 	StartIssued()
-	StartFinished(now time.Time, w flow.RoundTrip)
-	Observe(now time.Time, w flow.RoundTrip)
+	StartFinished(now time.Time, rt flow.RoundTrip)
+	Observe(now time.Time, rt flow.RoundTrip)
 	PollInterval(now time.Time) time.Duration
 }
 
@@ -165,8 +165,10 @@
 	}
 }
 
-// call sends an order and calls done with its answer or, after the timeout,
-// without one. The worker carries out the order whenever it arrives.
+// call sends an order and calls done with the round trip once the answer arrives
+// or times out. The worker may hold its answer for the time held, which extends
+// the timeout. Whenever the order arrives, the worker carries it out by do, which
+// calls answer with the size of its answer.
 func (s *linkSim) call(bytes int, held time.Duration, do func(answer func(bytes int)), done func(rt flow.RoundTrip)) {
 	sent, open := s.now, true
 	s.send(&s.out, bytes, func() {
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// orderStop orders a run to stop, unless that was done within
-// stopRetryInterval.
+// orderStop orders a run to stop, unless that was done within stopRetryInterval
+// or the run's start is uncertain.
 func (s *State) orderStop(now time.Time, r *run, cause StopCause) {
 	if r.phase == stopping && now.Sub(r.stopOrderedAt) < stopRetryInterval {
 		return
--- a/dispatch/state_test.go
+++ b/dispatch/state_test.go
@@ -82,11 +82,11 @@
 		if renewal.Token <= o.Start.Token {
 			t.Fatalf("polled under token %d, want more than the %d of the start", renewal.Token, o.Start.Token)
 		}
-		var at []runner.ActiveRun
+		var runs []runner.ActiveRun
 		if ran {
-			at = append(at, active(o))
+			runs = append(runs, active(o))
 		}
-		r.report(o.Worker.ID, at, nil)
+		r.report(o.Worker.ID, runs, nil)
 		starts := r.plan()
 		if ran && len(starts) != 0 {
 			t.Errorf("a running task was started again: %v", starts)
@@ -291,7 +291,7 @@
 }
 
 // TestTakeOverOfDepartedWorker checks that a new owner doesn't wait for the
-// leases of a worker that is missing from the list since the takeover.
+// leases of a worker that has been missing from the list since the takeover.
 func TestTakeOverOfDepartedWorker(t *testing.T) {
 	r := newRig(t, 2)
 	r.submit(queueShort, "job", step(1, 4, longRunning))
--- a/dispatch/stopcause.go
+++ b/dispatch/stopcause.go
@@ -22,6 +22,8 @@
 	stopCauseCount
 )
 
+// stopCauseNames holds the names of the causes in logs, in the order of the
+// constants. They stay as they are when a constant is renamed.
 var stopCauseNames = [stopCauseCount]string{
 	"job over", "task done", "tail too long", "preempted", "worker leaves", "duplicate", "no such task",
 }
--- a/dispatch/unanswered_test.go
+++ b/dispatch/unanswered_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// stopCopyEarly orders a copy of a slow task and ends the first run before the
-// copy's start is answered. It returns both starts.
+// stopCopyEarly orders a copy of a slow task and ends the first run, so that the
+// copy is ordered to stop before its start is answered. It returns both starts.
 func (r *rig) stopCopyEarly() (first, copied dispatch.StartOrder) {
 	r.t.Helper()
 	r.submit(queueShort, "slow", step(1, 4, func(s *workload.Step) { s.Speculative = true }))
--- a/dispatch/waitcause.go
+++ b/dispatch/waitcause.go
@@ -30,6 +30,8 @@
 	waitCauseCount
 )
 
+// waitCauseNames holds the log keys and metric labels of the causes, in the order
+// of the constants. They stay as they are when a constant is renamed.
 var waitCauseNames = [waitCauseCount]string{
 	"no_worker", "no_processors", "no_memory", "kept_room", "too_many_there", "would_harm", "no_permit", "headroom", "fits",
 }
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -35,7 +35,8 @@
 	// clock is the last reading of its own clock, received at clockAt.
 	clock   int64
 	clockAt time.Time
-	// leaseUntil is the latest end of a lease that any order sent can give.
+	// leaseUntil is the latest end, on the worker's own clock, of a lease that any
+	// order sent can give.
 	leaseUntil int64
 	// inheritedUntil is when all leases from an earlier owner have expired.
 	inheritedUntil time.Time
