--- a/colocate/actions.go
+++ b/colocate/actions.go
@@ -94,7 +94,8 @@
 	return actions
 }
 
-// replaceDisabled replaces actions that belong to disabled mechanisms.
+// replaceDisabled replaces those of the actions that belong to disabled
+// mechanisms, in place.
 func (m *Model) replaceDisabled(w *Worker, actions []Action) {
 	for i, a := range actions {
 		switch {
@@ -125,8 +126,8 @@
 	return s.Slack() - m.trends[s.Step].expectedDrop(m.horizon(reactionTime), m.slackFloor(s.Class).value())
 }
 
-// restoreSlack limits best-effort tasks until the expected slack of a serving
-// task is restored.
+// restoreSlack adds actions on best-effort tasks until the expected slack of the
+// serving task s is restored. It leaves actions that are set already.
 func (m *Model) restoreSlack(w *Worker, s *Serving, actions []Action) {
 	slack := m.expectedSlack(s)
 	if slack >= actionSlack {
@@ -161,8 +162,8 @@
 	effect float64
 }
 
-// contributors returns the best-effort tasks that affect a class, the largest
-// effect first.
+// contributors returns the best-effort tasks that affect a class by at least
+// minEffect and aren't paused, the largest effect first.
 func (m *Model) contributors(w *Worker, class string) []contributor {
 	var all []contributor
 	for i := range w.BestEffort {
@@ -192,8 +193,8 @@
 	}
 }
 
-// resumeOne removes the CPU limit of one best-effort task if the slack of all
-// serving tasks allows it.
+// resumeOne adds an action that removes the CPU limit of one best-effort task, if
+// the slack of all serving tasks allows it.
 func (m *Model) resumeOne(now time.Time, w *Worker, actions []Action) {
 	if w.minSlack() < resumeSlack {
 		return
--- a/colocate/actions_test.go
+++ b/colocate/actions_test.go
@@ -215,16 +215,16 @@
 	if lowImpact.Effect > 0.3 || highImpact.Effect < 0.7 {
 		t.Errorf("effects %.2f and %.2f, want about 0.05 and 1.0", lowImpact.Effect, highImpact.Effect)
 	}
-	if h := m.ImpactOf(m.SlackBudgets(now, nearTarget), "new", 0.1); h.Shortfall <= 0 {
-		t.Errorf("shortfall %.2f of an unknown image with a tail near its target, want it above 0", h.Shortfall)
+	if impact := m.ImpactOf(m.SlackBudgets(now, nearTarget), "new", 0.1); impact.Shortfall <= 0 {
+		t.Errorf("shortfall %.2f of an unknown image with a tail near its target, want it above 0", impact.Shortfall)
 	}
 	ampleSlack := &colocate.Worker{Serving: []colocate.Serving{serving("b", 3.8, 0)}}
 	for range 8 {
 		now = now.Add(reportInterval)
 		m.Learn(now, ampleSlack)
 	}
-	if h := m.ImpactOf(m.SlackBudgets(now, ampleSlack), "new", 0.1); h.Shortfall > 0 {
-		t.Errorf("shortfall %.2f of an unknown image with ample slack, want 0", h.Shortfall)
+	if impact := m.ImpactOf(m.SlackBudgets(now, ampleSlack), "new", 0.1); impact.Shortfall > 0 {
+		t.Errorf("shortfall %.2f of an unknown image with ample slack, want 0", impact.Shortfall)
 	}
 }
 
@@ -275,8 +275,8 @@
 			BestEffort: []colocate.BestEffortTask{bestEffort("high-impact", true)},
 		}
 		m.Learn(now, w)
-		if h := m.ImpactOf(m.SlackBudgets(now, w), "low-impact", 0.1); math.IsNaN(h.Shortfall) || math.IsNaN(h.Effect) {
-			t.Fatalf("impact after %d reports %+v, want finite values", i+1, h)
+		if impact := m.ImpactOf(m.SlackBudgets(now, w), "low-impact", 0.1); math.IsNaN(impact.Shortfall) || math.IsNaN(impact.Effect) {
+			t.Fatalf("impact after %d reports %+v, want finite values", i+1, impact)
 		}
 	}
 }
--- a/colocate/learn.go
+++ b/colocate/learn.go
@@ -8,7 +8,8 @@
 )
 
 // Learn updates the model with a worker's report: its tails and the
-// utilization of its best-effort tasks over the same window.
+// utilization of its best-effort tasks over the same window. A report is
+// ignored if the worker seems to be slow for other reasons.
 func (m *Model) Learn(now time.Time, w *Worker) {
 	if m.isSlow(now, w) {
 		return
@@ -71,8 +72,9 @@
 	return n * n
 }
 
-// isRepeatedStep reports whether a serving task of the same step precedes the
-// i-th; the tasks of a step on one worker have the same tail.
+// isRepeatedStep reports whether a serving task of the same step that has a tail
+// precedes the i-th. One of them is enough, since the tasks of a step on one
+// worker have the same tail.
 func (w *Worker) isRepeatedStep(i int) bool {
 	for j := range i {
 		if w.Serving[j].Step == w.Serving[i].Step && w.Serving[j].Tail > 0 {
@@ -108,8 +110,8 @@
 	return mean + more, variance + extra
 }
 
-// transientEffect is currentEffect for the tasks that started or ended within
-// the report window; half of their effect is counted.
+// transientEffect is the part of currentEffect that is due to tasks that started
+// or ended within the report window; half of their full effect is counted.
 func (m *Model) transientEffect(class string, w *Worker) (mean, variance float64) {
 	add := func(t *BestEffortTask) {
 		e, d := m.effect(class, t.Image, t.CPUShare)
--- a/colocate/model.go
+++ b/colocate/model.go
@@ -16,7 +16,8 @@
 	// class is updated.
 	effects     *interference.Model
 	pairEffects map[string]map[string]pairEffect
-	// classes holds the objectives of effects, all 1.
+	// classes holds the classes whose effects are learned. It is the map of
+	// objectives that effects uses, in which the objective of each class is 1.
 	classes map[string]float64
 	trends  map[workload.StepID]*SlackTrend
 	floors  map[string]*slackFloor
@@ -87,7 +88,8 @@
 	return f
 }
 
-// trend returns the step's slack trend at now, creating it if needed.
+// trend returns the step's slack trend, extrapolated to now. It creates the trend
+// if needed, and keeps it unless maxTrends are kept already.
 func (m *Model) trend(now time.Time, step workload.StepID) *SlackTrend {
 	s := m.trends[step]
 	if s == nil {
@@ -100,7 +102,8 @@
 	return s
 }
 
-// expire drops steps and classes that haven't reported within their retention.
+// expire drops steps and classes that haven't reported within their retention. It
+// does so once per trendRetention.
 func (m *Model) expire(now time.Time) {
 	if now.Sub(m.lastExpiry) < trendRetention {
 		return
--- a/colocate/pairs.go
+++ b/colocate/pairs.go
@@ -9,7 +9,8 @@
 	return e.mean * pressure, e.deviation * pressure
 }
 
-// classPairs returns the cached effects on a class, by image.
+// classPairs returns the cached effects on a class, by image. If nothing is
+// cached, it adds the class to those with learned effects.
 func (m *Model) classPairs(class string) map[string]pairEffect {
 	images := m.pairEffects[class]
 	if images == nil {
--- a/flow/backlog.go
+++ b/flow/backlog.go
@@ -37,8 +37,8 @@
 }
 
 // Refuse reports whether to reject a job with startsAhead starts queued before
-// it, and the delay until its caller should retry, by which the expected wait
-// has dropped to the limit.
+// it. retryAfter is the delay until its caller should retry, after which the
+// expected wait should have dropped to the limit.
 func (b *Backlog) Refuse(startsAhead int) (retryAfter time.Duration, refuse bool) {
 	if b.rate < 1 {
 		return 0, false
--- a/flow/limit.go
+++ b/flow/limit.go
@@ -14,8 +14,8 @@
 
 	limit    float64
 	inFlight int
-	// smoothedRTT is smoothed so that a single slow worker doesn't lower the
-	// limit.
+	// smoothedRTT is the smoothed round trip. A single slow worker changes it too
+	// little to lower the limit.
 	smoothedRTT time.Duration
 	// decreasedAt is the time of the last decrease.
 	decreasedAt time.Time
--- a/flow/timeout.go
+++ b/flow/timeout.go
@@ -34,7 +34,8 @@
 	backoffDecay = 0.99
 )
 
-// Answered records the round trip of an answered order.
+// Answered records the round trip of an answered order. It also takes back some
+// of the increase of the timeout by earlier calls of TimedOut.
 func (t *Timeout) Answered(rtt time.Duration) {
 	t.timeoutShare -= timeoutWeight * t.timeoutShare
 	t.backoff = max(t.backoff*backoffDecay, 1)
@@ -47,7 +48,8 @@
 	t.smoothedRTT += time.Duration(smoothedRTTWeight * float64(rtt-t.smoothedRTT))
 }
 
-// TimedOut records an order without an answer within the timeout.
+// TimedOut records an order without an answer within the timeout. The timeout
+// doubles once too large a share of orders time out.
 func (t *Timeout) TimedOut() {
 	t.timeoutShare += timeoutWeight * (1 - t.timeoutShare)
 	if t.timeoutShare >= timeoutThreshold {
--- a/flow/traffic.go
+++ b/flow/traffic.go
@@ -34,8 +34,10 @@
 // Traffic limits and measures an owner's orders to its workers. It isn't safe
 // for concurrent use.
 type Traffic struct {
-	timeout    Timeout
-	starts     *Limit
+	timeout Timeout
+	// starts limits the starts in flight.
+	starts *Limit
+	// observedAt is when a round trip was last observed.
 	observedAt time.Time
 }
 
--- a/interference/explorer.go
+++ b/interference/explorer.go
@@ -2,20 +2,23 @@
 
 import "time"
 
-// Explorer bounds the trials of pairs with uncertain estimates: a limited
-// number per interval in total, and one per interval on each host.
+// Explorer bounds trials, which run a pair of classes in order to learn its
+// effect: a limited number per interval in total, and one per interval on each
+// host.
 type Explorer struct {
 	// Interval is the length of a trial; it must exceed the lag of reports.
 	Interval time.Duration
-	began    time.Time
-	count    int
+	// began is when the current interval began; count is the number of trials
+	// begun since.
+	began time.Time
+	count int
 }
 
 // Trial records the last trial on a host; the zero value means none.
 type Trial struct{ at time.Time }
 
 // Allowed reports whether a trial may begin on a host at now, with at most
-// limit trials per interval in total.
+// limit trials per interval in total. Begin must be called if it does begin.
 func (e *Explorer) Allowed(now time.Time, host Trial, limit int) bool {
 	if e.Interval <= 0 {
 		return false
--- a/interference/export.go
+++ b/interference/export.go
@@ -32,8 +32,8 @@
 // Export returns the estimates in order of class. Covariances between weights
 // aren't included: they make up most of the state and are soon learned again.
 func (m *Model) Export() []ClassEstimate {
-	all := make([]ClassEstimate, 0, len(m.services))
-	for class, s := range m.services {
+	all := make([]ClassEstimate, 0, len(m.classes))
+	for class, s := range m.classes {
 		e := ClassEstimate{Class: class, ObjectiveMS: s.objectiveMS}
 		for i := range featureClass {
 			e.Common = append(e.Common, s.weight(i))
@@ -48,31 +48,33 @@
 	return all
 }
 
-func (s *service) weight(feature int) Weight {
+func (s *classState) weight(feature int) Weight {
 	return Weight{Mean: float32(s.model.mean[feature]), Variance: float32(s.model.covariance[feature*s.model.size+feature])}
 }
 
 // setWeight sets the weight of a feature and its variance.
-func (s *service) setWeight(feature int, w Weight) {
+func (s *classState) setWeight(feature int, w Weight) {
 	s.model.mean[feature] = float64(w.Mean)
 	s.model.covariance[feature*s.model.size+feature] = float64(w.Variance)
 }
 
-// Import adds estimates exported by another Model. Classes that this Model has
-// estimates of are left unchanged, and malformed estimates are skipped.
+// Import adds estimates exported by another Model, and the objectives of their
+// classes where the map passed to NewModel has none. Classes that this Model has
+// estimates of are left unchanged. Malformed estimates and those beyond the
+// maximum of classes are skipped.
 func (m *Model) Import(estimates []ClassEstimate) {
 	for _, e := range estimates {
-		if m.services[e.Class] != nil || len(m.services) >= maxServices || e.ObjectiveMS <= 0 || len(e.Common) != featureClass {
+		if m.classes[e.Class] != nil || len(m.classes) >= maxClasses || e.ObjectiveMS <= 0 || len(e.Common) != featureClass {
 			continue
 		}
-		s := newService(e.ObjectiveMS, m.priors)
+		s := newClassState(e.ObjectiveMS, m.priors)
 		for i, w := range e.Common {
 			s.setWeight(i, w)
 		}
 		for _, p := range e.Pairs[:min(len(e.Pairs), maxPairs)] {
 			s.setWeight(s.pair(p.BatchClass).feature, p.Weight)
 		}
-		m.services[e.Class] = s
+		m.classes[e.Class] = s
 		if m.objectives[e.Class] == 0 {
 			m.objectives[e.Class] = e.ObjectiveMS
 		}
--- a/interference/model.go
+++ b/interference/model.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// maxServices bounds the number of latency-critical classes.
-	maxServices = 64
+	// maxClasses bounds the number of latency-critical classes.
+	maxClasses = 64
 	// DefaultMargin is how far the logarithm of a latency should stay below
 	// that of its objective; it corresponds to 0.64 of the objective.
 	DefaultMargin = 0.45
@@ -21,13 +21,13 @@
 	objectives map[string]float64
 	margin     float64
 	priors     Priors
-	services   map[string]*service
+	classes    map[string]*classState
 }
 
 // NewModel returns a Model for the latency-critical classes in objectivesMS,
-// which holds their objectives in milliseconds; other classes are ignored.
-// Margin is how far the logarithms of their latencies should stay below those
-// of the objectives.
+// which holds their objectives in milliseconds; other classes are ignored. The
+// Model keeps the map, and Import may add to it. Margin is how far the
+// logarithms of their latencies should stay below those of the objectives.
 func NewModel(objectivesMS map[string]float64, margin float64) *Model {
 	return NewModelWith(objectivesMS, margin, LogLatencyPriors())
 }
@@ -35,7 +35,7 @@
 // NewModelWith is NewModel with custom priors, for callers that use Observe
 // with a value of their own.
 func NewModelWith(objectivesMS map[string]float64, margin float64, p Priors) *Model {
-	return &Model{objectives: objectivesMS, margin: margin, priors: p, services: map[string]*service{}}
+	return &Model{objectives: objectivesMS, margin: margin, priors: p, classes: map[string]*classState{}}
 }
 
 // SetObjectives replaces the objectives, in milliseconds, and the margin.
@@ -49,17 +49,19 @@
 // Reports are delayed: load must be that of the time when the latency was
 // measured.
 func (m *Model) Learn(class string, load Load, latencyMS float64) {
-	s := m.service(class)
+	s := m.classState(class)
 	if s == nil || latencyMS <= 0 {
 		return
 	}
 	m.Observe(class, load, math.Log(latencyMS/s.objectiveMS), 0)
 }
 
-// Observe updates the estimates with a value of class under load. Variance is
-// the uncertainty of the value in addition to the noise of reports.
+// Observe updates the estimates with the value that was measured for class under
+// load, in the unit of the Priors; for Learn it is the logarithm of the ratio of
+// latency to objective. Variance is the uncertainty of the value in addition to
+// the noise of reports.
 func (m *Model) Observe(class string, load Load, value, variance float64) {
-	s := m.service(class)
+	s := m.classState(class)
 	if s == nil {
 		return
 	}
@@ -71,13 +73,13 @@
 }
 
 // Forget drops the estimates of a class.
-func (m *Model) Forget(class string) { delete(m.services, class) }
+func (m *Model) Forget(class string) { delete(m.classes, class) }
 
 // Excess returns the expected amount by which the logarithm of the latency
 // exceeds that of the objective less the margin, taking into account the
 // uncertainty of the estimates; 0 for a class without an objective.
 func (m *Model) Excess(class string, load Load) float64 {
-	s := m.service(class)
+	s := m.classState(class)
 	if s == nil {
 		return 0
 	}
@@ -89,7 +91,7 @@
 // MeanExcess is Excess without the uncertainty of the estimates. It decides
 // whether to run a pair for a trial.
 func (m *Model) MeanExcess(class string, load Load) float64 {
-	s := m.service(class)
+	s := m.classState(class)
 	if s == nil {
 		return 0
 	}
@@ -99,9 +101,10 @@
 
 // Effect returns what batchClass adds to the logarithm of class's latency if it
 // uses the given share of a host's processors, and the standard deviation of
-// the estimate; 0 and 0 for a class without an objective.
+// the estimate; 0 and 0 for a class without an objective or beyond the maximum
+// of classes.
 func (m *Model) Effect(class, batchClass string, cpuShare float64) (mean, deviation float64) {
-	s := m.service(class)
+	s := m.classState(class)
 	if s == nil {
 		return 0, 0
 	}
@@ -119,7 +122,7 @@
 // uses a whole host; 0 if there is no estimate.
 func (m *Model) MaxEffect(batchClass string) float64 {
 	largest := 0.0
-	for class, s := range m.services {
+	for class, s := range m.classes {
 		if _, known := s.pairs[batchClass]; known {
 			mean, _ := m.Effect(class, batchClass, 1)
 			largest = max(largest, mean)
@@ -131,7 +134,7 @@
 // Uncertain reports whether the estimate for a pair has a larger deviation
 // than certainDeviation.
 func (m *Model) Uncertain(class, batchClass string) bool {
-	s := m.service(class)
+	s := m.classState(class)
 	if s == nil {
 		return false
 	}
@@ -139,22 +142,23 @@
 	return deviation > certainDeviation
 }
 
-// service returns the state of a class, creating it if needed. It returns nil
-// if the class has no objective or the maximum of classes is reached.
-func (m *Model) service(class string) *service {
+// classState returns the state of a class, creating it if needed and adapting it
+// to a changed objective. It returns nil if the class has no objective, or is new
+// and the maximum of classes is reached.
+func (m *Model) classState(class string) *classState {
 	objective := m.objectives[class]
-	s, known := m.services[class]
+	s, known := m.classes[class]
 	switch {
 	case objective <= 0:
 		return nil
 	case known:
 		s.rebase(objective)
 		return s
-	case len(m.services) >= maxServices:
+	case len(m.classes) >= maxClasses:
 		return nil
 	}
-	s = newService(objective, m.priors)
-	m.services[class] = s
+	s = newClassState(objective, m.priors)
+	m.classes[class] = s
 	return s
 }
 
--- a/interference/regression.go
+++ b/interference/regression.go
@@ -9,8 +9,10 @@
 	mean []float64
 	// covariance is a size by size matrix in row-major order.
 	covariance []float64
-	prior      []float64
-	gain       []float64
+	// prior holds the prior variances of the weights.
+	prior []float64
+	// gain is the last result of computeGain, kept to reuse its memory.
+	gain []float64
 	// noise is the variance of an observation, estimated from the residuals.
 	noise float64
 	// drift is the growth per observation of the variances of the weights
@@ -24,10 +26,10 @@
 	maxNoise     = 1.0
 	// noiseRate is the weight of the newest residual in noise.
 	noiseRate = 0.02
-	// correlated is the number of consecutive reports that carry as much
+	// correlatedReports is the number of consecutive reports that carry as much
 	// information as one independent report; their measurement windows
 	// overlap.
-	correlated = 4.0
+	correlatedReports = 4.0
 	// maxDeviations bounds the residual of an observation, in deviations, to
 	// limit the influence of outliers.
 	maxDeviations = 3.0
@@ -46,7 +48,7 @@
 	return r
 }
 
-// reset sets a weight to a prior and clears its covariances.
+// reset sets a weight to a prior mean and variance, and clears its covariances.
 func (r *regression) reset(index int, mean, variance float64) {
 	for i := range r.size {
 		r.covariance[index*r.size+i] = 0
@@ -69,13 +71,13 @@
 	return max(sum, 0)
 }
 
-// learn updates the weights with an observation whose variance is extra plus
-// the noise of reports.
-func (r *regression) learn(v vector, observed, extra float64) {
+// learn updates the weights with an observation whose variance is extraVariance
+// plus the noise of reports.
+func (r *regression) learn(v vector, observed, extraVariance float64) {
 	r.addDrift(v)
 	variance := r.variance(v)
-	noise := r.noise * correlated
-	total := variance + noise + extra
+	noise := r.noise * correlatedReports
+	total := variance + noise + extraVariance
 	residual := observed - v.dot(r.mean)
 	limit := maxDeviations * math.Sqrt(total)
 	residual = min(max(residual, -limit), limit)
@@ -84,7 +86,7 @@
 		r.mean[i] += g / total * residual
 	}
 	r.reduceCovariance(total)
-	squared := max(residual*residual-extra, 0)
+	squared := max(residual*residual-extraVariance, 0)
 	r.noise += noiseRate * (squared - r.noise)
 	r.noise = min(max(r.noise, minNoise), maxNoise)
 }
--- a/relay/scaler.go
+++ b/relay/scaler.go
@@ -34,8 +34,9 @@
 	maxRelaysPerZone = 64
 )
 
-// Scaler computes how many relays each availability zone should have. The zero
-// value starts with none.
+// Scaler computes how many relays each availability zone should have from the
+// load of each second: it doubles the number under overload and halves it after
+// a long time of low load. The zero value starts with none.
 type Scaler struct {
 	// Min is the least number of relays per zone.
 	Min int
