--- a/dispatch/copies.go
+++ b/dispatch/copies.go
@@ -50,7 +50,7 @@
 }
 
 // behind reports whether the rest of a run is expected to take longer than a
-// copy.
+// copy. That is assumed of a run on a suspected worker.
 func (c *cycle) behind(r *run) bool {
 	estimate := r.task.step.spec.Estimate
 	elapsed := c.now.Sub(r.startedAt)
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -11,7 +11,8 @@
 	// at which a worker counts as failing. Single failures are usually the
 	// task's own.
 	failingThreshold = 2
-	// probeAfter is when a failing worker gets another task as a probe.
+	// probeAfter is the time since its last failure after which a failing worker
+	// counts as healthy again. Its next task shows whether it still fails.
 	probeAfter = 5 * time.Second
 )
 
@@ -32,7 +33,8 @@
 
 func (h *health) recordSuccess() { h.failures = 0 }
 
-// failing reports whether the worker seems to fail every task it gets.
+// failing reports whether the worker seems to fail every task that it gets. It
+// returns false once the last failure is probeAfter ago.
 func (h *health) failing(now time.Time) bool {
 	return h.failures >= failingThreshold && now.Sub(h.lastFailure) < probeAfter
 }
