--- a/interference/model_test.go
+++ b/interference/model_test.go
@@ -104,7 +104,7 @@
 	for i := range 10 * maxPairs {
 		m.Learn("dispatch", Load{Batch: []Share{{Class: string(rune(0x100 + i)), CPUShare: 0.2}}}, 80)
 	}
-	if got := len(m.services["dispatch"].pairs); got != maxPairs {
+	if got := len(m.classes["dispatch"].pairs); got != maxPairs {
 		t.Errorf("%d pairs kept, want %d", got, maxPairs)
 	}
 }
