--- a/batch/restart_test.go
+++ b/batch/delayed_start_test.go
@@ -12,9 +12,9 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// slowPath holds back the first exchange with a start, and can make its worker
-// unreachable.
-type slowPath struct {
+// delayingWorkers holds back the first exchange with a start. If cut is set, it
+// also makes the worker of that exchange unreachable.
+type delayingWorkers struct {
 	infra.Workers
 	mu      sync.Mutex
 	address string
@@ -22,7 +22,7 @@
 	cut     bool
 }
 
-func (p *slowPath) Exchange(ctx context.Context, address string, x infra.Exchange) (infra.ExchangeReply, error) {
+func (p *delayingWorkers) Exchange(ctx context.Context, address string, x infra.Exchange) (infra.ExchangeReply, error) {
 	p.mu.Lock()
 	hold := p.address == "" && x.Starts()
 	if hold {
@@ -40,7 +40,7 @@
 // deliver delivers the held exchange. If fresh is set, the exchange has the
 // worker's current incarnation and time, which simulates a worker that checks
 // neither.
-func (p *slowPath) deliver(t *testing.T, fresh bool) {
+func (p *delayingWorkers) deliver(t *testing.T, fresh bool) {
 	x := p.held
 	if fresh {
 		reply, err := p.Workers.Exchange(t.Context(), p.address, infra.Exchange{OwnerEpoch: x.OwnerEpoch, LeaseMS: x.LeaseMS})
@@ -55,35 +55,36 @@
 }
 
 // runDelayedStart delivers the exchange with a job's first start only after the
-// job was moved to another worker, because the first one restarted or was
-// unreachable for longer than its leases. It returns the number of violations.
+// job has been started on another worker, because the first worker restarted or
+// was unreachable for longer than its leases. It returns how often the job ran on
+// two workers at once.
 func runDelayedStart(t *testing.T, restart, fresh bool) (count int) {
 	bubble(t, 2, func(r *rig) {
 		ctx, stop := context.WithCancel(context.Background())
 		var done sync.WaitGroup
 		recorder := r.useRealPlanner(ctx, &done)
-		path := &slowPath{Workers: r.workerClient, cut: !restart}
-		r.workerClient = path
+		workers := &delayingWorkers{Workers: r.workerClient, cut: !restart}
+		r.workerClient = workers
 		n := r.node("a")
 		r.own(n)
 		r.advanceTime(2 * time.Second)
 		r.submit(n, spec("j", time.Hour))
 		r.advanceTime(500 * time.Millisecond)
-		if path.address == "" {
+		if workers.address == "" {
 			t.Fatal("no start was sent")
 		}
-		n.post(func(time.Time) { n.shards[shard].planner.Avoid("j", path.address) })
+		n.post(func(time.Time) { n.shards[shard].planner.Avoid("j", workers.address) })
 		if restart {
-			worker := r.standIns[path.address]
+			worker := r.standIns[workers.address]
 			worker.Set(standin.WorkerFaults{Dead: true})
 			r.advanceTime(100 * time.Millisecond)
 			worker.Set(standin.WorkerFaults{})
 		}
 		r.advanceTime(time.Minute)
-		if rec := r.expectState(n, "j", task.Running); rec.Epoch < 2 || rec.Worker == path.address {
+		if rec := r.expectState(n, "j", task.Running); rec.Epoch < 2 || rec.Worker == workers.address {
 			t.Errorf("the job was not moved: %+v", rec)
 		}
-		path.deliver(t, fresh)
+		workers.deliver(t, fresh)
 		r.advanceTime(5 * time.Second)
 		stop()
 		done.Wait()
--- a/ownership/alive.go
+++ b/ownership/alive.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// inquirySessions is how long the session of a host is read after a question
-// about one of its processes, in multiples of the session's length.
+// inquirySessions is how long the session row of a host is read after a call of
+// Alive for one of its processes, in multiples of the session's length.
 const inquirySessions = 8
 
 // inquiry is an open question about a process of another host.
 type inquiry struct {
-	// asked is when the process was first asked about; until is when the
+	// asked is when Alive was first called for the process; until is when the
 	// inquiry ends.
 	asked, until time.Time
 }
 
 // Alive reports whether a process may still run. It returns false only if a
 // later process of its host has replaced it, or if its session has lapsed
-// according to a read sent after the first question; true if nothing is known.
+// according to a read sent after the first call for this process; true if
+// nothing is known. For a process of another host it opens or extends an
+// inquiry, so that the host's session row is read.
 func (m *Machine) Alive(now time.Time, host, incarnation string) (bool, []Action) {
 	if host == m.cfg.Host {
 		isReplaced := incarnation != m.cfg.Incarnation && m.session.written && !m.session.replaced
--- a/ownership/claim.go
+++ b/ownership/claim.go
@@ -36,7 +36,7 @@
 		return false
 	case s.commit != 0, s.row.Epoch < s.minUsableEpoch:
 		return false
-	case s.claim != nil && !s.readAt.After(s.claim.sentAt):
+	case s.claim != nil && !s.readSentAt.After(s.claim.sentAt):
 		// The row must be read before the claim is sent again.
 		return false
 	default:
@@ -59,7 +59,7 @@
 	if now.Sub(s.vacantSince) < wait {
 		return false
 	}
-	if now.Sub(s.readAt) > renewalsPerRead*m.cfg.renew() {
+	if now.Sub(s.readSentAt) > renewalsPerRead*m.cfg.renew() {
 		// Another host may have claimed it. A read is cheaper than a write that
 		// fails.
 		m.requestRead(s)
--- a/ownership/commit.go
+++ b/ownership/commit.go
@@ -99,8 +99,8 @@
 	if version <= s.version {
 		return
 	}
-	if p.sentAt.After(s.readAt) {
-		s.readAt = p.sentAt
+	if p.sentAt.After(s.readSentAt) {
+		s.readSentAt = p.sentAt
 	}
 	m.adoptShard(now, s, p.row, version)
 	if p.kind == commitRelease {
--- a/ownership/confirm.go
+++ b/ownership/confirm.go
@@ -80,7 +80,8 @@
 }
 
 // recordSuccessor records that the shard has an owner with this epoch or a
-// later one.
+// later one: lower epochs must not be used any more. It requests a read of the
+// shard's row if the known row has a lower epoch.
 func (m *Machine) recordSuccessor(s *shardState, epoch uint64) {
 	if epoch > s.row.Epoch {
 		m.requestRead(s)
@@ -89,8 +90,9 @@
 }
 
 // confirm updates the row of a shard that this host owns: it removes the
-// previous owner once that has stopped, and replaces successors that are no
-// longer available.
+// previous owner once that owner has stopped, and replaces successors that are
+// no longer available. While the previous owner may still use the shard, confirm
+// asks it whether it has stopped.
 func (m *Machine) confirm(now time.Time, s *shardState) {
 	cleared := m.previousCleared(now, s)
 	if !cleared {
@@ -143,7 +145,9 @@
 	m.emit(Drain{Shard: s.name, Epoch: s.usedEpoch})
 }
 
-// Drained handles the completion of a Drain.
+// Drained handles the completion of a Drain: no request is in flight under this
+// epoch or a lower one. It ends the use of the shard, and permits the release of
+// a shard that is being moved.
 func (m *Machine) Drained(now time.Time, shard string, epoch uint64) []Action {
 	s := m.shard(shard)
 	if s.usedEpoch <= epoch {
--- a/ownership/machine.go
+++ b/ownership/machine.go
@@ -88,7 +88,7 @@
 		m.listedRevision = r.Revision()
 	}
 	for _, name := range r.Shards() {
-		if s := m.shard(name); s.readAt.IsZero() && s.minReadID == 0 {
+		if s := m.shard(name); s.readSentAt.IsZero() && s.minReadID == 0 {
 			m.requestRead(s)
 		}
 	}
@@ -221,11 +221,12 @@
 	if m.flaws.noReread {
 		return true
 	}
-	return !m.session.openedAt.IsZero() && !s.readAt.Before(m.session.openedAt)
+	return !m.session.openedAt.IsZero() && !s.readSentAt.Before(m.session.openedAt)
 }
 
-// dropped reports whether the membership list has dropped a host, and since
-// when this machine has known it.
+// dropped reports whether the membership list has dropped the host of h since h
+// was listed, and since when this machine has known it. It records the drop if
+// it was not known yet.
 func (m *Machine) dropped(now time.Time, h Holder) (time.Time, bool) {
 	if !m.roster.Known() || m.roster.Listed(h.Host) || m.roster.Revision() <= h.Revision {
 		return time.Time{}, false
--- a/ownership/observe.go
+++ b/ownership/observe.go
@@ -18,11 +18,12 @@
 	versionSince time.Time
 	// incarnationSince is when this incarnation was first seen.
 	incarnationSince time.Time
-	// readAt is when the row was last read, by a request sent at readSentAt.
+	// readSentAt is when the row was last read, by a request sent at readSentAt.
 	readAt, readSentAt time.Time
 }
 
-// observeSessions handles the rows of all sessions.
+// observeSessions handles the rows of all sessions, this host's own included. A
+// known session that is missing from rows has no row.
 func (m *Machine) observeSessions(now, sentAt time.Time, rows []infra.Row) {
 	own := infra.Row{}
 	present := make(map[string]bool, len(rows))
@@ -72,14 +73,15 @@
 	o.incarnationSince = now
 }
 
-// shardSeen handles a shard's row, read by a request sent at sentAt.
+// shardSeen handles a shard's row, read by a request sent at sentAt. It adopts
+// the row if its version is new.
 func (m *Machine) shardSeen(now, sentAt time.Time, row infra.Row) {
 	s := m.shard(shardOfKey(row.Key))
 	if row.Version < s.version {
 		return
 	}
-	if sentAt.After(s.readAt) {
-		s.readAt = sentAt
+	if sentAt.After(s.readSentAt) {
+		s.readSentAt = sentAt
 	}
 	if row.Version == s.version {
 		return
@@ -91,7 +93,9 @@
 	m.adoptShard(now, s, value, row.Version)
 }
 
-// adoptShard stores a new row of a shard.
+// adoptShard stores a new version of a shard's row. If the row has a new epoch,
+// adoptShard also ends the use of the shard under the old epoch, discards a move
+// and the promises, and starts the ownership if the row names this process.
 func (m *Machine) adoptShard(now time.Time, s *shardState, row ShardRow, version uint64) {
 	newEpoch := !s.exists() || row.Epoch != s.row.Epoch
 	s.row = row
@@ -112,7 +116,8 @@
 	}
 }
 
-// becameOwner handles a shard that this host has become the owner of.
+// becameOwner sets the time from which a newly owned shard may be used, and
+// reports the change of owner.
 func (m *Machine) becameOwner(now time.Time, s *shardState) {
 	s.usableFrom = now
 	if s.endpoint && s.row.Seized && !m.flaws.noDrainWait {
@@ -137,8 +142,8 @@
 	}
 	for _, name := range m.sortedShards {
 		s := m.shards[name]
-		if !s.exists() && !present[name] && sentAt.After(s.readAt) {
-			s.readAt = sentAt
+		if !s.exists() && !present[name] && sentAt.After(s.readSentAt) {
+			s.readSentAt = sentAt
 		}
 	}
 }
--- a/ownership/promise.go
+++ b/ownership/promise.go
@@ -62,7 +62,8 @@
 	return slices.Compact(all)
 }
 
-// PromiseReplied handles a reply to AskPromise.
+// PromiseReplied handles a reply to AskPromise. A promise lasts for one session
+// from the time at which it was requested.
 func (m *Machine) PromiseReplied(now time.Time, id uint64, reply PromiseReply) []Action {
 	ask, ok := m.asks[id]
 	delete(m.asks, id)
@@ -89,7 +90,7 @@
 	return m.step(now)
 }
 
-// AskFailed handles a request to a peer without a reply.
+// AskFailed handles a request to a peer that failed or was not answered in time.
 func (m *Machine) AskFailed(now time.Time, id uint64) []Action {
 	delete(m.asks, id)
 	return m.step(now)
--- a/ownership/release.go
+++ b/ownership/release.go
@@ -96,7 +96,7 @@
 	if !m.verified(s) || !m.mayWrite(now, s) {
 		return
 	}
-	if s.move.maybeReleased && !s.readAt.After(s.lastWriteAt) {
+	if s.move.maybeReleased && !s.readSentAt.After(s.lastWriteAt) {
 		// The row must be read before the release is sent again.
 		return
 	}
@@ -138,8 +138,8 @@
 	return row
 }
 
-// cancelMove cancels a move whose release was not written. The shard is used
-// again.
+// cancelMove cancels a move whose release was not written. startUse starts the
+// use of the shard again once its conditions are met.
 func (m *Machine) cancelMove(s *shardState) {
 	s.move = nil
 	s.inUse = false
--- a/ownership/session.go
+++ b/ownership/session.go
@@ -119,7 +119,9 @@
 	s.known = true
 }
 
-// adoptSession handles a renewal that took effect.
+// adoptSession handles a renewal that took effect: the session is live for its
+// length from the time at which the renewal was sent. If the session was not
+// live before, adoptSession opens it and requests a read of all rows.
 func (m *Machine) adoptSession(now time.Time, version, counter uint64) {
 	s := &m.session
 	sentAt, ok := s.sentAt[counter]
--- a/ownership/shardstate.go
+++ b/ownership/shardstate.go
@@ -16,8 +16,8 @@
 	// no row.
 	row     ShardRow
 	version uint64
-	// readAt is when the newest request that confirmed this row was sent.
-	readAt time.Time
+	// readSentAt is when the newest request that confirmed this row was sent.
+	readSentAt time.Time
 
 	// minReadID requests a read of the row with this ID or a later one; 0 for
 	// none.
