--- a/batch/capacity_bench_test.go
+++ b/batch/capacity_bench_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// fleet is the workers and the table of one owner.
+// fleet consists of the workers and the table of one owner.
 type fleet struct {
 	workers map[string]*fleetWorker
 	members []infra.Member
@@ -258,18 +258,18 @@
 
 type countingConn struct {
 	stdnet.Conn
-	wire countingListener
+	listener countingListener
 }
 
 func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.wire.in.Add(int64(n))
+	c.listener.in.Add(int64(n))
 	return n, err
 }
 
 func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.wire.out.Add(int64(n))
+	c.listener.out.Add(int64(n))
 	return n, err
 }
 
@@ -277,11 +277,11 @@
 // exchange, connections per second, and CPU time including the workers' part.
 func BenchmarkFleetHTTP(b *testing.B) {
 	for _, workers := range []int{65, 250, 478} {
-		for _, each := range []int{0, 9} {
+		for _, tasksPerWorker := range []int{0, 9} {
 			for _, idle := range []int{64, 0} {
-				b.Run(fmt.Sprintf("%dworkers-%dtasks-%didle", workers, workers*each, idle), func(b *testing.B) {
+				b.Run(fmt.Sprintf("%dworkers-%dtasks-%didle", workers, workers*tasksPerWorker, idle), func(b *testing.B) {
 					for range b.N {
-						fleetHTTP(b, workers, workers*each, idle)
+						fleetHTTP(b, workers, workers*tasksPerWorker, idle)
 					}
 				})
 			}
--- a/batch/config.go
+++ b/batch/config.go
@@ -71,7 +71,8 @@
 	maxStartsInFlight = 1024
 	// commitRetryDelay is the pause of commits after one was refused.
 	commitRetryDelay = 500 * time.Millisecond
-	// maxKills is the number of kills by guards after which a job is parked.
+	// maxKills is the number of kills of a job's runs by workers after which
+	// the job is parked.
 	maxKills = 6
 	// scanPageRows is the number of rows per page of a scan.
 	scanPageRows = 1000
--- a/batch/health.go
+++ b/batch/health.go
@@ -7,15 +7,16 @@
 type health struct {
 	// failed are the jobs that failed since the last success.
 	failed map[string]struct{}
-	// until is the end of the quarantine; zero for none.
-	until time.Time
+	// quarantinedUntil is the end of the quarantine; zero for none.
+	quarantinedUntil time.Time
 	// probe is the only job that may run after the quarantine until it
 	// succeeds.
 	probe string
 }
 
 // recordFailure records a failed run and reports whether it started a
-// quarantine.
+// quarantine of the given length: because limit distinct jobs have failed since
+// the last success, or because the job was the probe.
 func (h *health) recordFailure(now time.Time, job string, limit int, length time.Duration) bool {
 	if h.failed == nil {
 		h.failed = map[string]struct{}{}
@@ -25,17 +26,17 @@
 	if probed {
 		h.probe = ""
 	}
-	if !probed && (len(h.failed) < limit || !h.until.IsZero()) {
+	if !probed && (len(h.failed) < limit || !h.quarantinedUntil.IsZero()) {
 		return false
 	}
-	h.until = now.Add(length)
+	h.quarantinedUntil = now.Add(length)
 	return true
 }
 
 // recordSuccess records a completed run and reports whether it ended a
 // quarantine.
 func (h *health) recordSuccess() bool {
-	ended := !h.until.IsZero()
+	ended := !h.quarantinedUntil.IsZero()
 	*h = health{}
 	return ended
 }
@@ -52,9 +53,9 @@
 // may.
 func (h *health) unschedulableReason(now time.Time) string {
 	switch {
-	case h.until.IsZero():
+	case h.quarantinedUntil.IsZero():
 		return ""
-	case now.Before(h.until):
+	case now.Before(h.quarantinedUntil):
 		return "quarantined"
 	case h.probe != "":
 		return "probing"
@@ -63,13 +64,13 @@
 	}
 }
 
-// admit records a start and reports whether the worker may get it. After a
-// quarantine only one job at a time is admitted.
+// admit reports whether the worker may start the job. After a quarantine it
+// admits one job at a time, which becomes the probe, until a run succeeds.
 func (h *health) admit(now time.Time, job string) bool {
 	if h.unschedulableReason(now) != "" {
 		return false
 	}
-	if !h.until.IsZero() {
+	if !h.quarantinedUntil.IsZero() {
 		h.probe = job
 	}
 	return true
--- a/batch/manager.go
+++ b/batch/manager.go
@@ -38,9 +38,10 @@
 	members map[string][]infra.Member
 	// lost are grants under which a shard was dropped because another host
 	// owns it. They are not used again.
-	lost    map[string]ownership.Grant
-	tasks   sync.WaitGroup
-	context context.Context
+	lost map[string]ownership.Grant
+	// goroutines are those that Run waits for; context is the context of Run.
+	goroutines sync.WaitGroup
+	context    context.Context
 	// calendar holds the configured events.
 	calendar forecast.Calendar
 	// quotas are the teams' quotas; divisions are those that this host divides.
@@ -159,7 +160,7 @@
 }
 
 // drain runs the posted functions.
-func (m *Manager) drain(now time.Time) {
+func (m *Manager) runPosted(now time.Time) {
 	m.mu.Lock()
 	posted := m.inbox
 	m.inbox = nil
--- a/batch/manager_gain.go
+++ b/batch/manager_gain.go
@@ -12,8 +12,8 @@
 	"github.com/fireflygate/fireflygate/ownership"
 )
 
-// applyOwnership drops the shards that this host no longer owns and takes over
-// new ones.
+// applyOwnership drops the shards that this host no longer owns, updates the
+// grants of the others and takes over new ones.
 func (m *Manager) applyOwnership(now time.Time, v *ownership.Snapshot) {
 	for name, o := range m.shards {
 		g, ok := v.Grants[name]
@@ -38,8 +38,8 @@
 // not known to be superseded.
 func (m *Manager) canTakeOver(now time.Time, name string, g ownership.Grant) bool {
 	lost, ok := m.lost[name]
-	overtaken := ok && lost.Epoch == g.Epoch && lost.Version == g.Version
-	return strings.HasPrefix(name, workerShards) && g.At(now) != ownership.None && !overtaken
+	superseded := ok && lost.Epoch == g.Epoch && lost.Version == g.Version
+	return strings.HasPrefix(name, workerShards) && g.At(now) != ownership.None && !superseded
 }
 
 // takeOver creates a shard and starts its replay.
@@ -56,7 +56,7 @@
 		w.nextExchange = now.Add(m.randomExchangeDelay())
 	}
 	event.ShardReplaying.Log(m.config.Log, slog.String("shard", name), slog.Uint64("epoch", g.Epoch))
-	m.tasks.Go(func() { m.replay(ctx, o) })
+	m.goroutines.Go(func() { m.replay(ctx, o) })
 }
 
 // randomExchangeDelay returns a random duration up to the exchange interval.
@@ -66,8 +66,9 @@
 	return time.Duration(m.config.Rand.Int64N(int64(m.config.Settings.Exchange.D()) + 1))
 }
 
-// replay reads the shard's records. Earlier owners can't write any more, because
-// the version of the shard's row has changed.
+// replay reads the shard's records and the quota divisions, retrying until the
+// shard is dropped, and loads them into the shard. Earlier owners can't write any
+// more, because the version of the shard's row has changed.
 func (m *Manager) replay(ctx context.Context, o *ownedShard) {
 	var divisions map[string]storedDivision
 	records, err := backoff.Retry(ctx, func() ([]storedRecord, error) {
--- a/batch/manager_move.go
+++ b/batch/manager_move.go
@@ -37,14 +37,14 @@
 // jobs whose notification is overdue.
 func (m *Manager) moveJobs(now time.Time, o *ownedShard) {
 	if specs := o.offerableJobs(now); len(specs) > 0 {
-		m.tasks.Go(func() { m.offer(o, specs) })
+		m.goroutines.Go(func() { m.offer(o, specs) })
 	}
-	if now.Before(o.nextCheck) {
+	if now.Before(o.nextExpectedCheck) {
 		return
 	}
-	o.nextCheck = now.Add(expectedCheckInterval)
+	o.nextExpectedCheck = now.Add(expectedCheckInterval)
 	if ids := o.overdueJobs(now); len(ids) > 0 {
-		m.tasks.Go(func() { m.fetchExpected(m.context, o, ids) })
+		m.goroutines.Go(func() { m.fetchExpected(m.context, o, ids) })
 	}
 }
 
@@ -71,7 +71,7 @@
 		m.post(func(now time.Time) {
 			o.handOver(now, id, condition, to, func(ok bool) {
 				if ok {
-					m.tasks.Go(func() { m.notifyMoved(to, id) })
+					m.goroutines.Go(func() { m.notifyMoved(to, id) })
 				}
 			})
 		})
--- a/batch/manager_quota.go
+++ b/batch/manager_quota.go
@@ -18,8 +18,10 @@
 // teamDivision is the state between rounds of the host that divides a team's
 // quota.
 type teamDivision struct {
-	stored     storedDivision
-	known      bool
+	// stored is the division in the table; known is set if it was read.
+	stored storedDivision
+	known  bool
+	// targets are the amounts to which shards are to lower their allotments.
 	targets    map[string]quota.Amount
 	inProgress bool
 	nextRound  time.Time
@@ -62,8 +64,9 @@
 }
 
 // assignDividers assigns each team's quota to a host by rendezvous hashing over
-// the owners of worker shards. Hosts with different ownership snapshots may both
-// divide a quota; the conditions of the commits let only one succeed.
+// the owners of worker shards, and updates the divisions of this host. Hosts
+// with different ownership snapshots may both divide a quota; the conditions of
+// their commits make all but one fail.
 func (m *Manager) assignDividers() {
 	shards := m.shardsByOwner()
 	hosts := slices.Sorted(maps.Keys(shards))
@@ -86,8 +89,9 @@
 	}
 }
 
-// requestQuota notifies the dividing hosts of teams whose pending jobs exceed
-// their allotments in local shards.
+// requestQuota requests another division of the quotas of teams whose pending
+// jobs exceed their allotments in a local shard. It sends one request to each
+// host that divides such a quota.
 func (m *Manager) requestQuota(now time.Time) {
 	waiting := map[string][]string{}
 	for _, o := range m.shards {
@@ -100,7 +104,7 @@
 	}
 	for host, teams := range waiting {
 		request := quotaWantRequest{Teams: teams}
-		m.tasks.Go(func() { m.sendQuotaWant(host, request) })
+		m.goroutines.Go(func() { m.sendQuotaWant(host, request) })
 	}
 }
 
@@ -141,7 +145,7 @@
 			manager: m, team: team, quota: m.quotas[team], shards: m.shardsByOwner(),
 			stored: d.stored, known: d.known, targets: d.targets,
 		}
-		m.tasks.Go(func() {
+		m.goroutines.Go(func() {
 			r.run(m.context)
 			m.post(func(now time.Time) { d.finishRound(now, r) })
 		})
--- a/batch/manager_run.go
+++ b/batch/manager_run.go
@@ -18,7 +18,7 @@
 func (m *Manager) Run(ctx context.Context) {
 	defer close(m.stopped)
 	m.context = ctx
-	defer m.tasks.Wait()
+	defer m.goroutines.Wait()
 	interval := m.tickInterval()
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -34,7 +34,7 @@
 		case <-ticker.C:
 			m.tick(m.config.Now())
 		}
-		m.drain(m.config.Now())
+		m.runPosted(m.config.Now())
 		m.flush(m.config.Now())
 	}
 }
@@ -90,7 +90,7 @@
 func (m *Manager) exchange(now time.Time, o *ownedShard, msg message) {
 	remaining := exchangeTimeout - m.config.Now().Sub(now)
 	ctx, cancel := context.WithTimeout(m.context, remaining)
-	m.tasks.Go(func() {
+	m.goroutines.Go(func() {
 		defer cancel()
 		var reply infra.ExchangeReply
 		err := ctx.Err()
@@ -108,7 +108,8 @@
 // isCurrent reports whether o is still a shard of this manager.
 func (m *Manager) isCurrent(o *ownedShard) bool { return m.shards[o.name] == o }
 
-// dropShard removes a shard immediately.
+// dropShard removes a shard immediately, stops its replay and completes its
+// release if one was requested.
 func (m *Manager) dropShard(name, reason string) {
 	o := m.shards[name]
 	o.fenced = true
@@ -134,7 +135,7 @@
 		return
 	}
 	first := o.released
-	m.tasks.Go(func() {
+	m.goroutines.Go(func() {
 		<-first
 		close(released)
 	})
--- a/batch/quota_test.go
+++ b/batch/quota_test.go
@@ -87,11 +87,12 @@
 	q.table.Put(shardKey(shard), []byte(n.config.Host))
 }
 
-// publishOwnership passes the current ownership to all hosts but one.
-func (q *quotaRig) publishOwnership(but *node) {
+// publishOwnership passes the current ownership to all hosts except one; nil for
+// no exception.
+func (q *quotaRig) publishOwnership(except *node) {
 	q.epochs++
 	for _, n := range q.nodes {
-		if n == but {
+		if n == except {
 			continue
 		}
 		v := &ownership.Snapshot{Owners: map[string]string{}, Grants: map[string]ownership.Grant{}}
@@ -195,7 +196,7 @@
 
 func TestTeamStaysWithinItsQuotaOverShards(t *testing.T) {
 	const seeds = 10
-	busy, broken := 0, 0
+	busy, exceeded := 0, 0
 	for seed := range uint64(seeds) {
 		peak := runQuotasWithFaults(t, seed, faults{})
 		if peak > quotaCores {
@@ -204,17 +205,18 @@
 		if peak > quotaCores/2 {
 			busy++
 		}
-		if broken == 0 && runQuotasWithFaults(t, seed, faults{wholeQuota: true}) > quotaCores {
-			broken++
+		if exceeded == 0 && runQuotasWithFaults(t, seed, faults{wholeQuota: true}) > quotaCores {
+			exceeded++
 		}
 	}
 	t.Logf("%d of %d seeds used more than half of the quota", busy, seeds)
-	if busy == 0 || broken == 0 {
+	if busy == 0 || exceeded == 0 {
 		t.Error("no run used more than half of the quota, or none exceeded it without division: the test can't detect a violation")
 	}
 }
 
-// heldTable delays the commits that holds selects until release is closed.
+// heldTable delays the commits for which holds returns true: it closes reached
+// and waits until release is closed.
 type heldTable struct {
 	infra.Table
 	holds   func(infra.Transaction) bool
--- a/batch/shard.go
+++ b/batch/shard.go
@@ -73,9 +73,9 @@
 	allotments map[string]*quota.Allotment
 	// expected holds the jobs accepted from other shards, with the time of
 	// acceptance.
-	expected             map[string]time.Time
-	nextOffer, nextCheck time.Time
-	nextQuotaCheck       time.Time
+	expected                     map[string]time.Time
+	nextOffer, nextExpectedCheck time.Time
+	nextQuotaCheck               time.Time
 	// unknownRows holds the row versions of unknown jobs found by the last
 	// rescan.
 	unknownRows map[string]uint64
@@ -112,7 +112,7 @@
 }
 
 // faults disable mechanisms, so that tests can verify that their checks detect
-// it.
+// a missing mechanism.
 type faults struct {
 	// sendBeforeDurable sends a start before its commit is applied.
 	sendBeforeDurable bool
@@ -196,7 +196,8 @@
 	s.planner.AdoptSized(j.rec.SpecWithFloor(), w.name, size)
 }
 
-// freeRun releases the worker and reservation of a job's run.
+// freeRun releases the worker and reservation of a job's run, and resets the
+// job's state of that run. done is set if the run completed its work.
 func (s *Shard) freeRun(now time.Time, j *job, host string, done bool) {
 	id := j.rec.Spec.ID
 	if w := s.workers[host]; w != nil {
--- a/batch/shard_commit.go
+++ b/batch/shard_commit.go
@@ -44,8 +44,9 @@
 	return r
 }
 
-// commitRecord commits the job's next record and then calls applied or refused.
-// Starts of urgent jobs and cancellations are committed urgently; other changes
+// commitRecord commits the job's next record. It then calls applied, or refused
+// if the record was not changed; it calls neither if the shard was fenced. After
+// a conflict it removes the job from the shard. Starts of urgent jobs and cancellations are committed urgently; other changes
 // may wait for the next transaction.
 func (s *Shard) commitRecord(j *job, next task.Record, applied, refused func(now time.Time)) {
 	j.committing = true
@@ -98,7 +99,8 @@
 }
 
 // resumeDeferred handles the report and cancellations that waited for the job's
-// commit.
+// commit. While commits are paused, a report continues to wait until
+// retryDeferred.
 func (s *Shard) resumeDeferred(now time.Time, j *job) {
 	if j.committing {
 		return
--- a/batch/shard_exchange.go
+++ b/batch/shard_exchange.go
@@ -19,9 +19,12 @@
 	cpuLimits map[string]int
 }
 
-// messages returns the exchanges that are due, at most one per worker. Before
-// the replay is complete they renew leases without orders, so that runs survive
-// an outage of the table.
+// messages returns the exchanges that are due, at most one per worker. While the
+// table is read for the replay, exchanges renew leases without orders, so that
+// runs survive an outage of the table. A lease ends at the latest taskLease after
+// the worker's last answer, so that unanswered exchanges don't extend the time
+// until the runs have certainly ended. A worker whose leases have expired gets a
+// full lease, so that it can still report its runs.
 func (s *Shard) messages(now time.Time) []message {
 	if s.fenced || s.releasing || !s.exchangesNeeded {
 		return nil
@@ -44,9 +47,8 @@
 	return out
 }
 
-// message builds the worker's next exchange. Its lease expires no later than
-// the last acknowledged one, so that unanswered attempts don't extend the time
-// until the runs have certainly ended.
+// message builds the worker's next exchange with the given lease. It marks the
+// exchange as in flight and schedules the following one.
 func (s *Shard) message(now time.Time, w *worker, lease time.Duration) message {
 	m := message{
 		worker:    w.name,
@@ -66,8 +68,9 @@
 	return m
 }
 
-// orders returns the orders that the worker has not acknowledged.
-func (s *Shard) orders(w *worker, throttles map[string]int) []infra.Order {
+// orders returns the orders that the worker has not acknowledged. It adds the
+// CPU limits in these orders to cpuLimits, by job.
+func (s *Shard) orders(w *worker, cpuLimits map[string]int) []infra.Order {
 	var out []infra.Order
 	for run, kind := range w.extraOrders {
 		out = append(out, infra.Order{Kind: kind, Run: run})
@@ -77,7 +80,7 @@
 			out = append(out, o)
 		}
 		if j.rec.State == task.Running && j.needsCPULimitOrder() {
-			throttles[id] = j.cpuLimit
+			cpuLimits[id] = j.cpuLimit
 			out = append(out, infra.Order{Kind: infra.OrderThrottle, Run: j.rec.RunID(), Percent: j.cpuLimit})
 		}
 	}
@@ -85,7 +88,7 @@
 }
 
 // orderFor returns the order that brings the job's run to the state required by
-// its record, if one is needed.
+// its record, if one is needed. It marks a start as sent.
 func (s *Shard) orderFor(j *job) (infra.Order, bool) {
 	run := j.rec.RunID()
 	switch {
@@ -168,7 +171,8 @@
 	s.updatePlannerHost(now, w)
 }
 
-// acknowledge removes the orders that the worker has received.
+// acknowledge records that the worker has received the orders of an exchange:
+// extra orders are not repeated, and CPU limits are in effect.
 func (s *Shard) acknowledge(w *worker, m message) {
 	for _, o := range m.exchange.Orders {
 		if w.extraOrders[o.Run] == o.Kind {
--- a/batch/shard_move.go
+++ b/batch/shard_move.go
@@ -25,7 +25,8 @@
 )
 
 // offerableJobs returns up to maxOffered jobs that have been pending for
-// offerAfter and have the same zones.
+// offerAfter and have the same zones. It returns none if it was called with
+// pending jobs less than offerInterval ago.
 func (s *Shard) offerableJobs(now time.Time) []task.Spec {
 	if !s.acceptsWork() || now.Before(s.nextOffer) || now.Before(s.commitsPausedUntil) || s.pending == 0 {
 		return nil
--- a/batch/shard_quota.go
+++ b/batch/shard_quota.go
@@ -100,7 +100,8 @@
 }
 
 // teamsWaitingForQuota returns the teams whose usage and pending jobs exceed
-// their allotments.
+// their allotments. It checks this at most once per quotaCheckInterval and
+// returns none in between.
 func (s *Shard) teamsWaitingForQuota(now time.Time) []string {
 	if !s.acceptsWork() || s.pending == 0 || now.Before(s.nextQuotaCheck) {
 		return nil
--- a/batch/shard_report.go
+++ b/batch/shard_report.go
@@ -142,7 +142,8 @@
 	s.requestExchange(w)
 }
 
-// expireRun ends a run that must have ended without a report.
+// expireRun commits the end of a run that must have ended although the worker
+// has not reported it.
 func (s *Shard) expireRun(now time.Time, w *worker, j *job) {
 	r := infra.RunReport{Run: j.rec.RunID(), State: infra.RunExpired, DoneMS: j.doneMS}
 	if j.committing {
--- a/batch/shard_rescan.go
+++ b/batch/shard_rescan.go
@@ -28,7 +28,7 @@
 		return
 	}
 	o.rescanning = true
-	m.tasks.Go(func() {
+	m.goroutines.Go(func() {
 		rows, ok := m.rows(m.context, o.name)
 		m.post(func(now time.Time) {
 			o.rescanning = false
--- a/batch/shard_urgent.go
+++ b/batch/shard_urgent.go
@@ -9,7 +9,8 @@
 )
 
 // submitWithStart commits an urgent job together with its first start, which
-// saves the time of one commit. It returns false if the job can't be placed now.
+// saves the time of one commit, and calls reply with the result. It returns
+// false, without a commit or a call of reply, if the job can't be placed now.
 func (s *Shard) submitWithStart(now time.Time, spec task.Spec, deadline time.Time, reply func(submitReply)) bool {
 	placed, ok := s.placeNow(now, spec)
 	if !ok {
--- a/batch/shard_workers.go
+++ b/batch/shard_workers.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// loseRuns ends all runs on a worker whose leases have certainly expired. If the
-// worker returns, it is reconciled again.
+// loseRuns commits the end of all runs on a worker whose leases have certainly
+// expired. The worker must be reconciled before it gets new orders.
 func (s *Shard) loseRuns(now time.Time, w *worker) {
 	event.WorkerLeaseExpired.Log(s.log, slog.String("worker", w.name), slog.Int("runs", len(w.jobs)))
 	w.leasesExpired, w.reconciled, w.lastSeq = true, false, 0
--- a/batch/soak_test.go
+++ b/batch/soak_test.go
@@ -66,20 +66,21 @@
 		}
 	}
 	for id := range accepted {
-		done := 0
+		runCount := 0
 		for _, run := range r.workers.runsOf(id) {
 			if run.to.IsZero() {
 				r.t.Errorf("%s: a run has not ended", id)
 			}
-			done++
+			runCount++
 		}
-		if s, _, _ := n.Show(context.Background(), id); s.Record.Epoch < uint64(done) {
-			r.t.Errorf("%s: %d runs in %d epochs", id, done, s.Record.Epoch)
+		if s, _, _ := n.Show(context.Background(), id); s.Record.Epoch < uint64(runCount) {
+			r.t.Errorf("%s: %d runs in %d epochs", id, runCount, s.Record.Epoch)
 		}
 	}
 }
 
-// injectSoakFault causes one random fault and returns the owner after it.
+// injectSoakFault causes at most one random fault and returns the shard's owner
+// after it.
 func injectSoakFault(r *rig, rnd *rand.Rand, n *node, step int) *node {
 	worker := fmt.Sprint("w", rnd.IntN(soakWorkers))
 	switch rnd.IntN(9) {
--- a/batch/submit.go
+++ b/batch/submit.go
@@ -36,7 +36,7 @@
 		if kind == outcome.Unknown {
 			return Status{ID: spec.ID, Shard: shard}, outcome.Unknown, ReasonAnswerLost
 		}
-		if done, st, k, why := m.verdict(ctx, shard, r, kind); done {
+		if done, st, k, why := m.submitResult(ctx, shard, r, kind); done {
 			return st, k, why
 		}
 		if r.Code == submitNeverFits && kind == outcome.Answered {
@@ -46,9 +46,9 @@
 	return Status{}, outcome.NotRun, reason
 }
 
-// verdict converts a shard's reply to the result of Submit; false if another
-// shard is to be tried.
-func (m *Manager) verdict(ctx context.Context, shard string, r submitReply, kind outcome.Kind) (bool, Status, outcome.Kind, string) {
+// submitResult converts a shard's reply to the result of Submit; false if
+// another shard is to be tried. It also records the shard's load.
+func (m *Manager) submitResult(ctx context.Context, shard string, r submitReply, kind outcome.Kind) (bool, Status, outcome.Kind, string) {
 	if kind == outcome.NotRun {
 		return false, Status{}, kind, ""
 	}
--- a/batch/workers_test.go
+++ b/batch/workers_test.go
@@ -31,8 +31,8 @@
 type fakeWorker struct {
 	name        string
 	startedAt   time.Time
-	owner       uint64
-	lease       time.Time
+	ownerEpoch  uint64
+	leaseUntil  time.Time
 	seq         uint64
 	runs        map[infra.RunID]*fakeRun
 	newestEpoch map[string]uint64
@@ -43,7 +43,7 @@
 	loseReplies       int  // number of exchanges to apply without a reply
 	paused            bool // does not reply, end runs or check its lease
 	failAll           bool
-	killAll           bool          // all its runs are killed by its guard
+	killAll           bool          // kills all its runs
 	loseCheckpoints   bool          // checkpoints are lost
 	cutAfterLostReply bool          // becomes unreachable with the next lost reply
 	lag               time.Duration // delay of an exchange in flight
@@ -113,13 +113,13 @@
 	if x.Incarnation == "" && x.Starts() || x.Incarnation != "" && clockMS > x.ValidUntilMS {
 		return infra.ExchangeReply{Stale: true, Incarnation: w.name, ClockMS: clockMS}
 	}
-	if x.OwnerEpoch < w.owner {
+	if x.OwnerEpoch < w.ownerEpoch {
 		f.refused++
 		return infra.ExchangeReply{Refused: true}
 	}
 	f.advance(w, now)
-	w.owner = x.OwnerEpoch
-	w.lease = now.Add(time.Duration(x.LeaseMS) * time.Millisecond)
+	w.ownerEpoch = x.OwnerEpoch
+	w.leaseUntil = now.Add(time.Duration(x.LeaseMS) * time.Millisecond)
 	for _, o := range x.Orders {
 		f.order(w, o, now)
 	}
@@ -143,11 +143,11 @@
 		if r.report.State != infra.RunRunning {
 			continue
 		}
-		if !r.ends.IsZero() && !now.Before(r.ends) && !r.ends.After(w.lease) {
+		if !r.ends.IsZero() && !now.Before(r.ends) && !r.ends.After(w.leaseUntil) {
 			r.report.DoneMS = r.ends.Sub(f.history[r.at].from).Milliseconds()
 			f.end(w, r, infra.RunDone, r.ends)
-		} else if now.After(w.lease.Add(w.slowStop)) {
-			f.end(w, r, infra.RunExpired, w.lease.Add(w.slowStop))
+		} else if now.After(w.leaseUntil.Add(w.slowStop)) {
+			f.end(w, r, infra.RunExpired, w.leaseUntil.Add(w.slowStop))
 		}
 	}
 }
