--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -54,7 +54,8 @@
 	return s
 }
 
-// fill places jobs until the given share of the processors is reserved.
+// fill places jobs until the given share of the processors is reserved, and then
+// reports random latencies of all hosts.
 func (f *fleet) fill(share float64) {
 	var used int64
 	for used < int64(share*float64(f.s.capacity.MilliCPU)) {
--- a/placement/colocation.go
+++ b/placement/colocation.go
@@ -24,8 +24,8 @@
 			continue
 		}
 		s.model.Learn(class, interference.Load{OwnUtilization: n.ownUtilization(class), Batch: batch}, latency)
-		if over := latency / objective; over > worst {
-			worst, n.worst = over, class
+		if latencyRatio := latency / objective; latencyRatio > worst {
+			worst, n.worst = latencyRatio, class
 		}
 	}
 	if worst == 0 {
@@ -53,7 +53,8 @@
 	s.watched = append(s.watched, n)
 }
 
-// relieve applies the decisions of the monitors of watched nodes.
+// relieve applies the decisions of the monitors of watched nodes, and stops
+// watching nodes that were removed or whose monitor is idle.
 func (s *Scheduler) relieve(p *plan) {
 	kept := s.watched[:0]
 	for _, n := range s.watched {
@@ -86,7 +87,8 @@
 	}
 }
 
-// apply adds the action for a monitor's decision to the plan.
+// apply adds the action for a monitor's decision to the plan and updates the
+// run. An eviction also starts a cooldown of the run's class on the node.
 func (s *Scheduler) apply(p *plan, n *node, d eviction.Decision) {
 	r := s.runs[d.Job]
 	if d.Kind == eviction.Evict {
@@ -102,8 +104,8 @@
 	p.add(Action{Kind: Throttle, Job: d.Job, Host: n.host.Name, CPULimit: d.CPULimit, Reason: reason})
 }
 
-// unthrottleAll removes every throttle on a node without latency-critical
-// runs.
+// unthrottleAll removes every throttle on a node without latency-critical runs,
+// and resets the node's monitor.
 func (s *Scheduler) unthrottleAll(p *plan, n *node) {
 	for _, r := range n.runs {
 		if r.cpuLimit == fullCPU || p.remaining() == 0 {
--- a/placement/consolidate.go
+++ b/placement/consolidate.go
@@ -97,8 +97,8 @@
 // other instances, none of them is starting or being evicted, and no event
 // needs the class now.
 func (s *Scheduler) mayMove(now time.Time, r *run) bool {
-	standing := r.spec.QoS == task.LatencyCritical && r.spec.RunMS == 0 && !r.spec.Urgent
-	if !standing || s.options.ObjectivesMS[r.spec.Class] <= 0 || s.isProtected(r) {
+	isService := r.spec.QoS == task.LatencyCritical && r.spec.RunMS == 0 && !r.spec.Urgent
+	if !isService || s.options.ObjectivesMS[r.spec.Class] <= 0 || s.isProtected(r) {
 		return false
 	}
 	if s.spread.runs[spreadKey{class: r.spec.Class}] < consolidateInstances || s.isUnsettled(now, r.spec.Class) {
--- a/placement/events.go
+++ b/placement/events.go
@@ -6,6 +6,7 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
+// updateWindows computes the window of each event as of now.
 func (s *Scheduler) updateWindows(now time.Time) {
 	for i, e := range s.calendar {
 		s.windows[i], _ = e.Window(now)
@@ -31,9 +32,9 @@
 	return share
 }
 
-// expectedEnd returns when a job that starts now is expected to end. A standing
-// job counts as ending after drainLead, since it can be drained ahead of a
-// window.
+// expectedEnd returns when a job that starts now is expected to end. A
+// long-running job, which declares no run time, counts as ending after drainLead,
+// since it can be drained ahead of a window.
 func (s *Scheduler) expectedEnd(now time.Time, spec task.Spec) time.Time {
 	if spec.RunMS == 0 {
 		return now.Add(drainLead)
--- a/placement/explore.go
+++ b/placement/explore.go
@@ -13,8 +13,8 @@
 	exploreHosts = 4
 )
 
-// explore returns a node for a trial of a pair with an uncertain estimate; nil
-// if there is none. A trial places one job on a host where the impact without
+// explore begins a trial of a pair with an uncertain estimate and returns the
+// node of the trial; nil if there is none. A trial places one job on a host where the impact without
 // the uncertainty of the estimate is tolerated.
 func (s *Scheduler) explore(now time.Time, q *request, candidates []*node) *node {
 	limit := max(len(s.order)/exploreHosts, 1)
--- a/placement/feasible.go
+++ b/placement/feasible.go
@@ -7,10 +7,10 @@
 	maxExamined = 64
 )
 
-// feasible fills s.candidates with a bounded sample of the nodes that fit:
-// half from the cells that suit the kind of job best, half from random cells.
-// If the sample contains none, all nodes are searched, so that a job that fits
-// somewhere is always placed.
+// feasible returns a bounded sample of the nodes that fit, in s.candidates: half
+// from the cells that suit the kind of job best, half from random cells. If the
+// sample contains none, all nodes are searched, so that a job that fits somewhere
+// is always placed.
 func (s *Scheduler) feasible(q *request) []*node {
 	s.candidates = s.candidates[:0]
 	if q.nominated != nil && q.filter(q.nominated) == Feasible {
--- a/placement/hosts.go
+++ b/placement/hosts.go
@@ -51,8 +51,8 @@
 	s.unfit.freed(n)
 }
 
-// RemoveHost removes a host. Its remaining runs are released without learning
-// from them.
+// RemoveHost removes a host. Runs that the caller hasn't released are released
+// without learning from them, and nominations on the host are dropped.
 func (s *Scheduler) RemoveHost(name string) {
 	n, known := s.nodes[name]
 	if !known {
--- a/placement/impact.go
+++ b/placement/impact.go
@@ -32,7 +32,8 @@
 	return s.impactBy(q, n, s.model.Excess) + n.cooldownImpact(s.now, q.spec.Class)
 }
 
-// impactBy is impact with a given estimate of a class's excess.
+// impactBy returns the impact by a given estimate of a class's excess, without
+// the addition for a cooldown.
 func (s *Scheduler) impactBy(q *request, n *node, excess func(string, interference.Load) float64) float64 {
 	if len(s.options.ObjectivesMS) == 0 {
 		return 0
--- a/placement/jobs.go
+++ b/placement/jobs.go
@@ -42,7 +42,8 @@
 	return max(due-s.estimator.RunMS(spec), 1)
 }
 
-// Withdraw removes a pending job and its history.
+// Withdraw removes a pending job and its history. A running job is not queued
+// again on its release.
 func (s *Scheduler) Withdraw(job string) {
 	if r, running := s.runs[job]; running {
 		r.requeue = false
@@ -67,7 +68,8 @@
 	s.AdoptSized(spec, host, s.estimator.Size(spec))
 }
 
-// AdoptSized is Adopt with a known reservation.
+// AdoptSized is Adopt with a known reservation. It replaces an earlier run of the
+// job and removes the job from the queue.
 func (s *Scheduler) AdoptSized(spec task.Spec, host string, size infra.Resources) {
 	if r, running := s.runs[spec.ID]; running {
 		s.vacate(r)
--- a/placement/load.go
+++ b/placement/load.go
@@ -11,6 +11,7 @@
 // so searching a slice is faster than a map.
 type shares []interference.Share
 
+// add adds part to the share of the class, in place if the class is present.
 func (l shares) add(class string, part float64) shares {
 	for i := range l {
 		if l[i].Class == class {
@@ -21,7 +22,8 @@
 	return append(l, interference.Share{Class: class, CPUShare: part})
 }
 
-// currentBatch returns the current batch load of a node.
+// currentBatch returns the current batch load of a node. The result is valid
+// until the next call of currentBatch or batchAt, which reuse its memory.
 func (s *Scheduler) currentBatch(n *node) shares {
 	load := shares(s.loadBuffer[:0])
 	for _, r := range n.runs {
@@ -33,7 +35,8 @@
 	return load
 }
 
-// batchAt returns the batch load of a node at a time within the lag.
+// batchAt returns the batch load of a node at a time within the lag. Like
+// currentBatch, it reuses the memory of the last result.
 func (s *Scheduler) batchAt(n *node, when time.Time) shares {
 	load := shares(s.loadBuffer[:0])
 	for _, r := range n.runs {
--- a/placement/never_fits.go
+++ b/placement/never_fits.go
@@ -21,17 +21,17 @@
 	var nearest shape
 	smallest := 0.0
 	found := false
-	for _, kind := range s.shapes.sorted() {
-		if !zoneFits(spec.Zones, kind.zone) {
+	for _, candidate := range s.shapes.sorted() {
+		if !zoneFits(spec.Zones, candidate.zone) {
 			continue
 		}
-		shortage := q.shortage(kind.capacity)
+		shortage := q.shortage(candidate.capacity)
 		if shortage == (infra.Resources{}) {
 			return "", false
 		}
 		distance := shortageRatio(shortage, q.size)
 		if !found || distance < smallest {
-			nearest, smallest, found = kind, distance, true
+			nearest, smallest, found = candidate, distance, true
 		}
 	}
 	if !found {
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -17,7 +17,7 @@
 	SetPolicy(o Options)
 	// SetHost adds or updates a host.
 	SetHost(h Host)
-	// RemoveHost removes a host; its runs must have been released.
+	// RemoveHost removes a host. The caller releases its runs first.
 	RemoveHost(name string)
 	// Enqueue adds a pending job, replacing one with the same ID.
 	Enqueue(now time.Time, s task.Spec)
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -20,8 +20,9 @@
 const killBackoff = 60
 
 // fitPolicy places jobs by declared sizes in order of submission and never
-// moves them.
-type fitPolicy struct{ best, separate bool }
+// moves them: on the first host that fits or, if bestFit is set, on the one with the
+// fewest free processors. If separate is set, it uses no host of the services.
+type fitPolicy struct{ bestFit, separate bool }
 
 func (p fitPolicy) step(sim *simulation, now time.Time, arrived, _, killed []*simTask) {
 	sim.waiting = append(append(sim.waiting, killed...), arrived...)
@@ -44,7 +45,7 @@
 		if p.separate && host < sim.hostsSeparated() || !t.spec.Resources.Fits(free) {
 			continue
 		}
-		if !p.best {
+		if !p.bestFit {
 			return host
 		}
 		if chosen < 0 || free.MilliCPU < least {
@@ -152,7 +153,7 @@
 		}
 		sim.place(t, p.s.nodes[a.Host].position)
 	case Throttle:
-		t.percent = float64(a.CPULimit) / 100
+		t.cpuFraction = float64(a.CPULimit) / 100
 	case Evict:
 		sim.score.evictions++
 		sim.stop(t)
@@ -161,14 +162,15 @@
 	}
 }
 
-// run simulates one policy.
+// run simulates one policy, calling check after each second, and returns the
+// results.
 func (sim *simulation) run(p policy, check func()) score {
 	for second := range sim.seconds {
 		now := epoch.Add(time.Duration(second) * time.Second)
 		sim.finishMoves(second)
 		var ended, killed []*simTask
 		for host := range sim.hosts {
-			e, k := sim.second(host, second)
+			e, k := sim.simulateHost(host, second)
 			ended, killed = append(ended, e...), append(killed, k...)
 		}
 		for _, t := range ended {
@@ -209,9 +211,9 @@
 	case "first fit":
 		return sim.run(fitPolicy{}, func() {})
 	case "best fit":
-		return sim.run(fitPolicy{best: true}, func() {})
+		return sim.run(fitPolicy{bestFit: true}, func() {})
 	case "separation":
-		return sim.run(fitPolicy{best: true, separate: true}, func() {})
+		return sim.run(fitPolicy{bestFit: true, separate: true}, func() {})
 	}
 	p := newSchedulerPolicy(t, sc)
 	return sim.run(p, func() { requireWithinCapacity(t, p.s) })
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -39,7 +39,8 @@
 	return evicts
 }
 
-// evict requests a run's eviction; the caller has checked the budget.
+// evict adds a run's eviction to the plan, counts it against the budget and
+// records it in the job's history. The caller has checked the budget.
 func (s *Scheduler) evict(p *plan, r *run, reason string) {
 	if !s.budget.Take(p.now) {
 		panic("placement: eviction exceeds the budget")
@@ -137,7 +138,8 @@
 }
 
 // evictable returns the batch runs of n that may be evicted, those with the
-// least work to lose first.
+// least work to lose first. The result is valid until the next call, which
+// reuses its memory.
 func (s *Scheduler) evictable(now time.Time, n *node) []*run {
 	s.victimBuffer = s.victimBuffer[:0]
 	for _, r := range n.runs {
--- a/placement/rank.go
+++ b/placement/rank.go
@@ -83,8 +83,8 @@
 // dropFirst removes the first group.
 func (t *groupHeap) dropFirst() { heap.Pop(t) }
 
-// rankGroups returns all groups in order of rank. It reuses the memory of the
-// last plan.
+// rankGroups ranks all groups and returns them as a heap with the first by rank
+// on top. It reuses the memory of the last plan.
 func (s *Scheduler) rankGroups(now time.Time) *groupHeap {
 	s.groupHeap = s.groupHeap[:0]
 	for _, g := range s.queue.groups {
--- a/placement/simulation_test.go
+++ b/placement/simulation_test.go
@@ -45,15 +45,20 @@
 
 // simTask is a simulated batch job with its true size.
 type simTask struct {
-	spec    task.Spec
-	class   int
-	cores   float64
-	memory  float64
-	work    float64
-	done    float64
-	saved   float64
-	percent float64
-	host    int
+	spec  task.Spec
+	class int
+	// cores and memory are the true size; memory is in megabytes.
+	cores  float64
+	memory float64
+	// work is the run time without throttling, done the part completed and
+	// saved the part in the last checkpoint, in seconds.
+	work  float64
+	done  float64
+	saved float64
+	// cpuFraction is the CPU limit as a fraction of the processors.
+	cpuFraction float64
+	// host is the index of the host; -1 if the job is not running.
+	host int
 	// notBefore is the second from which it may run again after an
 	// out-of-memory kill.
 	notBefore int
@@ -80,7 +85,10 @@
 
 // score holds the results of a simulation.
 type score struct {
-	tails     []float64
+	// tails are all samples of the ratio of latency to objective.
+	tails []float64
+	// work is the completed work and lost the work lost by evictions and kills,
+	// in core-seconds.
 	work      float64
 	lost      float64
 	evictions int
@@ -147,7 +155,7 @@
 			class = second / 400 % simClasses
 		}
 		t := &simTask{
-			class: class, cores: 2 + float64(class) + 4*sim.rng.Float64(), host: -1, percent: 1,
+			class: class, cores: 2 + float64(class) + 4*sim.rng.Float64(), host: -1, cpuFraction: 1,
 			memory: 4000 + 12_000*sim.rng.Float64(), work: 60 + 240*sim.rng.Float64(),
 		}
 		sim.next++
@@ -182,18 +190,18 @@
 // stop ends a run early; its work since the last checkpoint is lost.
 func (sim *simulation) stop(t *simTask) {
 	sim.score.lost += (t.done - t.saved) * t.cores
-	t.done, t.percent = t.saved, 1
+	t.done, t.cpuFraction = t.saved, 1
 	sim.remove(t)
 }
 
-// second simulates one second on a host and returns the tasks that ended and
+// simulateHost simulates one second on a host and returns the tasks that ended and
 // those killed for exceeding the memory.
-func (sim *simulation) second(host, second int) (ended, killed []*simTask) {
+func (sim *simulation) simulateHost(host, second int) (ended, killed []*simTask) {
 	h := &sim.hosts[host]
 	used := 8 * float64(h.total()) * 0.7
 	memory := 16_000 * float64(h.total())
 	for _, t := range h.tasks {
-		used += t.cores * t.percent
+		used += t.cores * t.cpuFraction
 		memory += t.memory
 	}
 	speed := min(1, simCores/max(used, 1))
@@ -201,9 +209,9 @@
 	for _, t := range h.tasks {
 		usage.Jobs = append(usage.Jobs, JobUsage{
 			Job: t.spec.ID, DoneMS: int64(1000 * t.done),
-			Used: infra.Resources{MilliCPU: int64(1000 * t.cores * t.percent * speed), MemoryMB: int64(t.memory)},
+			Used: infra.Resources{MilliCPU: int64(1000 * t.cores * t.cpuFraction * speed), MemoryMB: int64(t.memory)},
 		})
-		t.done += t.percent * speed
+		t.done += t.cpuFraction * speed
 		if t.done-t.saved >= checkpointSeconds {
 			t.saved = t.done
 		}
@@ -230,7 +238,7 @@
 		load *= float64(sim.hostsServing()) / float64(sim.hostsServing()-sim.moving[service])
 		log := -0.8 + 0.3*load + 2*overload + 0.08*sim.rng.NormFloat64()
 		for _, t := range h.tasks {
-			log += slowdowns[t.class] * t.cores * t.percent / simCores
+			log += slowdowns[t.class] * t.cores * t.cpuFraction / simCores
 		}
 		latency[simService(service)] = 100 * math.Exp(log)
 		sim.score.tails = append(sim.score.tails, math.Exp(log))
--- a/placement/status.go
+++ b/placement/status.go
@@ -12,6 +12,7 @@
 	RejectedAccelerators
 	RejectedMemory
 	RejectedCPU
+	// statuses is the number of results.
 	statuses
 )
 
--- a/placement/walk.go
+++ b/placement/walk.go
@@ -6,7 +6,8 @@
 	"github.com/fireflygate/fireflygate/task"
 )
 
-// walk iterates over the rows of a grid whose nodes may have enough free.
+// walk iterates over the rows of a grid whose nodes may have enough free
+// resources.
 type walk struct {
 	grid *grid
 	// cpu and memory are the lowest levels that may fit.
