--- a/booking/claim.go
+++ b/booking/claim.go
@@ -56,7 +56,7 @@
 }
 
 // claimOnce commits the claim, and retries up to claimTimeout while the table
-// refuses it.
+// refuses it. If the result of a commit is unknown, it reads the row.
 func (b *Registry) claimOnce(ctx context.Context, key string, f *flight, value []byte) infra.CommitResult {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -106,7 +106,8 @@
 	return infra.CommitResult{Status: infra.CommitConflict, Conflicts: rows}
 }
 
-// markUndispatched records that the claim with the ID will never be dispatched.
+// markUndispatched records that the request of the claim with the ID did not run
+// and will not run under this claim.
 func (b *Registry) markUndispatched(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -160,8 +161,8 @@
 	return ok
 }
 
-// remove deletes the row of a claim that was never dispatched, if it still has
-// the version.
+// remove deletes the row of a claim whose request did not run, if the row still
+// has the version. It reports whether it did.
 func (b *Registry) remove(ctx context.Context, key string, version uint64) bool {
 	conditions := []infra.Condition{{Key: key, Version: version}}
 	res := b.opt.Committer.Commit(ctx, conditions, []infra.Write{{Key: key, Delete: true}})
--- a/booking/registry.go
+++ b/booking/registry.go
@@ -20,9 +20,9 @@
 	// flights holds this host's claims by row key, until their outcome is
 	// durable.
 	flights map[string]*flight
-	// undispatched holds the IDs of this process's claims that were abandoned
-	// before dispatch but whose row may exist, with the time at which they were
-	// abandoned.
+	// undispatched holds the IDs of this process's claims whose request did not
+	// run, because the claim was abandoned or the request ended as not run, but
+	// whose row may exist; with the time at which that was known.
 	undispatched map[string]time.Time
 	// background counts the requests that are running or whose outcome is being
 	// stored.
@@ -71,8 +71,8 @@
 	b.store(key, f)
 }
 
-// join returns the key's flight on this host, and whether the caller must claim
-// the key.
+// join returns the key's flight on this host. If there is none, it adds one and
+// returns true: the caller must then claim the key.
 func (b *Registry) join(key string, r Request) (*flight, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/booking/store.go
+++ b/booking/store.go
@@ -91,7 +91,8 @@
 	return r.encode()
 }
 
-// dropFlight removes the flight once its outcome is stored in the row.
+// dropFlight removes the flight once its outcome is stored in the row or its row
+// is deleted. The claim then needs no entry in undispatched.
 func (b *Registry) dropFlight(key string, f *flight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/booking/wait.go
+++ b/booking/wait.go
@@ -20,8 +20,8 @@
 // waitReply is the outcome of a claim, if it is known.
 type waitReply struct {
 	Known bool `msgpack:"y"`
-	// NeverRan is set if the claim was abandoned before dispatch. Its row may
-	// be removed.
+	// NeverRan is set if the claim's request did not run and will not run. The
+	// claim's row may be removed.
 	NeverRan bool         `msgpack:"n,omitempty"`
 	Kind     outcome.Kind `msgpack:"o"`
 	Reason   string       `msgpack:"r,omitempty"`
