--- a/eviction/monitor_test.go
+++ b/eviction/monitor_test.go
@@ -94,17 +94,17 @@
 
 func TestNoDecisionWithinLag(t *testing.T) {
 	h := newSimulatedHost(0.5, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1)
-	first := -1
+	last := -1
 	for at := range 30 {
 		if len(h.step(at, 0)) > 0 {
-			if first >= 0 && at-first < 10 {
-				t.Fatalf("decisions at %d s and %d s, want at least 10 s between them", first, at)
+			if last >= 0 && at-last < 10 {
+				t.Fatalf("decisions at %d s and %d s, want at least 10 s between them", last, at)
 			}
-			first = at
+			last = at
 		}
 	}
-	if first < 5 {
-		t.Fatalf("last decision at %d s, want one after the lag of 5 s", first)
+	if last < 5 {
+		t.Fatalf("last decision at %d s, want one after the lag of 5 s", last)
 	}
 }
 
--- a/quota/divide_test.go
+++ b/quota/divide_test.go
@@ -58,7 +58,7 @@
 // ownerModel simulates a shard's owner, which may report and apply results late
 // or not at all.
 type ownerModel struct {
-	holder VersionedBound
+	bound  VersionedBound
 	used   int64
 	demand int64
 }
@@ -68,7 +68,7 @@
 	if rng.IntN(3) == 0 {
 		o.used -= rng.Int64N(o.used + 1)
 	}
-	if free := o.holder.Held() - o.used; free > 0 {
+	if free := o.bound.Held() - o.used; free > 0 {
 		o.used += min(o.demand, free)
 	}
 }
@@ -99,13 +99,13 @@
 					continue
 				}
 				o := &owners[i]
-				latest[i] = Shard{Capacity: 3000, Used: o.used, Demand: o.demand, Held: o.holder.Report(number)}
+				latest[i] = Shard{Capacity: 3000, Used: o.used, Demand: o.demand, Held: o.bound.Report(number)}
 			}
 			results = append(results, snapshotResult{number, Divide(quota, latest)})
 			for range 2 * len(owners) {
 				i := rng.IntN(len(owners))
 				r := results[len(results)-1-rng.IntN(min(3, len(results)))]
-				owners[i].holder.Apply(r.number, r.bounds[i])
+				owners[i].bound.Apply(r.number, r.bounds[i])
 				owners[i].step(rng)
 				requireWithinQuota(t, seed, quota, owners)
 			}
@@ -117,7 +117,7 @@
 	t.Helper()
 	held := int64(0)
 	for i := range owners {
-		held += owners[i].holder.Held()
+		held += owners[i].bound.Held()
 	}
 	if held > quota {
 		t.Fatalf("seed %d: bounds add up to %d, quota is %d", seed, held, quota)
--- a/quota/division_test.go
+++ b/quota/division_test.go
@@ -16,6 +16,7 @@
 
 // modelShard is one shard with the state of its current owner.
 type modelShard struct {
+	// fence counts the changes of the shard's owner.
 	fence     int
 	allotment Allotment
 	used      int64
@@ -67,10 +68,11 @@
 	}
 }
 
-// round divides the quota once. It calls concurrent between reading the
-// division and committing the next one.
+// round divides the quota once and returns the new targets, given those of the
+// last round. It calls concurrent between reading the division and committing the
+// next one.
 func (m *model) round(targets map[string]Amount, concurrent func()) map[string]Amount {
-	version, row := m.version, m.division
+	version, before := m.version, m.division
 	reports, fences := map[string]Report{}, map[string]int{}
 	for i := range m.shards {
 		if m.rng.IntN(4) == 0 {
@@ -80,26 +82,27 @@
 		if !ok {
 			target = NewAmount(0, 0)
 		}
-		w := boundMessage{version, row.Bounds[m.name(i)], target}
+		w := boundMessage{version, before.Bounds[m.name(i)], target}
 		m.sent, m.sentTo = append(m.sent, w), append(m.sentTo, i)
 		reports[m.name(i)], fences[m.name(i)] = m.deliver(i, w), m.shards[i].fence
 	}
-	next, targets := row.Next(Amount{MilliCPU: modelQuota, MemoryMB: Unlimited}, reports)
+	next, targets := before.Next(Amount{MilliCPU: modelQuota, MemoryMB: Unlimited}, reports)
 	concurrent()
 	valid := m.version == version
-	for _, name := range row.Lowered(next) {
+	for _, name := range before.Lowered(next) {
 		for i := range m.shards {
 			valid = valid && (m.ignoreFences || m.name(i) != name || m.shards[i].fence == fences[name])
 		}
 	}
-	if valid && !next.Equal(row) {
+	if valid && !next.Equal(before) {
 		m.version++
 		m.division = next
 	}
 	return targets
 }
 
-// injectFaults changes owners, delivers old messages and lets shards work.
+// injectFaults changes owners, delivers old messages again, and changes usage
+// and demand of shards.
 func (m *model) injectFaults() {
 	for range len(m.shards) {
 		i := m.rng.IntN(len(m.shards))
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -58,6 +58,7 @@
 // perSecond is the rate at which slots become free and serviceTime the mean
 // time that one request takes; both follow the measured latency. A request that
 // cannot be served in time is refused immediately rather than at its deadline.
+// Admit also records whether the queue is long, to detect a standing queue.
 func (q *Queue) Admit(now time.Time, perSecond float64, serviceTime, remaining time.Duration) Admission {
 	if perSecond <= 0 {
 		return q.admitWithoutRate()
--- a/routing/backend.go
+++ b/routing/backend.go
@@ -45,8 +45,9 @@
 	return now.Before(b.ejectedUntil)
 }
 
-// limit returns the maximum number of slots in use during slow start, given the
-// number that the grant allows.
+// limit returns the maximum number of slots in use at now, given the number that
+// the grant allows: fewer during slow start. It ends the slow start once that has
+// lasted long enough.
 func (b *backend) limit(now time.Time, allowed int, slowStart time.Duration) int {
 	if b.slowStartAt.IsZero() || allowed == 0 {
 		return allowed
--- a/routing/choice_bench_test.go
+++ b/routing/choice_bench_test.go
@@ -48,7 +48,7 @@
 	names := []string{"bad", "a", "b", "c", "d", "e", "f", "g"}
 	var list []Endpoint
 	for _, n := range names {
-		list = append(list, ep(n, 8))
+		list = append(list, testEndpoint(n, 8))
 	}
 	p := newPool(list...)
 	snapshot := grants(ownership.Full, ownership.Full, t0, names...)
--- a/routing/choice_test.go
+++ b/routing/choice_test.go
@@ -15,7 +15,7 @@
 	names := []string{"bad", "a", "b", "c", "d", "e", "f", "g"}
 	var list []Endpoint
 	for _, n := range names {
-		list = append(list, ep(n, 8))
+		list = append(list, testEndpoint(n, 8))
 	}
 	p := newPool(list...)
 	p.cfg.MaxEjected = 0
--- a/routing/health.go
+++ b/routing/health.go
@@ -24,8 +24,8 @@
 	return true
 }
 
-// outlier reports whether b fails consecutively, or is much slower than the
-// other endpoints of g.
+// outlier reports whether the last EjectAfter requests to b have failed, or b is
+// much slower than the other endpoints of g.
 func (p *Pool) outlier(b *backend, g *group) bool {
 	if b.failures >= p.cfg.EjectAfter {
 		return true
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -22,7 +22,7 @@
 		{"one slow", map[string]time.Duration{"a": 20 * ms, "b": 1000 * ms, "c": 25 * ms}, "b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPool(ep("a", 4), ep("b", 4), ep("c", 4), ep("d", 4), ep("e", 4), ep("f", 4))
+			p := newPool(testEndpoint("a", 4), testEndpoint("b", 4), testEndpoint("c", 4), testEndpoint("d", 4), testEndpoint("e", 4), testEndpoint("f", 4))
 			ejected := ""
 			for range 2 * minSamples {
 				for _, name := range []string{"a", "b", "c"} {
--- a/routing/peers.go
+++ b/routing/peers.go
@@ -19,6 +19,7 @@
 	names []string
 }
 
+// digest holds the free slots by service that one peer last reported.
 type digest struct {
 	zone      string
 	free      map[string]int
--- a/routing/pool_test.go
+++ b/routing/pool_test.go
@@ -22,7 +22,7 @@
 	return snapshot
 }
 
-func ep(name string, slots int) Endpoint {
+func testEndpoint(name string, slots int) Endpoint {
 	return Endpoint{Name: name, Service: "s", Zone: "z", Shard: name, Slots: slots, Connections: 8 * slots}
 }
 
@@ -40,7 +40,7 @@
 		names := []string{"a", "b", "c"}
 		list := make([]Endpoint, 0, len(names))
 		for _, n := range names {
-			e := ep(n, rapid.IntRange(1, 9).Draw(t, "slots"))
+			e := testEndpoint(n, rapid.IntRange(1, 9).Draw(t, "slots"))
 			e.Connections = rapid.IntRange(2, 40).Draw(t, "connections")
 			list = append(list, e)
 		}
@@ -109,7 +109,7 @@
 // half stay within the capacity.
 func TestPausedOwnerStaysWithinCapacity(t *testing.T) {
 	for slots := 1; slots <= 9; slots++ {
-		old, next := newPool(ep("a", slots)), newPool(ep("a", slots))
+		old, next := newPool(testEndpoint("a", slots)), newPool(testEndpoint("a", slots))
 		full := grants(ownership.Full, ownership.Half, t0.Add(time.Second), "a")
 		half := grants(ownership.Half, ownership.Half, t0.Add(time.Hour), "a")
 		written, successor := 0, 0
@@ -129,7 +129,7 @@
 }
 
 func TestMayWriteChecksGrantAgain(t *testing.T) {
-	p := newPool(ep("a", 2))
+	p := newPool(testEndpoint("a", 2))
 	snapshot := grants(ownership.Full, ownership.None, t0.Add(time.Second), "a")
 	s := p.Acquire(t0, "s", snapshot, rng())
 	if !p.MayWrite(t0, s, snapshot) || p.MayWrite(t0.Add(time.Second), s, snapshot) {
@@ -138,8 +138,8 @@
 }
 
 func TestSlowStart(t *testing.T) {
-	p := newPool(ep("a", 8))
-	p.SetEndpoints(t0, []Endpoint{ep("a", 8), ep("b", 8)})
+	p := newPool(testEndpoint("a", 8))
+	p.SetEndpoints(t0, []Endpoint{testEndpoint("a", 8), testEndpoint("b", 8)})
 	snapshot := grants(ownership.Full, ownership.Full, t0, "a", "b")
 	b := p.byName["b"]
 	for _, c := range []struct {
@@ -158,7 +158,7 @@
 	names := []string{"a", "b", "c", "d", "e"}
 	var list []Endpoint
 	for _, n := range names {
-		list = append(list, ep(n, 2))
+		list = append(list, testEndpoint(n, 2))
 	}
 	p := newPool(list...)
 	snapshot := grants(ownership.Full, ownership.Full, t0, names...)
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -92,8 +92,8 @@
 	return q.pop(now, func(*Ticket) bool { return true })
 }
 
-// PopForward is like Pop, for tickets that fewer than limit peers have failed
-// to serve.
+// PopForward is like Pop, but skips tickets that were already forwarded to limit
+// peers without success.
 func (q *Queue) PopForward(now time.Time, limit int) *Ticket {
 	return q.pop(now, func(t *Ticket) bool { return t.FailedForwards < limit })
 }
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -20,15 +20,15 @@
 		var out strings.Builder
 		for line := range strings.Lines(d.Input) {
 			var name string
-			var now, giveUp int
+			var now, waitDeadline int
 			switch f := strings.Fields(line); f[0] {
 			case "push":
-				_, _ = fmt.Sscan(strings.Join(f[1:], " "), &name, &now, &giveUp)
+				_, _ = fmt.Sscan(strings.Join(f[1:], " "), &name, &now, &waitDeadline)
 				if q.Full() {
 					fmt.Fprintf(&out, "%s: full\n", name)
 					continue
 				}
-				tk := &Ticket{QueuedAt: at(now), WaitDeadline: at(giveUp)}
+				tk := &Ticket{QueuedAt: at(now), WaitDeadline: at(waitDeadline)}
 				names[tk], byName[name] = name, tk
 				q.Push(tk)
 			case "pop":
--- a/tenure/execute.go
+++ b/tenure/execute.go
@@ -156,7 +156,8 @@
 	d.cfg.Transport.Call(ctx, a.Host, methodOwned, ownedMessage{Owned: a.Updates}, nil)
 }
 
-// drain waits until nothing is in flight for a shard, without a time limit.
+// drain waits until nothing is in flight for a shard, without a time limit, and
+// then notifies the machine.
 func (d *Driver) drain(ctx context.Context, a ownership.Drain) {
 	for {
 		err := d.cfg.Drain(ctx, a.Shard)
