--- a/batch/workers_test.go
+++ b/batch/workers_test.go
@@ -23,7 +23,7 @@
 type fakeRun struct {
 	report infra.RunReport
 	seq    uint64
-	ends   time.Time
+	endsAt time.Time
 	at     int // index in history
 }
 
@@ -143,9 +143,9 @@
 		if r.report.State != infra.RunRunning {
 			continue
 		}
-		if !r.ends.IsZero() && !now.Before(r.ends) && !r.ends.After(w.leaseUntil) {
-			r.report.DoneMS = r.ends.Sub(f.history[r.at].from).Milliseconds()
-			f.end(w, r, infra.RunDone, r.ends)
+		if !r.endsAt.IsZero() && !now.Before(r.endsAt) && !r.endsAt.After(w.leaseUntil) {
+			r.report.DoneMS = r.endsAt.Sub(f.history[r.at].from).Milliseconds()
+			f.end(w, r, infra.RunDone, r.endsAt)
 		} else if now.After(w.leaseUntil.Add(w.slowStop)) {
 			f.end(w, r, infra.RunExpired, w.leaseUntil.Add(w.slowStop))
 		}
@@ -202,7 +202,7 @@
 	r.at = len(f.history)
 	f.history = append(f.history, runInterval{run: o.Run, worker: w.name, from: now, checkpoint: o.Checkpoint})
 	if o.WorkMS > 0 {
-		r.ends = now.Add(time.Duration(o.WorkMS) * time.Millisecond)
+		r.endsAt = now.Add(time.Duration(o.WorkMS) * time.Millisecond)
 	}
 	if w.killAll {
 		f.end(w, r, infra.RunKilled, now)
--- a/booking/flight.go
+++ b/booking/flight.go
@@ -16,8 +16,8 @@
 }
 
 // settle sets the outcome and wakes all waiting callers.
-func (f *flight) settle(a Response, r outcome.Refusal) {
-	f.response = a
-	f.refusal = r
+func (f *flight) settle(response Response, refusal outcome.Refusal) {
+	f.response = response
+	f.refusal = refusal
 	close(f.done)
 }
--- a/eviction/monitor.go
+++ b/eviction/monitor.go
@@ -25,7 +25,7 @@
 	// level is the smoothed logarithm of the worst ratio of latency to
 	// objective.
 	level         float64
-	lastSeen      time.Time
+	lastReport    time.Time
 	violatedSince time.Time
 	calmSince     time.Time
 	// throttledSince is when the first of the current throttles began; zero if
@@ -51,10 +51,10 @@
 // on the host.
 func (m *HostMonitor) Observe(now time.Time, ratio float64) {
 	log := math.Log(max(ratio, 0.01))
-	if m.lastSeen.IsZero() {
+	if m.lastReport.IsZero() {
 		m.level = log
 	}
-	m.lastSeen = now
+	m.lastReport = now
 	m.level += smoothing * (log - m.level)
 	violated := m.level > 0
 	calm := m.level < math.Log(calmBelow)
@@ -90,7 +90,7 @@
 // outdated reports, and evicts only if mayEvict is set.
 func (m *HostMonitor) Decide(now time.Time, candidates []Candidate, limit int, mayEvict bool) []Decision {
 	m.prune(candidates)
-	if now.Sub(m.lastSeen) > staleAfter*m.options.Lag {
+	if now.Sub(m.lastReport) > staleAfter*m.options.Lag {
 		return nil
 	}
 	if !m.lastDecision.IsZero() && now.Sub(m.lastDecision) < m.options.settleTime() {
--- a/ownership/machine.go
+++ b/ownership/machine.go
@@ -22,6 +22,7 @@
 	// absent holds the hosts that the list has dropped.
 	absent map[string]absence
 
+	// session is this host's own session; sessions holds those of other hosts.
 	session  sessionState
 	sessions map[string]*observedSession
 	shards   map[string]*shardState
--- a/placement/pending.go
+++ b/placement/pending.go
@@ -20,7 +20,8 @@
 	avoid       map[string]bool
 	// nominated is the node from which victims are being evicted for the job.
 	nominated *node
-	held      infra.Resources
+	// held is what is reserved for the job on the nominated node.
+	held infra.Resources
 	// nominatedUnixMS is when the nomination began, in Unix milliseconds.
 	nominatedUnixMS int64
 }
--- a/quota/divide.go
+++ b/quota/divide.go
@@ -43,7 +43,7 @@
 func isContended(quota, pool int64, shards []Shard) bool {
 	unmet := -pool
 	for _, s := range shards {
-		unmet += max(s.wanted()-s.Held, 0)
+		unmet += max(s.totalDemand()-s.Held, 0)
 	}
 	return unmet > quota/deadBand
 }
@@ -65,7 +65,7 @@
 func reduceBound(s Shard, target, quota, band int64, contended bool) int64 {
 	surplus := s.Held - target
 	switch {
-	case surplus <= band && (!contended || s.wanted() > 0):
+	case surplus <= band && (!contended || s.totalDemand() > 0):
 		surplus = 0
 	case !contended || surplus > quota/deadBand:
 		surplus = surplus / 2
@@ -102,7 +102,7 @@
 	for left > 0 {
 		open, least := int64(0), int64(0)
 		for i, s := range shards {
-			missing := s.wanted() - targets[i]
+			missing := s.totalDemand() - targets[i]
 			if missing <= 0 {
 				continue
 			}
@@ -119,7 +119,7 @@
 			return left
 		}
 		for i, s := range shards {
-			if s.wanted() > targets[i] {
+			if s.totalDemand() > targets[i] {
 				targets[i] += each
 				left -= each
 			}
--- a/quota/shard.go
+++ b/quota/shard.go
@@ -13,7 +13,8 @@
 	Held int64
 }
 
-// wanted returns the amount that the shard could use now.
-func (s Shard) wanted() int64 {
+// totalDemand returns the team's usage plus its pending demand, as far as the
+// shard's capacity allows; at least the usage.
+func (s Shard) totalDemand() int64 {
 	return max(s.Used, min(s.Used+s.Demand, s.Capacity))
 }
--- a/tenure/driver.go
+++ b/tenure/driver.go
@@ -19,7 +19,8 @@
 // input is an event for the machine; it runs in the control goroutine.
 type input func(now time.Time, m *ownership.Machine) []ownership.Action
 
-// Driver holds this host's shards. Its methods are safe for concurrent use.
+// Driver runs the ownership state machine of one entry host, which acquires,
+// holds and releases shards. Its methods are safe for concurrent use.
 type Driver struct {
 	cfg     Config
 	machine *ownership.Machine
@@ -54,7 +55,8 @@
 	return d
 }
 
-// Run holds shards until the context ends. It must be called exactly once.
+// Run acquires and holds shards until the context ends. It must be called exactly
+// once.
 func (d *Driver) Run(ctx context.Context) error {
 	defer close(d.stopped)
 	ctx, cancel := context.WithCancel(ctx)
