--- a/check/drain.go
+++ b/check/drain.go
@@ -26,7 +26,7 @@
 			if !ok {
 				continue
 			}
-			if _, cut := draining[request.Sent.Host][r.Answered.Call]; cut && r.Answered.Outcome == outcomeUnknown {
+			if _, atDrain := draining[request.Sent.Host][r.Answered.Call]; atDrain && r.Answered.Outcome == outcomeUnknown {
 				found = append(found, violation(GracefulStop,
 					fmt.Sprintf("call %s at %s was cut off by the planned stop of the host", r.Answered.Call, request.Sent.Host), request, r))
 			}
--- a/integration/all_paused_test.go
+++ b/integration/all_paused_test.go
@@ -38,16 +38,16 @@
 				tr := s.StartCallers(pauseTraffic)
 				tr.Await("requests before", 150, Any)
 				s.TableFaults(tc.fault)
-				from := len(tr.Ended())
+				first := len(tr.Ended())
 				for range 3 {
 					s.PauseAll(shortPause)
 					tr.Await("requests after a pause", 150, Any)
 				}
-				to := len(tr.Ended())
+				last := len(tr.Ended())
 				s.TableFaults(standin.Faults{})
 				finishPartition(t, s, tr)
 				return func() {
-					calls := CountOutcomes(tr.Answerable(tr.Ended()[from:to]), Call)
+					calls := CountOutcomes(tr.Answerable(tr.Ended()[first:last]), Call)
 					t.Log("calls:", calls)
 					if calls.Answered == 0 || calls.NotRun+calls.Unknown > 0 {
 						t.Errorf("calls with pauses, want all answered: %s", calls)
--- a/integration/balancer.go
+++ b/integration/balancer.go
@@ -41,11 +41,11 @@
 // hosts stays.
 func (b *balancer) poll(hosts []*Host) {
 	answers := make([]bool, len(hosts))
-	var asking sync.WaitGroup
+	var polls sync.WaitGroup
 	for i, h := range hosts {
-		asking.Go(func() { answers[i] = h.Ready() })
+		polls.Go(func() { answers[i] = h.Ready() })
 	}
-	asking.Wait()
+	polls.Wait()
 	var ready []string
 	for i, h := range hosts {
 		if answers[i] {
--- a/integration/batch_cancel_test.go
+++ b/integration/batch_cancel_test.go
@@ -78,10 +78,10 @@
 	var mu sync.Mutex
 	epochs := map[string]int64{}
 	var work sync.WaitGroup
-	const lanes = 4
-	for lane := range lanes {
+	const concurrency = 4
+	for offset := range concurrency {
 		work.Go(func() {
-			for i := lane; i < len(ids); i += lanes {
+			for i := offset; i < len(ids); i += concurrency {
 				if st := s.cancelOne(ids[i], i); st != nil {
 					mu.Lock()
 					epochs[st.ID] = st.Epoch
--- a/integration/endpoint_test.go
+++ b/integration/endpoint_test.go
@@ -26,7 +26,7 @@
 	resumesAtOnce bool
 }
 
-// moderateTraffic never occupies all of the 20 slots of the endpoints without a fault, so
+// moderateTraffic never occupies all 20 slots of the endpoints without a fault, so
 // no entry host has a reason to refuse a request. The timeout tolerates process
 // pauses of a second on a busy machine.
 var moderateTraffic = TrafficOptions{Rate: 300, Bookings: 0.2, Repeat: 0.3, InFlight: 12, Timeout: 10 * time.Second}
@@ -111,9 +111,9 @@
 			first := len(tr.Ended())
 			tr.Await("requests during the fault", 800, Any)
 			during := tr.Ended()[first:]
-			good := CountOutcomes(during, answeredWithoutServerError)
-			t.Logf("during the fault: %s; answered with status below 500: %d", CountOutcomes(during, Any), good.Answered)
-			if share := float64(good.Answered) / float64(len(during)); share < f.minAnsweredShare {
+			withoutError := CountOutcomes(during, answeredWithoutServerError)
+			t.Logf("during the fault: %s; answered with status below 500: %d", CountOutcomes(during, Any), withoutError.Answered)
+			if share := float64(withoutError.Answered) / float64(len(during)); share < f.minAnsweredShare {
 				t.Errorf("share answered %.4f during the fault, below the minimum for it", share)
 			}
 			f.end(s, victim)
--- a/integration/keep_files.go
+++ b/integration/keep_files.go
@@ -19,9 +19,9 @@
 		return
 	}
 	name := strings.ReplaceAll(s.t.Name(), "/", "-")
-	to := filepath.Join(*keepDir, fmt.Sprintf("%s-%d", name, os.Getpid()))
-	s.must(os.CopyFS(to, os.DirFS(s.dir)))
-	file, err := os.Create(filepath.Join(to, "history.jsonl"))
+	target := filepath.Join(*keepDir, fmt.Sprintf("%s-%d", name, os.Getpid()))
+	s.must(os.CopyFS(target, os.DirFS(s.dir)))
+	file, err := os.Create(filepath.Join(target, "history.jsonl"))
 	s.must(err)
 	defer file.Close()
 	recorder := check.NewRecorder(file)
--- a/integration/site.go
+++ b/integration/site.go
@@ -29,7 +29,7 @@
 
 var (
 	siteSlots = make(chan struct{}, maxSites)
-	// built holds the programs that TestMain built.
+	// built is set by TestMain.
 	built Programs
 )
 
--- a/integration/some_paused_test.go
+++ b/integration/some_paused_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestSomeHostsPaused pauses half of the entry hosts past their sessions. Once the
-// others own all endpoints, requests sent to these must not have an unknown
-// outcome, and the paused hosts must serve again after they resume.
+// others own all endpoints, requests sent to the others must not have an unknown
+// outcome. The paused hosts must serve again after they resume.
 func TestSomeHostsPaused(t *testing.T) {
 	t.Parallel()
 	s := New(t, Options{})
