--- a/check/config.go
+++ b/check/config.go
@@ -31,10 +31,10 @@
 		}
 		deadline := accepted.At.Add(limits.ConfigBound)
 		behind := hostsBehind(records[:i], accepted.ConfigAccepted.Version)
-		ended := true
+		endsBeforeDeadline := true
 		for _, r := range records[i:] {
 			if r.At.After(deadline) {
-				ended = false
+				endsBeforeDeadline = false
 				break
 			}
 			if c := r.ConfigInForce; c != nil && c.Version >= accepted.ConfigAccepted.Version {
@@ -44,7 +44,7 @@
 				delete(behind, r.ConfigHostEnded.Host)
 			}
 		}
-		if ended {
+		if endsBeforeDeadline {
 			continue
 		}
 		for host, last := range behind {
--- a/check/drain.go
+++ b/check/drain.go
@@ -26,7 +26,7 @@
 			if !ok {
 				continue
 			}
-			if _, cut := draining[request.Sent.Host][r.Answered.Call]; cut && r.Answered.Outcome == outcomeUnknown {
+			if _, wasInFlight := draining[request.Sent.Host][r.Answered.Call]; wasInFlight && r.Answered.Outcome == outcomeUnknown {
 				found = append(found, violation(GracefulStop,
 					fmt.Sprintf("call %s at %s was cut off by the planned stop of the host", r.Answered.Call, request.Sent.Host), request, r))
 			}
@@ -34,7 +34,7 @@
 	}
 	for _, calls := range draining {
 		for call, request := range calls {
-			if _, open := inFlight[call]; open {
+			if _, unended := inFlight[call]; unended {
 				found = append(found, violation(GracefulStop, fmt.Sprintf("call %s never ended", call), request))
 			}
 		}
--- a/check/record.go
+++ b/check/record.go
@@ -46,7 +46,7 @@
 	Call string `json:"call"`
 	// Outcome is the text of an outcome.Kind.
 	Outcome string `json:"outcome"`
-	// Echo is the digest of the request body, as echoed by the answer.
+	// EchoDigest is the digest of the request body, as echoed by the answer.
 	EchoDigest string `json:"echo,omitempty"`
 	// EchoCall is the call identifier, as echoed by the answer.
 	EchoCall string `json:"echo_call,omitempty"`
@@ -135,7 +135,7 @@
 }
 
 // ConfigHostEnded records that the process of an entry host ended. A later
-// ConfigApplied for the same host comes from a new process.
+// ConfigInForce for the same host comes from a new process.
 type ConfigHostEnded struct {
 	Host string `json:"host"`
 }
--- a/check/run.go
+++ b/check/run.go
@@ -31,8 +31,8 @@
 // Run checks records against all promises with DefaultLimits.
 func Run(records []Record) Report { return RunWithLimits(records, DefaultLimits()) }
 
-// RunWithLimits checks records against all promises, in order of their time.
-// The records need not be sorted.
+// RunWithLimits checks records against all promises. It sorts a copy of the
+// records by time first.
 func RunWithLimits(records []Record, limits Limits) Report {
 	records = slices.Clone(records)
 	slices.SortStableFunc(records, func(a, b Record) int {
--- a/cli/apply.go
+++ b/cli/apply.go
@@ -31,7 +31,7 @@
 }
 
 func (c *applyCommand) SetFlags(f *flag.FlagSet) {
-	c.flags(f, localOperators)
+	c.flags(f, localOperatorsURL)
 	f.Int64Var(&c.base, "base", anyBase, "`version` that the change is based on; by default the one in force")
 	f.BoolVar(&c.dryRun, "dry-run", false, "validate and compare only")
 	f.StringVar(&c.author, "author", currentUser(), "`name` recorded with the version")
--- a/cli/call.go
+++ b/cli/call.go
@@ -34,7 +34,7 @@
 }
 
 func (c *callCommand) SetFlags(f *flag.FlagSet) {
-	c.flags(f, localCallers)
+	c.flags(f, localCallersURL)
 	f.StringVar(&c.method, "method", http.MethodGet, "HTTP method")
 	f.StringVar(&c.data, "data", "", "body")
 	f.StringVar(&c.key, "key", "", "idempotency `key`")
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -73,11 +73,11 @@
 	c, own := commands()
 	script := bashCompletion(c)
 	for _, command := range own {
-		for _, flags := range flagsOf(command) {
+		for _, name := range flagsOf(command) {
 			_, line, _ := strings.Cut(script, "\t"+command.Name()+") words=")
 			line, _, _ = strings.Cut(line, "\n")
-			if !strings.Contains(line, flags) {
-				t.Errorf("%s: flag %s is missing from the completion: %s", command.Name(), flags, line)
+			if !strings.Contains(line, name) {
+				t.Errorf("%s: flag %s is missing from the completion: %s", command.Name(), name, line)
 			}
 		}
 	}
--- a/cli/diff.go
+++ b/cli/diff.go
@@ -24,7 +24,7 @@
 `
 }
 
-func (c *diffCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localOperators) }
+func (c *diffCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localOperatorsURL) }
 
 func (c *diffCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
--- a/cli/drain.go
+++ b/cli/drain.go
@@ -19,7 +19,7 @@
 `
 }
 
-func (c *drainCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localOperators) }
+func (c *drainCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localOperatorsURL) }
 
 func (c *drainCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	client, err := c.operations()
--- a/cli/events.go
+++ b/cli/events.go
@@ -26,7 +26,7 @@
 `
 }
 
-func (c *eventsCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localOperators) }
+func (c *eventsCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localOperatorsURL) }
 
 func (c *eventsCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	client, err := c.operations()
--- a/cli/job.go
+++ b/cli/job.go
@@ -32,7 +32,7 @@
 `
 }
 
-func (c *cancelCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localCallers) }
+func (c *cancelCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localCallersURL) }
 
 func (c *cancelCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
@@ -60,7 +60,7 @@
 `
 }
 
-func (c *explainCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localCallers) }
+func (c *explainCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localCallersURL) }
 
 func (c *explainCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
--- a/cli/load.go
+++ b/cli/load.go
@@ -31,7 +31,7 @@
 }
 
 func (c *loadCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.to, "to", localCallers, "base `URLs` of entry hosts, separated by commas")
+	f.StringVar(&c.to, "to", localCallersURL, "base `URLs` of entry hosts, separated by commas")
 	f.StringVar(&c.path, "path", "/", "path below the service")
 	f.Float64Var(&c.rate, "rate", 100, "requests per second")
 	f.Float64Var(&c.bookings, "bookings", 0, "share of requests that are bookings, 0 to 1")
--- a/cli/report.go
+++ b/cli/report.go
@@ -31,7 +31,7 @@
 }
 
 func (c *reportCommand) SetFlags(f *flag.FlagSet) {
-	c.flags(f, localOperators)
+	c.flags(f, localOperatorsURL)
 	f.StringVar(&c.html, "html", "", "`file` to write the report to as an HTML page")
 }
 
--- a/cli/rollback.go
+++ b/cli/rollback.go
@@ -25,7 +25,7 @@
 }
 
 func (c *rollbackCommand) SetFlags(f *flag.FlagSet) {
-	c.flags(f, localOperators)
+	c.flags(f, localOperatorsURL)
 	f.Int64Var(&c.version, "version", 0, "`version` whose content is applied")
 	f.StringVar(&c.author, "author", currentUser(), "`name` recorded with the version")
 }
--- a/cli/status.go
+++ b/cli/status.go
@@ -23,7 +23,7 @@
 `
 }
 
-func (c *statusCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localOperators) }
+func (c *statusCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localOperatorsURL) }
 
 func (c *statusCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	client, err := c.operations()
--- a/cli/submit.go
+++ b/cli/submit.go
@@ -32,7 +32,7 @@
 }
 
 func (c *submitCommand) SetFlags(f *flag.FlagSet) {
-	c.flags(f, localCallers)
+	c.flags(f, localCallersURL)
 	f.StringVar(&c.spec.Key, "key", "", "idempotency `key`; by default a new UUID")
 	f.StringVar(&c.spec.Team, "team", "", "`team` whose quota is charged")
 	f.StringVar(&c.spec.Class, "class", "", "job `class`")
--- a/cli/target.go
+++ b/cli/target.go
@@ -38,8 +38,8 @@
 
 // Base URLs of a local entry host with the settings of the example folders.
 const (
-	localCallers   = "http://127.0.0.1:7100"
-	localOperators = "http://127.0.0.1:7101"
+	localCallersURL   = "http://127.0.0.1:7100"
+	localOperatorsURL = "http://127.0.0.1:7101"
 )
 
 // client returns an HTTP client that sends the credential if -secret is set.
@@ -71,7 +71,7 @@
 func (t *target) parts() (scheme, host string, c *http.Client, err error) {
 	u, err := url.Parse(t.base)
 	if err != nil || u.Host == "" {
-		return "", "", nil, errors.Newf("-to %q: expected a URL such as %s", t.base, localOperators)
+		return "", "", nil, errors.Newf("-to %q: expected a URL such as %s", t.base, localOperatorsURL)
 	}
 	c, err = t.client()
 	return u.Scheme, u.Host, c, err
--- a/cli/versions.go
+++ b/cli/versions.go
@@ -21,7 +21,7 @@
 `
 }
 
-func (c *versionsCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localOperators) }
+func (c *versionsCommand) SetFlags(f *flag.FlagSet) { c.flags(f, localOperatorsURL) }
 
 func (c *versionsCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	client, err := c.configs()
--- a/configstore/result.go
+++ b/configstore/result.go
@@ -11,7 +11,7 @@
 	// Accepted: the change is the newest version; every host applies it within
 	// seconds.
 	Accepted
-	// Conflict: another change was accepted first; nothing was written.
+	// Conflict: another change was accepted first; this one was not made.
 	Conflict
 	// NotApplied: the store was unavailable or the request invalid; the change
 	// was not made.
--- a/configstore/store.go
+++ b/configstore/store.go
@@ -89,8 +89,9 @@
 	return decodeHead(rows[0])
 }
 
-// Apply makes the change the newest version if its base is the newest one. The
-// content must have been validated.
+// Apply makes the change the newest version if its base is the newest one, and
+// returns Conflict otherwise. It stores the content, which must have been
+// validated, before the version that refers to it.
 func (s *Store) Apply(ctx context.Context, c Change) Result {
 	head, rowVersion, err := s.head(ctx)
 	if err != nil {
--- a/configstore/watcher.go
+++ b/configstore/watcher.go
@@ -101,7 +101,7 @@
 }
 
 // Poll reads the newest version once and applies it if it is newer than the one
-// in force.
+// in force. It records whether the read failed for LastReadFailed.
 func (w *Watcher) Poll(ctx context.Context) {
 	head, err := w.store.Head(ctx)
 	w.readFailed.Store(err != nil)
@@ -118,7 +118,8 @@
 }
 
 // ApplyIfNewer puts an offered version into force if it is valid and newer than
-// the one in force. It reports whether it did.
+// the one in force, and calls all subscribers before it returns. It reports
+// whether the version was applied.
 func (w *Watcher) ApplyIfNewer(o Offer) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/demo/callers.go
+++ b/demo/callers.go
@@ -13,13 +13,13 @@
 const (
 	// baseRate is the number of requests per second. At the event's start the
 	// rate is burstFactor times as high for burstLength.
-	baseRate    = 250.0
-	burstFactor = 8
-	burstLength = time.Second
-	bookings    = 0.2
-	repeats     = 0.2
-	maxInFlight = 2048
-	callTimeout = time.Second
+	baseRate          = 250.0
+	burstFactor       = 8
+	burstLength       = time.Second
+	bookingShare      = 0.2
+	repeatProbability = 0.2
+	maxInFlight       = 2048
+	callTimeout       = time.Second
 )
 
 // callers sends the callers' traffic and records each request and its result.
@@ -35,8 +35,8 @@
 			return baseRate
 		},
 		Duration:          o.Duration,
-		BookingShare:      bookings,
-		RepeatProbability: repeats,
+		BookingShare:      bookingShare,
+		RepeatProbability: repeatProbability,
 		Timeout:           callTimeout,
 		MaxInFlight:       maxInFlight,
 		Seed:              o.Seed,
--- a/demo/host.go
+++ b/demo/host.go
@@ -81,7 +81,7 @@
 	}()
 }
 
-// drain stops the host and waits until its drain has ended.
+// drain stops the host, waits until its drain has ended and records both times.
 func (h *host) drain(recorder *check.Recorder) error {
 	recorder.Add(check.Record{DrainBegan: &check.DrainBegan{Host: h.name}})
 	h.stop()
--- a/demo/runcounts.go
+++ b/demo/runcounts.go
@@ -10,7 +10,8 @@
 // runCounts summarizes the workers' records of runs.
 type runCounts struct {
 	// done is the time at which each finished job ended.
-	done      map[string]time.Time
+	done map[string]time.Time
+	// evictions is the number of runs that were stopped with a checkpoint.
 	evictions int
 }
 
--- a/faultproxy/link.go
+++ b/faultproxy/link.go
@@ -46,8 +46,9 @@
 	copying.Wait()
 }
 
-// copy forwards bytes in one direction and closes the sending side of to at the
-// end of the stream.
+// copy forwards bytes in one direction, subject to the proxy's faults, and closes
+// the sending side of to at the end of the stream. It resets the link at
+// ResetAfter and if a write fails.
 func (l *link) copy(to, from net.Conn, toTarget bool) {
 	buffer := make([]byte, bufferSize)
 	var forwarded int64
--- a/gate/configspread_test.go
+++ b/gate/configspread_test.go
@@ -32,10 +32,10 @@
 			all = append(all, s)
 			go s.run(ctx)
 		}
-		reach := func(upTo int) {
-			for i, s := range all[:upTo] {
+		setMembers := func(count int) {
+			for i, s := range all[:count] {
 				var others []string
-				for j := range upTo {
+				for j := range count {
 					if j != i {
 						others = append(others, fmt.Sprint("h", j))
 					}
@@ -43,7 +43,7 @@
 				s.setHosts(others)
 			}
 		}
-		reach(hosts - 1) // the last host isn't a member yet
+		setMembers(hosts - 1) // the last host isn't a member yet
 		all[0].watcher.ApplyIfNewer(offerOf(2, "# second"))
 		go all[0].push(ctx)
 		<-time.After(4 * time.Second)
@@ -52,7 +52,7 @@
 				t.Errorf("host %d has version %d, want 2", i, s.version())
 			}
 		}
-		reach(hosts)
+		setMembers(hosts)
 		<-time.After(8 * time.Second)
 		if v := all[hosts-1].version(); v != 2 {
 			t.Errorf("the late host has version %d, want 2", v)
--- a/gate/configsync.go
+++ b/gate/configsync.go
@@ -70,7 +70,7 @@
 	s.versions = known
 }
 
-// peerVersions returns the version last reported by each peer.
+// peerVersions returns the highest version reported by each peer; 0 for none.
 func (s *configSync) peerVersions() map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// pickPeers returns up to n random peers whose last reported version is older
+// pickPeers returns up to n random peers whose highest reported version is older
 // than version.
 func (s *configSync) pickPeers(n int, version uint64) []string {
 	s.mu.Lock()
--- a/gate/harness_test.go
+++ b/gate/harness_test.go
@@ -22,8 +22,8 @@
 	})
 }
 
-// startGateAt is startGate with a changed configuration of the stand-ins. It
-// passes the result of Run to ended.
+// startGateAt is startGate with a changed configuration of the stand-ins. When the
+// test ends, it passes the result of Run to onReturn.
 func startGateAt(t *testing.T, configure func(*standin.Config), edit func(*settings.Settings), onReturn func(error)) (*Gate, *standin.Platform, Listeners) {
 	t.Helper()
 	c := standin.DefaultConfig()
--- a/gate/members.go
+++ b/gate/members.go
@@ -24,18 +24,19 @@
 	onList func(infra.MemberList)
 }
 
-// run polls until the context ends.
+// run polls until ctx ends. It logs once when reads have failed for longer than
+// membersStaleAfter.
 func (p *memberPoller) run(ctx context.Context) {
 	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
-	read, stale := p.now(), false
+	lastRead, stale := p.now(), false
 	for {
 		list, err := p.poll(ctx)
 		switch {
 		case err == nil:
-			read, stale = p.now(), false
+			lastRead, stale = p.now(), false
 			p.onList(list)
-		case !stale && p.now().Sub(read) > membersStaleAfter:
+		case !stale && p.now().Sub(lastRead) > membersStaleAfter:
 			stale = true
 			event.MembersStale.Log(p.log, slog.Any("error", err))
 		}
--- a/gate/membership.go
+++ b/gate/membership.go
@@ -29,9 +29,10 @@
 	return t.config == config && t.list.Revision == list.Revision && slices.Equal(t.list.Members, list.Members)
 }
 
-// applyMembers applies a membership list to all components. The poller calls
-// it. While the roster has unconfirmed removals it applies every reading,
-// because unchanged readings confirm them.
+// applyMembers applies a membership list to all components. The poller calls it
+// with each list that it reads. A list that is already applied is skipped, except
+// every reapplyInterval, and while the roster has unconfirmed removals: a removal
+// is confirmed by applying further lists that lack the member.
 func (g *Gate) applyMembers(list infra.MemberList) {
 	before := g.roster.Load()
 	version, _ := g.watcher.Version()
--- a/gate/run.go
+++ b/gate/run.go
@@ -69,6 +69,8 @@
 	return tls.NewListener(l, g.identity.ServerConfig(false))
 }
 
+// goServe runs a server in the background. If the server fails, it logs the error
+// and starts a drain.
 func (g *Gate) goServe(wg *sync.WaitGroup, f func() error) {
 	wg.Go(func() {
 		if err := f(); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
--- a/integration/all_paused_test.go
+++ b/integration/all_paused_test.go
@@ -45,7 +45,7 @@
 				}
 				to := len(tr.Ended())
 				s.TableFaults(standin.Faults{})
-				finishPartition(t, s, tr)
+				finishTraffic(t, s, tr)
 				return func() {
 					calls := CountOutcomes(tr.Answerable(tr.Ended()[from:to]), Call)
 					t.Log("calls:", calls)
@@ -84,7 +84,7 @@
 		}
 	}
 	s.TableFaults(standin.Faults{})
-	finishPartition(t, s, tr)
+	finishTraffic(t, s, tr)
 }
 
 // allSeeStoreDown reports whether every host reports the store as unavailable.
--- a/integration/api.go
+++ b/integration/api.go
@@ -40,10 +40,10 @@
 }
 
 // job calls an API method that returns the status of a job.
-func job(ask func(context.Context, any) (any, error), payload any) (*jobs.JobStatus, error) {
+func job(call func(context.Context, any) (any, error), payload any) (*jobs.JobStatus, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	res, err := ask(ctx, payload)
+	res, err := call(ctx, payload)
 	if err != nil {
 		return nil, err
 	}
--- a/integration/balancer.go
+++ b/integration/balancer.go
@@ -41,11 +41,11 @@
 // hosts stays.
 func (b *balancer) poll(hosts []*Host) {
 	answers := make([]bool, len(hosts))
-	var asking sync.WaitGroup
+	var probes sync.WaitGroup
 	for i, h := range hosts {
-		asking.Go(func() { answers[i] = h.Ready() })
+		probes.Go(func() { answers[i] = h.Ready() })
 	}
-	asking.Wait()
+	probes.Wait()
 	var ready []string
 	for i, h := range hosts {
 		if answers[i] {
--- a/integration/batch_cancel_test.go
+++ b/integration/batch_cancel_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestCancelRacesStart cancels more jobs than the workers have capacity for, in
-// random order, so that each cancel of a run lets another job start while that one
-// is being cancelled. A job that is cancelled at epoch 0 must never have run.
+// random order. Each cancelled run frees capacity for another job, whose start
+// races with its own cancel. A job cancelled at epoch 0 must never have run.
 func TestCancelRacesStart(t *testing.T) {
 	t.Parallel()
 	s := batchSite(t)
@@ -70,8 +70,8 @@
 	return ids
 }
 
-// cancelAll cancels jobs concurrently and returns the epoch at which each was
-// cancelled.
+// cancelAll shuffles ids, cancels the jobs concurrently and returns the epoch at
+// which each was cancelled.
 func (s *Site) cancelAll(ids []string, seed uint64) map[string]int64 {
 	rng := rand.New(rand.NewPCG(23, seed))
 	rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
@@ -95,7 +95,7 @@
 }
 
 // cancelOne retries the cancel of a job, at one host after another, until it is
-// confirmed.
+// confirmed. After ConditionTimeout it fails the test and returns nil.
 func (s *Site) cancelOne(id string, firstHost int) *jobs.JobStatus {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/integration/config_register_test.go
+++ b/integration/config_register_test.go
@@ -41,18 +41,18 @@
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, output any) []any {
-		at, in, out := state.(int64), input.(registerInput), output.(registerOutput)
+		current, in, out := state.(int64), input.(registerInput), output.(registerOutput)
 		switch {
-		case in.read && out.version == at, out.notRun, out.conflict && at > in.base:
-			return []any{at}
+		case in.read && out.version == current, out.notRun, out.conflict && current > in.base:
+			return []any{current}
 		case in.read, out.conflict:
 			return nil
-		case out.unknown && at == in.base:
-			return []any{at, at + 1}
+		case out.unknown && current == in.base:
+			return []any{current, current + 1}
 		case out.unknown:
-			return []any{at}
-		case at == in.base && out.version == at+1:
-			return []any{at + 1}
+			return []any{current}
+		case current == in.base && out.version == current+1:
+			return []any{current + 1}
 		default:
 			return nil
 		}
--- a/integration/control.go
+++ b/integration/control.go
@@ -67,10 +67,10 @@
 }
 
 // Peers returns the names of the other entry hosts.
-func (s *Site) Peers(of string) []string {
+func (s *Site) Peers(host string) []string {
 	var names []string
 	for _, h := range s.Hosts {
-		if h.Name != of {
+		if h.Name != host {
 			names = append(names, h.Name)
 		}
 	}
--- a/integration/host_test.go
+++ b/integration/host_test.go
@@ -21,9 +21,9 @@
 	before := tr.Ended()
 	s.WaitUntil("others own all endpoints", s.endpointsOwnedWithout(killedHost))
 	tr.Await("requests after", 400, Any)
-	killed := unknownAtOtherHosts(tr.Ended(), killedHost, killedAt)
-	if n := len(killed); n > 0 {
-		t.Errorf("%d requests at other hosts have an unknown outcome, want none, such as %+v", n, killed[0])
+	unknown := unknownAtOtherHosts(tr.Ended(), killedHost, killedAt)
+	if n := len(unknown); n > 0 {
+		t.Errorf("%d requests at other hosts have an unknown outcome, want none, such as %+v", n, unknown[0])
 	}
 	resendBookings(t, tr, before, s.Hosts[1:])
 	s.Restart(killedHost)
@@ -46,8 +46,8 @@
 	return found
 }
 
-// resendBookings resends bookings to hosts and compares the answers with the
-// first ones.
+// resendBookings resends bookings to hosts. A booking that was answered must be
+// answered with the same body when resent, or have an unknown outcome.
 func resendBookings(t *testing.T, tr *Traffic, exchanges []load.Exchange, hosts []*Host) {
 	t.Helper()
 	const maxResent = 60
--- a/integration/lifecycle.go
+++ b/integration/lifecycle.go
@@ -39,7 +39,7 @@
 }
 
 // Restart starts a new process for an entry host whose process has ended, and
-// waits until it is ready.
+// waits until it is ready. It fails the test if the old one logged a data race.
 func (s *Site) Restart(h *Host) {
 	s.t.Helper()
 	s.reportLog(h.Name, h.current())
--- a/integration/partition_test.go
+++ b/integration/partition_test.go
@@ -69,7 +69,7 @@
 	tr.Await("requests while disconnected from the peers", 1200, Any)
 	s.ReconnectPeers(h.Name)
 	s.EndpointFaults("dispatch-0", standin.EndpointFaults{})
-	finishPartition(t, s, tr)
+	finishTraffic(t, s, tr)
 }
 
 // TestCutOffFromBoth disconnects an entry host from the store and its peers, so
@@ -86,10 +86,12 @@
 	tr.Await("requests after the takeover", 800, Any)
 	s.ReconnectPeers(h.Name)
 	s.Reconnect(h.Name, Table, Objects, Members)
-	finishPartition(t, s, tr)
+	finishTraffic(t, s, tr)
 }
 
-func finishPartition(t *testing.T, s *Site, tr *Traffic) {
+// finishTraffic waits until all shards are held and requests are answered, stops
+// the traffic and checks the promises.
+func finishTraffic(t *testing.T, s *Site, tr *Traffic) {
 	t.Helper()
 	s.WaitShardsHeld()
 	tr.Await("requests after", 300, Answered)
--- a/integration/pauses.go
+++ b/integration/pauses.go
@@ -76,8 +76,8 @@
 }
 
 // Answerable returns the exchanges to which pauses of the machine left enough time
-// to be answered. It also omits the resent bookings of those that it omits, since
-// their outcome may be unknown.
+// to be answered. If it omits a booking, it omits the resent one as well, whose
+// outcome may be unknown. It logs the number of omitted requests.
 func (tr *Traffic) Answerable(exchanges []load.Exchange) []load.Exchange {
 	lost := map[string]bool{}
 	var out []load.Exchange
--- a/integration/repeat.go
+++ b/integration/repeat.go
@@ -7,7 +7,7 @@
 )
 
 // Resend sends the request of a booking again, with the same key and body, to the
-// given host.
+// given host. It records the exchange and adds it to Ended.
 func (tr *Traffic) Resend(x load.Exchange, to *Host) load.Exchange {
 	x.Retried = true
 	x.ID += "-repeat-" + to.Name
--- a/integration/site.go
+++ b/integration/site.go
@@ -167,7 +167,8 @@
 	return s.post(s.addresses.Control+"/entry-host", standin.EntryHostConfig{Name: h.Name, Peer: h.peer, Zone: h.settings.Host.Zone})
 }
 
-// close stops all processes and proxies.
+// close stops all processes and proxies, reports their logs and keeps the files of
+// a failed test if -keep is set.
 func (s *Site) close() {
 	defer func() { <-siteSlots }()
 	defer s.keepFiles()
--- a/integration/soak_test.go
+++ b/integration/soak_test.go
@@ -190,14 +190,14 @@
 // pickVictims returns random victims for two faults, without a member in common.
 func pickVictims(s *Site, rng *rand.Rand) (first, second victims) {
 	hosts, endpoints, workers := rng.Perm(len(s.Hosts)), rng.Perm(6), rng.Perm(4)
-	of := func(i int) victims {
+	victimsAt := func(i int) victims {
 		return victims{
 			host:     s.Hosts[hosts[i]],
 			endpoint: fmt.Sprintf("%s-%d", Service, endpoints[i]),
 			worker:   fmt.Sprintf("worker-%d", workers[i]),
 		}
 	}
-	return of(0), of(1)
+	return victimsAt(0), victimsAt(1)
 }
 
 // submitJobs submits a few random jobs and ignores errors.
--- a/integration/some_paused_test.go
+++ b/integration/some_paused_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestSomeHostsPaused pauses half of the entry hosts past their sessions. Once the
-// others own all endpoints, requests sent to these must not have an unknown
+// others own all endpoints, no request to the running hosts may have an unknown
 // outcome, and the paused hosts must serve again after they resume.
 func TestSomeHostsPaused(t *testing.T) {
 	t.Parallel()
--- a/load/exchange.go
+++ b/load/exchange.go
@@ -23,8 +23,9 @@
 	Status          int
 	// Reason is the problem's name or the transport's error.
 	Reason string
+	// Header and Answer are the header and body of the response.
 	Header http.Header
 	Answer []byte
-	// Retried is set for a booking that is sent a second time.
+	// Retried is set if this is the second sending of a booking.
 	Retried bool
 }
--- a/ownership/shardstate.go
+++ b/ownership/shardstate.go
@@ -68,7 +68,8 @@
 	promised map[string]time.Time
 }
 
-// claim is a claim of a shard that may take effect.
+// claim is an attempt to become a shard's owner that was sent and may still take
+// effect.
 type claim struct {
 	sentAt time.Time
 	// uncertain is set once the result of an attempt was lost.
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -80,18 +80,18 @@
 // replaceJob releases one job, decides on another and returns the time that
 // the decision takes.
 func (f *fleet) replaceJob(decide func(task.Spec) bool) time.Duration {
-	at := f.rng.IntN(len(f.ids))
-	f.s.Release(f.now, f.ids[at], false)
+	index := f.rng.IntN(len(f.ids))
+	f.s.Release(f.now, f.ids[index], false)
 	spec := f.spec()
 	begin := time.Now()
 	placed := decide(spec)
 	took := time.Since(begin)
 	if placed {
-		f.ids[at] = spec.ID
+		f.ids[index] = spec.ID
 		return took
 	}
 	f.s.Withdraw(spec.ID)
-	f.ids[at] = f.ids[len(f.ids)-1]
+	f.ids[index] = f.ids[len(f.ids)-1]
 	f.ids = f.ids[:len(f.ids)-1]
 	return took
 }
--- a/placement/feasible.go
+++ b/placement/feasible.go
@@ -47,7 +47,9 @@
 	return plainFirst
 }
 
-// sample examines up to twice maxExamined nodes of a grid.
+// sample adds up to targetCandidates feasible nodes of a grid to the candidates.
+// It makes two walks of at most maxExamined nodes each: one in the job's order of
+// preference, for half of the candidates, and one that begins at a random row.
 func (s *Scheduler) sample(q *request, g *grid) {
 	w := newWalk(q, g)
 	if w.cpu >= levels {
--- a/placement/score_spread.go
+++ b/placement/score_spread.go
@@ -40,17 +40,18 @@
 	return float64(count) / float64(count+half)
 }
 
-// count adds by to the counts of a run's failure domains.
-func (d *spread) count(class string, h Host, by int) {
-	d.add(spreadKey{class: class}, by)
-	d.add(spreadKey{class: class, zone: h.Zone}, by)
+// count adds delta to the number of runs of the class in total, in the host's
+// zone and, if the host has one, in its rack.
+func (d *spread) count(class string, h Host, delta int) {
+	d.add(spreadKey{class: class}, delta)
+	d.add(spreadKey{class: class, zone: h.Zone}, delta)
 	if h.Rack != "" {
-		d.add(spreadKey{class: class, zone: h.Zone, rack: h.Rack}, by)
+		d.add(spreadKey{class: class, zone: h.Zone, rack: h.Rack}, delta)
 	}
 }
 
-func (d *spread) add(key spreadKey, by int) {
-	d.runs[key] += by
+func (d *spread) add(key spreadKey, delta int) {
+	d.runs[key] += delta
 	if d.runs[key] == 0 {
 		delete(d.runs, key)
 	}
--- a/settings/batch.go
+++ b/settings/batch.go
@@ -2,12 +2,11 @@
 
 // Batch configures placement, polling of workers, quarantine and the journal.
 type Batch struct {
-	// Exchange is how often a worker is asked when nothing is urgent.
+	// Exchange is how often a worker is polled when nothing is urgent.
 	Exchange Duration `toml:"exchange"`
-	// CommitDelay is the shortest time between two commits that carry urgent
-	// entries or as many rows as a commit takes. Other entries wait until
-	// 100 to 250 ms have passed since the last commit, the longer the more
-	// time the table takes.
+	// CommitDelay is the minimum time between two commits. It applies if
+	// urgent entries or enough rows for a full commit are waiting. Other
+	// entries wait at least 100 ms, and up to 250 ms if the table is slow.
 	CommitDelay Duration `toml:"commit_delay"`
 	// CommitRows is the largest number of rows in one commit.
 	CommitRows int `toml:"commit_rows"`
--- a/settings/clone_test.go
+++ b/settings/clone_test.go
@@ -18,14 +18,14 @@
 	if !reflect.DeepEqual(s, c) {
 		t.Errorf("clone differs: %+v, want %+v", c, s)
 	}
-	held := map[uintptr]string{}
-	references(reflect.ValueOf(s), "settings", func(at uintptr, path string) { held[at] = path })
-	if len(held) == 0 {
+	originals := map[uintptr]string{}
+	references(reflect.ValueOf(s), "settings", func(at uintptr, path string) { originals[at] = path })
+	if len(originals) == 0 {
 		t.Fatal("no maps or slices found in the settings")
 	}
 	references(reflect.ValueOf(c), "clone", func(at uintptr, path string) {
-		if of, shared := held[at]; shared {
-			t.Errorf("%s is shared with %s", path, of)
+		if original, shared := originals[at]; shared {
+			t.Errorf("%s is shared with %s", path, original)
 		}
 	})
 }
--- a/settings/host.go
+++ b/settings/host.go
@@ -13,8 +13,8 @@
 	Operators string `toml:"operators"`
 	// Peer is the IP:port for other entry hosts.
 	Peer string `toml:"peer"`
-	// Secret is the file that holds the operators' credential; empty allows
-	// a loopback operators' port only.
+	// Secret is the file that holds the operators' credential. If empty,
+	// requests need none, and the operators' port must be on loopback.
 	Secret string `toml:"secret"`
 	// DrainDelay is how long a draining host goes on taking requests, until
 	// the balancer has noticed that it is not ready.
--- a/settings/lease.go
+++ b/settings/lease.go
@@ -12,13 +12,13 @@
 	// ClockRate is the largest relative difference between two hosts' clock
 	// rates, such as 0.01.
 	ClockRate float64 `toml:"clock_rate"`
-	// MaxRun is the longest that an endpoint works on a request, also on one
-	// whose caller is gone.
+	// MaxRun is the maximum time that an endpoint works on a request, even
+	// after the caller has disconnected.
 	MaxRun Duration `toml:"max_run"`
-	// TaskLease is how long a run goes on without word from its owner.
+	// TaskLease is how long a run continues after its owner's last renewal.
 	TaskLease Duration `toml:"task_lease"`
-	// Successors is how many hosts may succeed an owner without the
-	// membership list's word.
+	// Successors is how many hosts may take over a shard while its owner is
+	// still in the membership list.
 	Successors int `toml:"successors"`
 	// EndpointShards is into how many shards the endpoints of a service are
 	// divided.
--- a/settings/load.go
+++ b/settings/load.go
@@ -75,8 +75,8 @@
 	return result, nil
 }
 
-// merge merges the files and returns the position at which each key was last
-// set.
+// merge merges the files into one tree. It also returns the position at which
+// each key was last set, and the syntax errors of the files, which it skips.
 func merge(files []File) (map[string]any, map[string]position, Problems) {
 	tree := map[string]any{}
 	where := map[string]position{}
--- a/settings/service.go
+++ b/settings/service.go
@@ -2,11 +2,11 @@
 
 // Service is an interactive service.
 type Service struct {
-	// Slots and Connections are the sizes of an endpoint whose member entry
-	// gives none.
+	// Slots and Connections are the maximum numbers of concurrent requests
+	// and connections of an endpoint whose member entry gives none.
 	Slots       int `toml:"slots"`
 	Connections int `toml:"connections"`
-	// IdempotentMethods are the HTTP methods that may be retried after a
-	// byte was sent.
+	// IdempotentMethods are the HTTP methods of requests that may safely run
+	// more than once; GET and HEAD if not set.
 	IdempotentMethods []string `toml:"idempotent_methods"`
 }
