--- a/check/drain.go
+++ b/check/drain.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// checkDrain finds calls in flight at a host when its planned stop began whose
-// outcome is unknown or that never ended.
+// checkDrain checks the calls that were in flight at a host when its planned stop
+// began: each must end, with a known outcome.
 func checkDrain(records []Record, _ Limits) []Violation {
 	var found []Violation
 	inFlight := map[string]Record{}
--- a/configstore/store.go
+++ b/configstore/store.go
@@ -159,8 +159,9 @@
 	}
 }
 
-// resolve determines whether an attempt whose reply was lost took effect by
-// reading back its id. It doesn't repeat the write.
+// resolve determines whether an attempt whose reply was lost took effect: it reads
+// the version and compares its attempt ID. It returns Unknown if no read shows the
+// version, and never repeats the write.
 func (s *Store) resolve(ctx context.Context, next Head, c Change) Result {
 	for range resolveReads {
 		found, err := s.Version(ctx, next.Version)
@@ -177,7 +178,8 @@
 	return Result{Status: Unknown, Head: next, Err: errors.Newf("commit configuration: no reply for attempt %s", next.AttemptID)}
 }
 
-// conflict returns the result of a change that lost against winner.
+// conflict returns the result of a change that lost against winner. It has no
+// ChangedKeys if the content of winner can't be read.
 func (s *Store) conflict(ctx context.Context, winner Head, c Change) Result {
 	r := Result{Status: Conflict, Head: winner}
 	if content, err := s.Content(ctx, winner); err == nil {
--- a/faultproxy/proxy.go
+++ b/faultproxy/proxy.go
@@ -15,8 +15,9 @@
 	once       sync.Once
 	goroutines sync.WaitGroup
 
-	mu         sync.Mutex
-	faults     Faults
+	mu     sync.Mutex // guards the fields below
+	faults Faults
+	// changed is closed, and replaced, when the faults change.
 	changed    chan struct{}
 	links      map[*link]struct{}
 	heldChunks int
--- a/gate/janitor.go
+++ b/gate/janitor.go
@@ -127,7 +127,8 @@
 	}
 }
 
-// observe returns since when a row has been unchanged.
+// observe returns a row's version and when it was first seen. seen holds the
+// observations of the last sweep.
 func (j *janitor) observe(seen map[string]observation, row infra.Row) observation {
 	if s, ok := seen[row.Key]; ok && s.version == row.Version {
 		return s
--- a/settings/lease.go
+++ b/settings/lease.go
@@ -5,7 +5,7 @@
 // Session, Renew and MaxRun may differ between hosts during a rolling restart;
 // the others must be equal on all hosts.
 type Lease struct {
-	// Session is how long an entry host's session lives without renewal.
+	// Session is how long an entry host's session is valid after a renewal.
 	Session Duration `toml:"session"`
 	// Renew is how often the session is renewed.
 	Renew Duration `toml:"renew"`
