--- a/integration/mutations_batch.go
+++ b/integration/mutations_batch.go
@@ -35,7 +35,7 @@
 	{
 		Name: "quarantine",
 		File: "batch/health.go",
-		Old:  "if !probed && (len(h.failed) < limit || !h.until.IsZero()) {", New: "if true {",
+		Old:  "if !probed && (len(h.failed) < limit || !h.quarantinedUntil.IsZero()) {", New: "if true {",
 		Test: "^TestWorkerFailsAllStarts$", ExpectedOutput: "starts at a worker that fails all",
 	},
 	{
