--- a/settings/colocation.go
+++ b/settings/colocation.go
@@ -7,8 +7,8 @@
 	// ThrottlePercent is the share of its processors that a throttled task
 	// keeps, 1 to 100.
 	ThrottlePercent int `toml:"throttle_percent"`
-	// EvictAfter is how long a task must have been throttled without
-	// sufficient effect before it may be evicted; longer than UsageLag.
+	// EvictAfter is how long throttling on a host must have been insufficient
+	// before a task may be evicted from it; longer than UsageLag.
 	EvictAfter Duration `toml:"evict_after"`
 	// MaxEvictionsPerMinute bounds evictions in one shard.
 	MaxEvictionsPerMinute int `toml:"max_evictions_per_minute"`
