--- a/check/drain.go
+++ b/check/drain.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// checkDrain finds calls in flight at a host when its planned stop began whose
-// outcome is unknown or that never ended.
+// checkDrain checks the calls that were in flight at a host when its planned stop
+// began: each must end, with a known outcome.
 func checkDrain(records []Record, _ Limits) []Violation {
 	var found []Violation
 	inFlight := map[string]Record{}
@@ -26,7 +26,7 @@
 			if !ok {
 				continue
 			}
-			if _, atDrain := draining[request.Sent.Host][r.Answered.Call]; atDrain && r.Answered.Outcome == outcomeUnknown {
+			if _, wasInFlight := draining[request.Sent.Host][r.Answered.Call]; wasInFlight && r.Answered.Outcome == outcomeUnknown {
 				found = append(found, violation(GracefulStop,
 					fmt.Sprintf("call %s at %s was cut off by the planned stop of the host", r.Answered.Call, request.Sent.Host), request, r))
 			}
@@ -34,7 +34,7 @@
 	}
 	for _, calls := range draining {
 		for call, request := range calls {
-			if _, open := inFlight[call]; open {
+			if _, unended := inFlight[call]; unended {
 				found = append(found, violation(GracefulStop, fmt.Sprintf("call %s never ended", call), request))
 			}
 		}
