--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -48,7 +48,7 @@
 }
 
 // requeue returns a request to its position in the queue after its forward to
-// a peer failed.
+// a peer failed, counts the failure, and waits for another placement.
 func (g *Gateway) requeue(ctx context.Context, req Request, t *routing.Ticket) (placement, outcome.Refusal) {
 	g.mu.Lock()
 	t.FailedForwards++
@@ -62,8 +62,9 @@
 // allPeers in the list of tried peers excludes all peers.
 const allPeers = "*"
 
-// admit finds a placement for the request, or refuses it. Peers in asked are
-// not chosen again.
+// admit finds a placement for the request, or refuses it. If no slot or peer is
+// free, it waits in the service's queue, up to the ticket's wait deadline. Peers
+// in asked are not chosen again before that wait.
 func (g *Gateway) admit(ctx context.Context, req Request, asked []string) (placement, outcome.Refusal) {
 	now := time.Now()
 	if !now.Before(req.Deadline) {
@@ -152,7 +153,8 @@
 	return defaultRetryAfter + time.Duration(q.Len())*time.Millisecond
 }
 
-// serveQueues assigns free slots to waiting requests. g.mu must be held.
+// serveQueues assigns free slots of this host, and then those of peers, to the
+// waiting requests of all services. g.mu must be held.
 func (g *Gateway) serveQueues() {
 	now := time.Now()
 	for service := range g.queues {
@@ -196,8 +198,8 @@
 	}
 }
 
-// releaseSlot frees a slot and assigns it to a waiting request. g.mu must be
-// held.
+// releaseSlot frees a slot, assigns it to a waiting request and wakes calls of
+// Drain and Stop. g.mu must be held.
 func (g *Gateway) releaseSlot(s *routing.Slot) {
 	g.pool.Release(s)
 	g.serveQueue(time.Now(), s.Endpoint().Service)
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -8,7 +8,8 @@
 )
 
 // deliverResponse passes an endpoint's response to the caller: complete if it
-// is smaller than maxBufferedResponse, as a stream otherwise.
+// is smaller than maxBufferedResponse, as a stream otherwise. If the response
+// can't be passed on, the caller gets an unknown outcome.
 func (x *exchange) deliverResponse(resp *http.Response) {
 	body := &endpointBody{x: x, resp: resp}
 	if reason := x.responseProblem(resp); reason != "" {
@@ -79,7 +80,8 @@
 	return n, err
 }
 
-// Close implements io.Closer. It reads the rest of the body in the background.
+// Close implements io.Closer. It reads the rest of the body in the background,
+// at whose end the slot is freed.
 func (b *endpointBody) Close() error {
 	b.head = nil
 	if !b.ended {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -28,7 +28,8 @@
 	sent      bool          // a byte was written, or may have been
 }
 
-// startWrite returns an error unless c may write bytes of the request.
+// startWrite returns an error unless c may write bytes of the request. The first
+// time it calls permit and, if that returns true, marks the request as sent.
 func (a *attempt) startWrite(c *endpointConn) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -92,16 +92,16 @@
 	ownURL, otherURL := startServer(b, owner.Gateway)+path, startServer(b, other.Gateway)+path
 	b.ResetTimer()
 	direct := latencies(b, callerCount, fetch("http://"+e.Address+"/"))
-	here := latencies(b, callerCount, fetch(ownURL))
-	hop := latencies(b, callerCount, fetch(otherURL))
+	local := latencies(b, callerCount, fetch(ownURL))
+	forwarded := latencies(b, callerCount, fetch(otherURL))
 	for _, q := range []struct {
 		name string
 		at   float64
 	}{{"p50", 50}, {"p99", 99}} {
 		base := direct.ValueAtQuantile(q.at)
 		b.ReportMetric(float64(base), "direct-"+q.name+"-us")
-		b.ReportMetric(float64(here.ValueAtQuantile(q.at)-base), "added-"+q.name+"-us")
-		b.ReportMetric(float64(hop.ValueAtQuantile(q.at)-base), "added-forward-"+q.name+"-us")
+		b.ReportMetric(float64(local.ValueAtQuantile(q.at)-base), "added-"+q.name+"-us")
+		b.ReportMetric(float64(forwarded.ValueAtQuantile(q.at)-base), "added-forward-"+q.name+"-us")
 	}
 }
 
@@ -171,14 +171,14 @@
 func overload(b *testing.B, load float64) {
 	b.Helper()
 	const slots, work, capacity, seconds = 8, 10 * time.Millisecond, 1600.0, 3.0
-	var over atomic.Int64
+	var overrun atomic.Int64
 	h := newHost(b, nil, "a", nil)
 	var list []routing.Endpoint
 	for _, name := range []string{"e1", "e2"} {
 		var running atomic.Int64
 		list = append(list, endpoint(b, name, slots, func(w http.ResponseWriter, r *http.Request) {
 			if running.Add(1) > slots {
-				over.Add(1)
+				overrun.Add(1)
 			}
 			serve(work)(w, r)
 			running.Add(-1)
@@ -218,5 +218,5 @@
 	b.ReportMetric(float64(refused.TotalCount())/float64(total), "refused/request")
 	b.ReportMetric(float64(refused.ValueAtQuantile(99))/1000, "refusal-p99-ms")
 	b.ReportMetric(float64(failed), "late-or-unknown")
-	b.ReportMetric(float64(over.Load()), "overrun")
+	b.ReportMetric(float64(overrun.Load()), "overrun")
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -28,7 +28,8 @@
 	return resp, refusal
 }
 
-// beginRequest registers a request, or returns the reason to refuse it.
+// beginRequest counts a request as active and adds it to the retry budget, or
+// returns the refusal.
 func (g *Gateway) beginRequest(service string) (outcome.Refusal, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/capacity_test.go
+++ b/gateway/capacity_test.go
@@ -17,7 +17,7 @@
 // two hosts that own one endpoint each.
 func TestCapacityIsNeverExceeded(t *testing.T) {
 	const slots, requests = 3, 300
-	var over atomic.Int64
+	var exceeded atomic.Int64
 	n := peernet.New()
 	a, b := newHost(t, n, "a", nil), newHost(t, n, "b", nil)
 	var list []routing.Endpoint
@@ -25,7 +25,7 @@
 		var running atomic.Int64
 		list = append(list, endpoint(t, name, slots, func(http.ResponseWriter, *http.Request) {
 			if running.Add(1) > slots {
-				over.Add(1)
+				exceeded.Add(1)
 			}
 			<-time.After(time.Millisecond)
 			running.Add(-1)
@@ -49,8 +49,8 @@
 		})
 	}
 	all.Wait()
-	if over.Load() > 0 || answered.Load() != requests {
-		t.Errorf("capacity exceeded %d times, %d of %d requests answered", over.Load(), answered.Load(), requests)
+	if exceeded.Load() > 0 || answered.Load() != requests {
+		t.Errorf("capacity exceeded %d times, %d of %d requests answered", exceeded.Load(), answered.Load(), requests)
 	}
 }
 
--- a/gateway/digestsender.go
+++ b/gateway/digestsender.go
@@ -54,7 +54,8 @@
 	return names
 }
 
-// nextDigest returns the digest that is due for a peer, or nil.
+// nextDigest returns the digest that is due for a peer and records it as sent
+// and pending. It returns nil if a digest is in flight or nothing has changed.
 func (s *digestSender) nextDigest(now time.Time, host, zone string, free map[string]int) *slotDigest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,20 +124,20 @@
 
 // recordResult records whether a peer accepted its digest. After a failure the
 // next digest is complete.
-func (s *digestSender) recordResult(host string, taken bool) digestTransition {
+func (s *digestSender) recordResult(host string, accepted bool) digestTransition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.peer(host)
 	p.pending = false
-	was := p.failing
-	p.failing = !taken
-	if !taken {
+	wasFailing := p.failing
+	p.failing = !accepted
+	if !accepted {
 		p.completeSentAt = time.Time{}
 	}
 	switch {
-	case !taken && !was:
+	case !accepted && !wasFailing:
 		return digestsFailing
-	case taken && was:
+	case accepted && wasFailing:
 		return digestsRecovered
 	default:
 		return digestsUnchanged
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -66,8 +66,8 @@
 	return x.wait(ctx)
 }
 
-// permit reports whether the request may still be written. It is called just
-// before the first byte.
+// permit reports whether the request may still be written, and records the time
+// as sentAt. It is called just before the first byte.
 func (x *exchange) permit() bool {
 	now := time.Now()
 	if !now.Before(x.req.Deadline) {
@@ -79,7 +79,9 @@
 	return x.g.pool.MayWrite(now, x.slot, x.g.opt.Ownership.Snapshot())
 }
 
-// wait returns the result, or a refusal at the deadline or when ctx ends.
+// wait returns the result, or a refusal after maxWait or when ctx ends. It then
+// cancels the request if no byte was sent; otherwise the outcome is unknown and
+// a later response is discarded.
 func (x *exchange) wait(ctx context.Context) (*Response, outcome.Refusal) {
 	limit := time.NewTimer(x.maxWait())
 	defer limit.Stop()
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -39,11 +39,12 @@
 	return nil
 }
 
-// waitUntil waits until holds, which is called with g.mu held, returns true.
-func (g *Gateway) waitUntil(ctx context.Context, holds func() bool) error {
+// waitUntil waits until condition returns true or ctx ends. The condition is
+// called with g.mu held, again after each change of the state.
+func (g *Gateway) waitUntil(ctx context.Context, condition func() bool) error {
 	for {
 		g.mu.Lock()
-		ok, changed := holds(), g.stateChanged
+		ok, changed := condition(), g.stateChanged
 		g.mu.Unlock()
 		if ok {
 			return nil
--- a/gateway/exchangeend.go
+++ b/gateway/exchangeend.go
@@ -70,15 +70,16 @@
 	}
 }
 
-// releaseSlot frees the slot once the endpoint is done.
+// releaseSlot frees the slot. The endpoint must no longer work on the request.
 func (x *exchange) releaseSlot() {
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
 	x.g.releaseSlot(x.slot)
 }
 
-// releaseSlotAfterMaxRun frees the slot once MaxRun has passed. The endpoint
-// may continue to run the request after its connection breaks.
+// releaseSlotAfterMaxRun ends the request's write window at once, and frees the
+// slot when MaxRun has passed since the request was sent: the endpoint may
+// continue to run it after its connection breaks.
 func (x *exchange) releaseSlotAfterMaxRun() {
 	x.g.mu.Lock()
 	x.g.pool.WriteDone(x.slot)
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -73,8 +73,9 @@
 	return wholeResponse(reply.Status, reply.Header, reply.Body), refusal
 }
 
-// forwardRefusal returns the refusal that a peer's result stands for, and
-// updates the state of the peer.
+// forwardRefusal converts a peer's result to a refusal. It updates the peer's
+// free slots and assigns them to waiting requests, or removes the peer if it
+// can't be reached.
 func (g *Gateway) forwardRefusal(host, service string, begin time.Time, res peer.Result, reply callReply) outcome.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/httpcall.go
+++ b/gateway/httpcall.go
@@ -23,7 +23,8 @@
 
 type httpCallKey struct{}
 
-// readBody reads the complete body, limited in time and size.
+// readBody reads the complete body, limited in time and size. It sets refusal to
+// NotRun, which applies if reading fails.
 func (c *httpCall) readBody(body io.Reader, limit int64) ([]byte, error) {
 	c.refusal = outcome.Refusal{Kind: outcome.NotRun}
 	if c.request.ContentLength > limit {
--- a/gateway/unserved.go
+++ b/gateway/unserved.go
@@ -14,7 +14,7 @@
 	// are refused. It exceeds the time that hosts need after a process pause
 	// to hear from the table and from each other.
 	unservedDelay = 500 * time.Millisecond
-	// unservedRetryAfter is the retry time given to callers of such services.
+	// unservedRetryAfter is the retry time given to callers of these services.
 	unservedRetryAfter = time.Second
 )
 
@@ -81,5 +81,6 @@
 	}
 }
 
-// unservedRefusal is the refusal for callers of such a service.
+// unservedRefusal is the refusal for callers of a service that no known host can
+// serve.
 func unservedRefusal() outcome.Refusal { return notRun(ReasonUnserved, unservedRetryAfter) }
--- a/gateway/unserved_test.go
+++ b/gateway/unserved_test.go
@@ -21,7 +21,8 @@
 	tableDown atomic.Bool
 }
 
-// runInOutage runs f with such a host and its background work.
+// runInOutage runs f with a host in an outage, whose background work runs
+// meanwhile.
 func runInOutage(t *testing.T, f func(t *testing.T, o *outage)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/peer/clientconn.go
+++ b/peer/clientconn.go
@@ -188,7 +188,8 @@
 	}
 }
 
-// close closes the connection and fails its pending calls.
+// close closes the connection, calls onClose and makes the pending calls fail
+// with ErrClosed. Only the first call has an effect.
 func (c *clientConn) close(cause error) {
 	c.mu.Lock()
 	if c.err != nil {
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -71,11 +71,11 @@
 		if err != nil {
 			return
 		}
-		again, err := encodeMessage(m, 4*limit)
+		reencoded, err := encodeMessage(m, 4*limit)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := readFrame(bytes.NewReader(again), 4*limit); err != nil {
+		if _, err := readFrame(bytes.NewReader(reencoded), 4*limit); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/peer/link.go
+++ b/peer/link.go
@@ -60,8 +60,8 @@
 }
 
 // current returns the open connection, a channel that closes when the dial in
-// progress ends, or the error that prevents a dial. If all are nil, the caller
-// must dial.
+// progress ends, or the error that prevents a dial. If all are nil, it has
+// marked a dial as in progress, and the caller must call dial.
 func (l *link) current() (*clientConn, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +81,8 @@
 	return nil, nil, nil
 }
 
-// dial connects and publishes the connection or the failure to other callers.
+// dial connects, stores the connection or the failure, and wakes the callers that
+// wait for it.
 func (l *link) dial(ctx context.Context) (*clientConn, error) {
 	raw, err := l.connect(ctx)
 	l.mu.Lock()
--- a/peer/server.go
+++ b/peer/server.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// setListener stores the listener for Shutdown. It returns false after
+// setListener stores the listener, which Shutdown closes. It returns false after
 // Shutdown.
 func (s *Server) setListener(ln net.Listener) bool {
 	s.mu.Lock()
--- a/peer/serverconn.go
+++ b/peer/serverconn.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// run serves the connection until it closes and waits for its handlers.
+// run serves the connection until it closes. It then cancels its handlers, waits
+// for them and returns the reason for the close.
 func (c *serverConn) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -110,7 +111,8 @@
 	}
 }
 
-// dispatch starts the handler of a request, or refuses the request.
+// dispatch starts the handler of a request in a goroutine. It refuses the request
+// if the method is unknown, the server is stopping or no handler slot is free.
 func (c *serverConn) dispatch(ctx context.Context, m *message) {
 	h := c.server.handler(m.Method)
 	if h == nil {
@@ -161,8 +163,9 @@
 	c.send(&message{Kind: kindReply, ID: m.ID, Status: statusRefused, Error: reason})
 }
 
-// send queues a reply. It blocks while the queue is full, which also stops the
-// reading of further requests.
+// send queues a message. It blocks while the queue is full, which also stops the
+// reading of further requests when it is called for a refusal. A reply that is too
+// large is replaced by an error.
 func (c *serverConn) send(m *message) {
 	frame, err := encodeMessage(m, c.server.opts.MaxFrame)
 	if err != nil {
