--- a/access/file.go
+++ b/access/file.go
@@ -26,8 +26,9 @@
 	loaded    bool
 }
 
-// get returns the latest value that was parsed. It returns an error only if
-// the file has never been parsed.
+// get checks the file for a change if the last check is at least checkInterval
+// ago, and returns the latest value that was parsed. It returns an error only
+// if the file has never been parsed.
 func (f *watchedFile[T]) get() (T, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/burn/alert.go
+++ b/burn/alert.go
@@ -10,8 +10,8 @@
 	Page    Alert = "page"
 )
 
-// Rule raises an alert when both a long and a short window burn at a given
-// rate. The long window shows that the burn is significant, the short one that
+// Rule raises an alert when both a long and a short window burn at
+// the rate Burn or faster. The long window shows that the burn is significant, the short one that
 // it continues.
 type Rule struct {
 	Alert Alert
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -51,8 +51,8 @@
 	return out
 }
 
-// Restore adds counts whose write failed to the next flush, unless there are
-// newer ones.
+// Restore adds counts whose write failed to the next flush, unless the recorder
+// has counts for the same objective and hour.
 func (r *Recorder) Restore(s HourCounts) {
 	key := hourKey{s.Objective, s.Hour}
 	if _, newer := r.counts[key]; !newer {
--- a/burn/report.go
+++ b/burn/report.go
@@ -46,8 +46,8 @@
 	return r
 }
 
-// newWindow sums the whole minutes within the window, including the current
-// one.
+// newWindow sums the counts of the minutes that begin within the window, the
+// current one included, and computes their burn rate.
 func newWindow(o Objective, counts []HourCounts, now time.Time, length time.Duration) Window {
 	w := Window{Length: length}
 	end := now.UnixMilli()
--- a/logsink/fold.go
+++ b/logsink/fold.go
@@ -32,9 +32,10 @@
 	return &repeatFilter{seed: maphash.MakeSeed(), seen: map[uint64]*repeatedLine{}}
 }
 
-// repeated reports whether an equal line was written within the window, and
-// counts it.
-func (f *repeatFilter) repeated(line []byte) bool {
+// recordLine reports whether an equal line was already recorded within the window,
+// and counts the repeat. A line without an equal is recorded, unless
+// maxTrackedLines lines are.
+func (f *repeatFilter) recordLine(line []byte) bool {
 	key := maphash.Bytes(f.seed, withoutTime(line))
 	if known := f.seen[key]; known != nil {
 		known.repeats++
--- a/logsink/sink.go
+++ b/logsink/sink.go
@@ -103,7 +103,7 @@
 		return err
 	}
 	line := s.encoded.Bytes()
-	if s.repeatFilter.repeated(line) {
+	if s.repeatFilter.recordLine(line) {
 		s.stats.Folded.Add(1)
 		return nil
 	}
@@ -136,8 +136,8 @@
 	return routine
 }
 
-// write writes the queued lines until the sink is closed. No other goroutine uses
-// the output.
+// write writes the queued lines until the sink is closed, and reports repeat counts
+// and dropped lines at each tick. No other goroutine uses the output.
 func (s *Sink) write() {
 	defer close(s.done)
 	ticks := s.opts.Ticks
--- a/slo/tracker.go
+++ b/slo/tracker.go
@@ -66,7 +66,9 @@
 	return t
 }
 
-// SetObjectives replaces the objectives. Counts of unchanged objectives are kept.
+// SetObjectives replaces the objectives. Calls observed since the
+// last count are dropped for objectives that are removed or whose latency bound
+// has changed.
 func (t *Tracker) SetObjectives(objectives map[string]settings.Objective) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,6 +112,8 @@
 	t.flush(ctx, true)
 }
 
+// count moves the calls observed since the last count to the recorder and adds
+// them to the metrics.
 func (t *Tracker) count() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -192,8 +196,8 @@
 	}
 }
 
-// Sweep deletes counts older than retention. It should run on one host at a
-// time.
+// Sweep deletes counts of current objectives that are older than retention,
+// among the first scanPageRows rows of each. It should run on one host at a time.
 func (t *Tracker) Sweep(ctx context.Context) {
 	t.mu.Lock()
 	names := sortedNames(t.objectives)
