--- a/journal/batch.go
+++ b/journal/batch.go
@@ -2,22 +2,23 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// group is a set of entries that go into one transaction.
+// group is a set of entries committed in one transaction.
 type group struct {
 	entries []*Entry
-	// written and required are the rows touched so far.
+	// written holds the rows that the group writes, required the row versions
+	// that it depends on.
 	written  map[string]struct{}
 	required map[string]uint64
-	// blocked are rows of entries that had to wait; later ones wait too.
+	// blocked holds the rows written by deferred entries; later entries that
+	// touch them are deferred too, which preserves the order of writes.
 	blocked map[string]struct{}
 	rows    int
 	bytes   int
-	// tainted is set when an attempt's answer was lost: it may yet take
-	// effect, so no entry may be called not applied before it is settled.
-	tainted bool
+	// maybeApplied is set while the outcome of an attempt is unknown. Such an attempt
+	// may still take effect, so its entries can't be reported as not applied.
+	maybeApplied bool
 }
 
-// newGroup returns an empty group.
 func newGroup() *group {
 	return &group{
 		written:  map[string]struct{}{},
@@ -26,7 +27,8 @@
 	}
 }
 
-// add takes the entry in and reports whether it may share the transaction.
+// add adds the entry if it fits and conflicts with no other entry of the
+// transaction. It reports whether the entry was added.
 func (g *group) add(e *Entry, maxRows, maxBytes int) bool {
 	size := e.size()
 	full := len(g.entries) > 0 && (g.rows+len(e.Writes) > maxRows || g.bytes+size > maxBytes)
@@ -46,10 +48,11 @@
 	return true
 }
 
-// compatible reports whether the entry touches no row that another writes.
+// compatible reports whether the entry can share the transaction: no entry reads
+// a row that another writes, writes the same row or requires another version.
 func (g *group) compatible(e *Entry) bool {
 	for _, c := range e.Conditions {
-		if g.taken(c.Key) {
+		if g.writePending(c.Key) {
 			return false
 		}
 		if v, ok := g.required[c.Key]; ok && v != c.Version {
@@ -57,7 +60,7 @@
 		}
 	}
 	for _, w := range e.Writes {
-		if g.taken(w.Key) {
+		if g.writePending(w.Key) {
 			return false
 		}
 		if _, ok := g.required[w.Key]; ok {
@@ -67,9 +70,9 @@
 	return true
 }
 
-// taken reports whether the row is written in the group, or by an entry that
-// waits ahead.
-func (g *group) taken(key string) bool {
+// moved reports whether the row is written by the group or by an earlier,
+// deferred entry.
+func (g *group) writePending(key string) bool {
 	if _, ok := g.written[key]; ok {
 		return true
 	}
@@ -77,15 +80,16 @@
 	return ok
 }
 
-// block makes later entries on the entry's written rows wait.
+// block defers later entries that touch rows which e writes.
 func (g *group) block(e *Entry) {
 	for _, w := range e.Writes {
 		g.blocked[w.Key] = struct{}{}
 	}
 }
 
-// transaction returns the group's transaction with the journal's own row.
-func (g *group) transaction(own infra.Condition, mark infra.Write) infra.Transaction {
+// transaction returns the group's transaction, extended by the condition and the
+// write on the journal's own row.
+func (g *group) transaction(own infra.Condition, ownWrite infra.Write) infra.Transaction {
 	tx := infra.Transaction{Conditions: []infra.Condition{own}}
 	for key, version := range g.required {
 		tx.Conditions = append(tx.Conditions, infra.Condition{Key: key, Version: version})
@@ -93,6 +97,6 @@
 	for _, e := range g.entries {
 		tx.Writes = append(tx.Writes, e.Writes...)
 	}
-	tx.Writes = append(tx.Writes, mark)
+	tx.Writes = append(tx.Writes, ownWrite)
 	return tx
 }
--- a/journal/bench_test.go
+++ b/journal/bench_test.go
@@ -14,8 +14,8 @@
 
 const outstanding = 4096
 
-// BenchmarkEntries keeps the journal busy with entries of one row and reports
-// entries a second and a commit.
+// BenchmarkEntries keeps a fixed number of single-row entries outstanding and reports
+// entries per second and entries per commit.
 func BenchmarkEntries(b *testing.B) {
 	for _, delay := range []time.Duration{0, 50 * time.Millisecond} {
 		b.Run(delay.String(), func(b *testing.B) {
@@ -25,10 +25,10 @@
 			ctx, stop := context.WithCancel(context.Background())
 			var running, entries sync.WaitGroup
 			running.Go(func() { j.Run(ctx) })
-			room := make(chan struct{}, outstanding)
+			slots := make(chan struct{}, outstanding)
 			begin := time.Now()
 			for i := range b.N {
-				room <- struct{}{}
+				slots <- struct{}{}
 				entries.Add(1)
 				j.Append(Entry{
 					Conditions: []infra.Condition{{Key: "shard/s"}},
@@ -37,7 +37,7 @@
 						if r.Status != infra.CommitApplied {
 							b.Error(r)
 						}
-						<-room
+						<-slots
 						entries.Done()
 					},
 				})
--- a/journal/deadline.go
+++ b/journal/deadline.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// answerMargin is how long before a caller's deadline an entry that was not
-	// sent is given up, so that the caller still learns that it was not.
-	answerMargin = 150 * time.Millisecond
-	// answerShare bounds the margin to this part of the time that is left.
-	answerShare = 4
+	// replyMargin is how long before the caller's deadline an unsent entry fails,
+	// so that the result reaches the caller in time.
+	replyMargin = 150 * time.Millisecond
+	// replyMarginDivisor limits the margin to the remaining time divided by it.
+	replyMarginDivisor = 4
 )
 
-// SendBy returns the deadline of an entry for a caller who waits under ctx;
-// zero if the context has none.
+// SendBy returns the latest time to send an entry whose caller waits until the
+// deadline of ctx; zero if ctx has no deadline.
 func SendBy(ctx context.Context, now time.Time) time.Time {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return time.Time{}
 	}
-	return deadline.Add(-min(answerMargin, deadline.Sub(now)/answerShare))
+	return deadline.Add(-min(replyMargin, deadline.Sub(now)/replyMarginDivisor))
 }
--- a/journal/doc.go
+++ b/journal/doc.go
@@ -1,8 +1,11 @@
-// Package journal groups many small changes of the table into few
-// transactions. One transaction is in flight at a time; while it is, the next
-// one grows. An entry is applied whole or not at all, and a lost answer is
-// settled by reading the journal's own row, never by writing again blindly.
+// Package journal batches small changes of the table into few transactions
+// (group commit). One transaction is in flight at a time; entries appended
+// meanwhile are queued for the next one.
 //
-// Entries that touch the same row do not share a transaction: the later one
-// waits for the next, in the order they were appended.
+// Each entry is applied atomically. If the reply to a commit is lost, the journal
+// reads its own row, which holds the number of its last commit, before it
+// retries; no entry is applied twice.
+//
+// Entries that write the same row go into separate transactions, in the order in
+// which they were appended.
 package journal
--- a/journal/entry.go
+++ b/journal/entry.go
@@ -6,23 +6,24 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Entry is one change, applied whole or not at all.
+// Entry is a set of writes that is applied atomically.
 type Entry struct {
-	// Conditions must all hold.
+	// Conditions must all hold for the entry to be applied.
 	Conditions []infra.Condition
-	// Writes all take effect, or none.
+	// Writes take effect together or not at all.
 	Writes []infra.Write
-	// Urgent entries go before others, unless an earlier entry that waits
-	// touches one of the same rows.
+	// Urgent entries are sent before others, unless a queued entry that isn't
+	// urgent writes one of the same rows.
 	Urgent bool
-	// Deadline is when the entry fails as not applied if it has not been
-	// sent; zero for never.
+	// Deadline is when an entry that hasn't been sent fails as not applied; zero
+	// for never.
 	Deadline time.Time
-	// Done takes the result, on the journal's goroutine; it must not block.
+	// Done is called once with the result and must not block. It runs on the
+	// goroutine of Run, or on that of Append if the entry isn't queued.
 	Done func(infra.CommitResult)
 }
 
-// size returns the bytes that the entry writes.
+// size returns the total bytes of the written keys and values.
 func (e *Entry) size() int {
 	n := 0
 	for _, w := range e.Writes {
@@ -31,7 +32,6 @@
 	return n
 }
 
-// expired reports whether the deadline has passed.
 func (e *Entry) expired(now time.Time) bool {
 	return !e.Deadline.IsZero() && !now.Before(e.Deadline)
 }
--- a/journal/finish.go
+++ b/journal/finish.go
@@ -6,10 +6,11 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// stop ends the journal: what is out gets its answer, the rest was not sent.
+// stop waits for the attempt in flight, closes the queue and completes all
+// remaining entries; those that were never sent fail as not applied.
 func (j *Journal) stop() {
-	if j.out {
-		j.take(<-j.answers)
+	if j.attempting {
+		j.handleResult(<-j.results)
 	}
 	j.mu.Lock()
 	j.closed = true
@@ -17,27 +18,28 @@
 	j.queue.urgent, j.queue.normal = nil, nil
 	j.mu.Unlock()
 	if g := j.inFlight; g != nil {
-		finish(g.entries, infra.CommitResult{Status: unsettled(g)})
+		finish(g.entries, infra.CommitResult{Status: abandonedStatus(g)})
 	}
 	finish(rest, infra.CommitResult{Status: infra.CommitNotApplied})
 }
 
-// unsettled returns what can be said of a group that was given up.
-func unsettled(g *group) infra.CommitStatus {
-	if g.tainted {
+// abandonedStatus returns the status of an abandoned group: unknown if an attempt may
+// still take effect.
+func abandonedStatus(g *group) infra.CommitStatus {
+	if g.maybeApplied {
 		return infra.CommitUnknown
 	}
 	return infra.CommitNotApplied
 }
 
-// finish hands the result to all entries.
+// finish reports the result to all entries.
 func finish(entries []*Entry, r infra.CommitResult) {
 	for _, e := range entries {
 		e.Done(r)
 	}
 }
 
-// conflictsOf returns the rows that failed a condition of the entry.
+// conflictsOf returns the rows that violate a condition of the entry.
 func conflictsOf(e *Entry, failed map[string]infra.Row) []infra.Row {
 	var rows []infra.Row
 	for _, c := range e.Conditions {
@@ -48,16 +50,17 @@
 	return rows
 }
 
-// encodeNumber returns the value of the journal's row.
+// encodeNumber encodes a commit number as the value of the journal's row.
 func encodeNumber(n uint64) []byte {
 	value, err := msgpack.Marshal(n)
 	if err != nil {
-		panic(err) // broken invariant: an integer always encodes
+		panic(err) // unreachable: an integer always encodes
 	}
 	return value
 }
 
-// decodeNumber reads what encodeNumber wrote; 0 for an absent row.
+// decodeNumber decodes a value written by encodeNumber; 0 if it is empty or
+// malformed.
 func decodeNumber(value []byte) uint64 {
 	var n uint64
 	if len(value) == 0 || msgpack.Unmarshal(value, &n) != nil {
@@ -66,7 +69,7 @@
 	return n
 }
 
-// statusName is the metric label of a result.
+// statusName returns the metric label of a status.
 func statusName(s infra.CommitStatus) string {
 	switch s {
 	case infra.CommitApplied:
--- a/journal/journal.go
+++ b/journal/journal.go
@@ -14,34 +14,34 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// Config is what a journal needs. Zero values of the optional fields have
-// defaults.
+// Config configures a Journal. Table, Incarnation and Settings are required.
 type Config struct {
 	Table infra.Table
-	// Incarnation names the journal's own row; no two journals share one.
+	// Incarnation identifies the journal's own row and must be unique among
+	// journals.
 	Incarnation string
 	Settings    settings.Batch
-	// Timeout bounds one request to the table; 0 for 2 s.
+	// Timeout bounds one request to the table; 0 means 2 s.
 	Timeout time.Duration
-	// MaxQueue is the largest number of waiting entries; 0 for 65536.
+	// MaxQueue is the largest number of queued entries; 0 means 65536.
 	MaxQueue int
 	Log      *slog.Logger
-	// Now is the monotonic clock; nil for time.Now.
+	// Now is the monotonic clock; nil means time.Now.
 	Now func() time.Time
-	// Registerer takes the metrics; nil for none.
+	// Registerer registers the metrics; nil means unregistered.
 	Registerer prometheus.Registerer
 }
 
 const (
 	defaultTimeout  = 2 * time.Second
 	defaultMaxQueue = 1 << 16
-	firstBackoff    = 50 * time.Millisecond
-	largestBackoff  = 2 * time.Second
+	initialBackoff  = 50 * time.Millisecond
+	maxBackoff      = 2 * time.Second
 	keyPrefix       = "journal/"
 )
 
-// Journal commits entries in groups. Append and Commit are safe for concurrent
-// use; everything else happens on the goroutine of Run.
+// Journal commits entries in groups. Append, Commit and SetSettings are safe for
+// concurrent use; commits are made by the goroutine that calls Run.
 type Journal struct {
 	config  Config
 	key     string
@@ -52,31 +52,32 @@
 	queue  *batcher
 	closed bool
 
-	// The fields below belong to the goroutine of Run.
+	// The fields below are used by the goroutine of Run only.
 	inFlight *group
-	// number is the last commit that took effect, version its row's version.
+	// number is the number of the last applied commit, version the version of the
+	// journal's row.
 	number  uint64
 	version uint64
 	started time.Time
-	// took is how long the last attempt took.
-	took time.Duration
-	// out is set while an attempt is out.
-	out     bool
-	retryAt time.Time
-	backoff *backoff.ExponentialBackOff
-	stalled bool
-	answers chan answer
-	// blind makes a lost answer be written again without settling it; only a
-	// test sets it, to show that settling is what prevents a double write.
-	blind bool
+	// lastDuration is the duration of the last attempt.
+	lastDuration time.Duration
+	// attempting is set while an attempt is in flight.
+	attempting bool
+	retryAt    time.Time
+	backoff    *backoff.ExponentialBackOff
+	stalled    bool
+	results    chan attemptResult
+	// skipRowRead skips reading the journal's row after a lost reply. Only tests set it,
+	// to show that their checks detect the resulting errors.
+	skipRowRead bool
 }
 
-// New returns a journal; it commits once Run is called.
+// New returns a journal. Entries are committed once Run is called.
 func New(c Config) *Journal {
 	c = withDefaults(c)
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstBackoff
-	b.MaxInterval = largestBackoff
+	b.InitialInterval = initialBackoff
+	b.MaxInterval = maxBackoff
 	return &Journal{
 		config:  c,
 		key:     keyPrefix + c.Incarnation,
@@ -84,11 +85,10 @@
 		wake:    make(chan struct{}, 1),
 		queue:   newBatcher(c.Settings.CommitRows, c.MaxQueue),
 		backoff: b,
-		answers: make(chan answer, 1),
+		results: make(chan attemptResult, 1),
 	}
 }
 
-// withDefaults fills in what was left out.
 func withDefaults(c Config) Config {
 	if c.Timeout == 0 {
 		c.Timeout = defaultTimeout
@@ -105,7 +105,7 @@
 	return c
 }
 
-// SetSettings brings other bounds into force from the next commit on.
+// SetSettings replaces the batch settings, from the next commit on.
 func (j *Journal) SetSettings(b settings.Batch) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -131,9 +131,9 @@
 	}
 }
 
-// Commit appends an urgent entry and waits for its result. An entry that was
-// not sent by SendBy of the context fails as not applied. When the context ends
-// before the result is known it is CommitUnknown.
+// Commit appends an urgent entry and waits for its result. An entry not sent by
+// SendBy(ctx) fails as not applied. The status is infra.CommitUnknown if ctx ends
+// before the result is known.
 func (j *Journal) Commit(ctx context.Context, conditions []infra.Condition, writes []infra.Write) infra.CommitResult {
 	result := make(chan infra.CommitResult, 1)
 	e := Entry{Conditions: conditions, Writes: writes, Urgent: true, Done: func(r infra.CommitResult) { result <- r }}
--- a/journal/journal_test.go
+++ b/journal/journal_test.go
@@ -13,8 +13,8 @@
 	"github.com/fireflygate/fireflygate/settings"
 )
 
-// rig is a journal over an in-memory table, in a synctest bubble.
-type rig struct {
+// testJournal is a journal on an in-memory table, with the results of its entries.
+type testJournal struct {
 	*Journal
 	table   *memtable.Table
 	stop    context.CancelFunc
@@ -23,12 +23,13 @@
 	done    chan struct{}
 }
 
-// run has f work with a running journal on a virtual clock.
-func run(t *testing.T, f func(r *rig)) {
+// withJournal calls f with a running journal on a virtual clock and stops the journal
+// afterwards.
+func withJournal(t *testing.T, f func(r *testJournal)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		r := &rig{table: memtable.New(), stop: stop, results: map[string]infra.CommitResult{}, done: make(chan struct{})}
+		r := &testJournal{table: memtable.New(), stop: stop, results: map[string]infra.CommitResult{}, done: make(chan struct{})}
 		b := settings.Default().Batch
 		r.Journal = New(Config{Table: r.table, Incarnation: "i1", Settings: b, MaxQueue: 1000})
 		go func() {
@@ -41,30 +42,29 @@
 	})
 }
 
-// put appends a write of one row and notes its result under the name.
-func (r *rig) put(name, key string, c ...infra.Condition) {
+// put appends a write of one row and records its result under name.
+func (r *testJournal) put(name, key string, c ...infra.Condition) {
 	r.Append(Entry{
 		Conditions: c,
 		Writes:     []infra.Write{{Key: key, Value: []byte(name)}},
-		Done:       func(res infra.CommitResult) { r.note(name, res) },
+		Done:       func(res infra.CommitResult) { r.record(name, res) },
 	})
 }
 
-// note keeps an entry's result.
-func (r *rig) note(name string, res infra.CommitResult) {
+func (r *testJournal) record(name string, res infra.CommitResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results[name] = res
 }
 
-// after lets d of virtual time pass.
-func after(d time.Duration) {
+// sleep sleeps for d of virtual time.
+func sleep(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
 
-// value reads a row.
-func (r *rig) value(key string) string {
+// value returns the value of a row, or the text of the error.
+func (r *testJournal) value(key string) string {
 	rows, err := r.table.Get(context.Background(), key)
 	if err != nil {
 		return err.Error()
@@ -72,42 +72,42 @@
 	return string(rows[0].Value)
 }
 
-func expect(t *testing.T, r *rig, name string, want infra.CommitStatus) {
+func expect(t *testing.T, r *testJournal, name string, want infra.CommitStatus) {
 	t.Helper()
 	synctest.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	got, ok := r.results[name]
 	if !ok || got.Status != want {
-		t.Errorf("%s: result %v (there: %v), want status %v", name, got, ok, want)
+		t.Errorf("entry %s: result %v (recorded: %v), want status %v", name, got, ok, want)
 	}
 }
 
 func TestBusyEntriesShareACommit(t *testing.T) {
-	run(t, func(r *rig) {
+	withJournal(t, func(r *testJournal) {
 		r.table.Set(func(f *memtable.Faults) { f.Delay = 50 * time.Millisecond })
 		r.put("first", "k")
 		synctest.Wait()
 		for i := range 200 {
 			r.put(fmt.Sprint(i), fmt.Sprint("k", i))
 		}
-		after(250 * time.Millisecond)
+		sleep(250 * time.Millisecond)
 		if got := r.table.Stats().Commits; got != 2 {
-			t.Errorf("%d commits for an idle entry and 200 behind it, want 2", got)
+			t.Errorf("%d commits for one entry and 200 queued behind it, want 2", got)
 		}
 		expect(t, r, "199", infra.CommitApplied)
 	})
 }
 
 func TestConflictFailsOnlyItsEntry(t *testing.T) {
-	run(t, func(r *rig) {
+	withJournal(t, func(r *testJournal) {
 		r.table.Set(func(f *memtable.Faults) { f.Delay = 50 * time.Millisecond })
 		r.put("head", "h")
 		synctest.Wait()
 		r.put("good", "a")
 		r.put("bad", "b", infra.Condition{Key: "b", Version: 77})
 		r.put("also good", "c", infra.Condition{Key: "c"})
-		after(time.Second)
+		sleep(time.Second)
 		expect(t, r, "good", infra.CommitApplied)
 		expect(t, r, "bad", infra.CommitConflict)
 		expect(t, r, "also good", infra.CommitApplied)
@@ -115,7 +115,7 @@
 }
 
 func TestSameRowKeepsOrder(t *testing.T) {
-	run(t, func(r *rig) {
+	withJournal(t, func(r *testJournal) {
 		r.table.Set(func(f *memtable.Faults) { f.Delay = 50 * time.Millisecond })
 		r.put("head", "h")
 		synctest.Wait()
@@ -126,82 +126,82 @@
 			Urgent: true, Writes: []infra.Write{{Key: "same", Value: []byte("last")}},
 			Done: func(infra.CommitResult) {},
 		})
-		after(2 * time.Second)
+		sleep(2 * time.Second)
 		if got := r.value("same"); got != "last" {
 			t.Errorf("row is %q, want the entry appended last", got)
 		}
 	})
 }
 
-func TestLostAnswerIsSettled(t *testing.T) {
-	run(t, func(r *rig) {
+func TestLostReplyIsResolved(t *testing.T) {
+	withJournal(t, func(r *testJournal) {
 		r.table.Set(func(f *memtable.Faults) { f.LoseAnswers = 1 })
 		r.put("lost", "k", infra.Condition{Key: "k"})
-		after(time.Second)
+		sleep(time.Second)
 		expect(t, r, "lost", infra.CommitApplied)
 		if got := r.table.Stats().Commits; got != 1 {
-			t.Errorf("%d commits arrived, want 1: a settled commit is not written again", got)
+			t.Errorf("%d commits arrived, want 1: an applied commit must not be retried", got)
 		}
 	})
 }
 
-func TestBlindRetryIsSeen(t *testing.T) {
-	run(t, func(r *rig) {
-		r.blind = true
+func TestRetryWithoutRowReadIsDetected(t *testing.T) {
+	withJournal(t, func(r *testJournal) {
+		r.skipRowRead = true
 		r.table.Set(func(f *memtable.Faults) { f.LoseAnswers = 1 })
 		r.put("lost", "k", infra.Condition{Key: "k"})
-		after(time.Second)
+		sleep(time.Second)
 		if res := r.results["lost"]; res.Status == infra.CommitApplied {
-			t.Error("a journal that does not settle lost answers passes the check of settling")
+			t.Error("entry reported as applied although the journal did not read its row after a lost reply")
 		}
 	})
 }
 
 func TestLateArrivalTakesEffectOnce(t *testing.T) {
-	run(t, func(r *rig) {
+	withJournal(t, func(r *testJournal) {
 		r.table.Set(func(f *memtable.Faults) { f.HoldCommits = 1 })
 		r.put("held", "k")
 		synctest.Wait()
-		r.table.DeliverHeld() // arrives after the journal read its row
-		after(time.Second)
+		r.table.DeliverHeld() // after the journal has read its row
+		sleep(time.Second)
 		expect(t, r, "held", infra.CommitApplied)
 		r.put("next", "k")
-		after(time.Second)
+		sleep(time.Second)
 		expect(t, r, "next", infra.CommitApplied)
 		if got := r.table.Stats().Rows; got != 4 {
-			t.Errorf("%d rows written by two commits of two rows, want 4", got)
+			t.Errorf("%d rows written by two commits of two rows each, want 4", got)
 		}
 	})
 }
 
 func TestOutage(t *testing.T) {
-	run(t, func(r *rig) {
+	withJournal(t, func(r *testJournal) {
 		r.table.Set(func(f *memtable.Faults) { f.Down = true })
 		r.put("waits", "w")
 		synctest.Wait()
 		r.Append(Entry{
 			Writes: []infra.Write{{Key: "d"}}, Deadline: time.Now().Add(3 * time.Second),
-			Done: func(res infra.CommitResult) { r.note("late", res) },
+			Done: func(res infra.CommitResult) { r.record("late", res) },
 		})
 		for i := range 999 {
 			r.put(fmt.Sprint(i), fmt.Sprint("k", i))
 		}
 		r.put("over", "o")
 		expect(t, r, "over", infra.CommitNotApplied)
-		after(time.Minute)
+		sleep(time.Minute)
 		expect(t, r, "late", infra.CommitNotApplied)
 		if got := r.table.Stats().Refused; got > 60 {
 			t.Errorf("%d attempts in a minute of outage, want at most 60", got)
 		}
 		r.table.Set(func(f *memtable.Faults) { f.Down = false })
-		after(5 * time.Second)
+		sleep(5 * time.Second)
 		expect(t, r, "waits", infra.CommitApplied)
 		expect(t, r, "998", infra.CommitApplied)
 	})
 }
 
-func TestStopAnswersEverything(t *testing.T) {
-	run(t, func(r *rig) {
+func TestStopCompletesAllEntries(t *testing.T) {
+	withJournal(t, func(r *testJournal) {
 		r.table.Set(func(f *memtable.Faults) { f.Delay = time.Minute })
 		r.put("sent", "a")
 		synctest.Wait()
@@ -214,7 +214,7 @@
 }
 
 func TestCommitDuringOutageIsNotApplied(t *testing.T) {
-	run(t, func(r *rig) {
+	withJournal(t, func(r *testJournal) {
 		r.table.Set(func(f *memtable.Faults) { f.Down = true })
 		for range 5 {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/journal/metrics.go
+++ b/journal/metrics.go
@@ -2,7 +2,6 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the journal's counters.
 type metrics struct {
 	commits *prometheus.CounterVec
 	rows    prometheus.Histogram
@@ -10,7 +9,7 @@
 	queue   prometheus.Gauge
 }
 
-// newMetrics registers the metrics; r may be nil.
+// newMetrics creates the metrics and registers them unless r is nil.
 func newMetrics(r prometheus.Registerer) *metrics {
 	m := &metrics{
 		commits: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/journal/run.go
+++ b/journal/run.go
@@ -12,37 +12,37 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// answer is what an attempt brought.
-type answer struct {
-	result infra.CommitResult
-	took   time.Duration
-	// settled is set when a lost answer was settled by reading own.
-	settled bool
+// attemptResult is the result of one commit attempt.
+type attemptResult struct {
+	result   infra.CommitResult
+	duration time.Duration
+	// rowRead is set if the reply was lost and own, the journal's row, was read.
+	rowRead bool
 	own     infra.Row
 }
 
-// Run commits until ctx ends. Entries that were not sent by then fail as not
-// applied; those in flight get what their attempt brought.
+// Run commits entries until ctx ends. Entries not sent by then fail as not
+// applied; those in flight get the result of their attempt.
 func (j *Journal) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		j.step(ctx)
-		timer.Reset(j.pause())
+		timer.Reset(j.waitTime())
 		select {
 		case <-ctx.Done():
 			j.stop()
 			return
-		case a := <-j.answers:
-			j.take(a)
+		case a := <-j.results:
+			j.handleResult(a)
 		case <-j.wake:
 		case <-timer.C:
 		}
 	}
 }
 
-// pause returns how long nothing needs to be done.
-func (j *Journal) pause() time.Duration {
+// waitTime returns how long Run may wait for the next step.
+func (j *Journal) waitTime() time.Duration {
 	const idle = 50 * time.Millisecond
 	now := j.config.Now()
 	wait := idle
@@ -53,23 +53,23 @@
 }
 
 const (
-	// pace is how many times the last transaction's duration lies between two
-	// transactions that are neither urgent nor full: the longer the table takes, the
-	// more goes into each.
-	pace = 4
-	// shortestPace and longestPace bound that time.
-	shortestPace = 100 * time.Millisecond
-	longestPace  = 250 * time.Millisecond
+	// intervalFactor times the duration of the last transaction is the interval between
+	// transactions that are neither urgent nor full, so that a slow table gets
+	// larger batches.
+	intervalFactor = 4
+	// minInterval and maxInterval bound that interval.
+	minInterval = 100 * time.Millisecond
+	maxInterval = 250 * time.Millisecond
 )
 
-// due returns when the next attempt may be sent.
+// due returns the earliest time for the next attempt.
 func (j *Journal) due() time.Time {
 	j.mu.Lock()
-	hurry := len(j.queue.urgent) > 0 || j.queue.full()
+	immediate := len(j.queue.urgent) > 0 || j.queue.full()
 	gap := j.config.Settings.CommitDelay.D()
 	j.mu.Unlock()
-	if !hurry && j.inFlight == nil {
-		gap = max(gap, shortestPace, min(j.took*pace, longestPace))
+	if !immediate && j.inFlight == nil {
+		gap = max(gap, minInterval, min(j.lastDuration*intervalFactor, maxInterval))
 	}
 	at := j.started.Add(gap)
 	if j.retryAt.After(at) {
@@ -78,11 +78,11 @@
 	return at
 }
 
-// step fails late entries and sends the next attempt if one may go.
+// step fails expired entries and starts the next attempt if one is due.
 func (j *Journal) step(ctx context.Context) {
 	now := j.config.Now()
 	j.expire(now)
-	if j.out || now.Before(j.due()) {
+	if j.attempting || now.Before(j.due()) {
 		return
 	}
 	if j.inFlight == nil {
@@ -92,11 +92,11 @@
 		return
 	}
 	j.started = now
-	j.out = true
+	j.attempting = true
 	go j.attempt(ctx, j.inFlight, j.number+1, j.version)
 }
 
-// nextGroup takes the next group off the queue.
+// nextGroup removes the next group from the queue; nil if the queue is empty.
 func (j *Journal) nextGroup() *group {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -105,58 +105,58 @@
 	return g
 }
 
-// expire fails the entries whose deadline passed before they were sent, and
-// those of a group that the table refused and that surely had no effect.
+// expire fails the expired entries that have had no effect: those in the queue,
+// and those of a group that waits for a retry and certainly wasn't applied.
 func (j *Journal) expire(now time.Time) {
 	j.mu.Lock()
 	late := j.queue.expire(now)
 	j.mu.Unlock()
-	if g := j.inFlight; g != nil && !j.out && !g.tainted {
-		g.entries = split(g.entries, now, func(e *Entry) { late = append(late, e) })
+	if g := j.inFlight; g != nil && !j.attempting && !g.maybeApplied {
+		g.entries = removeExpired(g.entries, now, func(e *Entry) { late = append(late, e) })
 		j.regroup()
 	}
 	finish(late, infra.CommitResult{Status: infra.CommitNotApplied})
 }
 
-// regroup forms the group in flight anew after entries left it.
+// regroup rebuilds the group in flight after entries were removed from it.
 func (j *Journal) regroup() {
 	g := newGroup()
 	for _, e := range j.inFlight.entries {
 		g.add(e, math.MaxInt, math.MaxInt)
 	}
-	g.tainted = j.inFlight.tainted
+	g.maybeApplied = j.inFlight.maybeApplied
 	j.inFlight = g
 	if len(g.entries) == 0 {
 		j.inFlight = nil
 	}
 }
 
-// attempt sends the group as commit number n and, if the answer is lost, reads
-// the journal's row. It runs on its own goroutine.
+// attempt sends the group as commit number n and, if the reply is lost, reads the
+// journal's row. It runs on its own goroutine.
 func (j *Journal) attempt(ctx context.Context, g *group, n, version uint64) {
 	tx := g.transaction(infra.Condition{Key: j.key, Version: version}, infra.Write{Key: j.key, Value: encodeNumber(n)})
 	begin := j.config.Now()
 	limited, cancel := context.WithTimeout(ctx, j.config.Timeout)
-	a := answer{result: j.config.Table.Commit(limited, tx)}
+	a := attemptResult{result: j.config.Table.Commit(limited, tx)}
 	cancel()
-	a.took = j.config.Now().Sub(begin)
-	j.metrics.latency.Observe(a.took.Seconds())
+	a.duration = j.config.Now().Sub(begin)
+	j.metrics.latency.Observe(a.duration.Seconds())
 	j.metrics.rows.Observe(float64(len(tx.Writes)))
-	if a.result.Status == infra.CommitUnknown && !j.blind {
+	if a.result.Status == infra.CommitUnknown && !j.skipRowRead {
 		limited, cancel = context.WithTimeout(ctx, j.config.Timeout)
 		rows, err := j.config.Table.Get(limited, j.key)
 		cancel()
 		if err == nil && len(rows) == 1 {
-			a.settled, a.own = true, rows[0]
+			a.rowRead, a.own = true, rows[0]
 		}
 	}
-	j.answers <- a
+	j.results <- a
 }
 
-// take handles the answer to the attempt that was out.
-func (j *Journal) take(a answer) {
-	j.out = false
-	j.took = a.took
+// handleResult handles the result of the attempt in flight.
+func (j *Journal) handleResult(a attemptResult) {
+	j.attempting = false
+	j.lastDuration = a.duration
 	j.retryAt = time.Time{}
 	j.metrics.commits.WithLabelValues(statusName(a.result.Status)).Inc()
 	switch a.result.Status {
@@ -165,13 +165,13 @@
 	case infra.CommitConflict:
 		j.conflicted(a.result)
 	case infra.CommitNotApplied:
-		j.delay()
+		j.scheduleRetry()
 	default:
-		j.lost(a)
+		j.handleUnknown(a)
 	}
 }
 
-// applied finishes the group.
+// applied reports the result to the entries of the group in flight.
 func (j *Journal) applied(r infra.CommitResult) {
 	g := j.inFlight
 	j.inFlight = nil
@@ -181,22 +181,21 @@
 	finish(g.entries, r)
 }
 
-// lost settles an attempt whose answer did not come. Its number in the row
-// means that it took effect. If not, it may still arrive late: the same
-// number is tried again under the same condition on the row, so that at most
-// one of the attempts takes effect.
-func (j *Journal) lost(a answer) {
-	j.inFlight.tainted = !j.blind
-	if a.settled && decodeNumber(a.own.Value) == j.number+1 {
+// handleUnknown handles an attempt whose reply was lost. The attempt was applied if
+// the journal's row holds its number. Otherwise it may still arrive, so the retry uses
+// the same number and the same condition on the row: at most one attempt applies.
+func (j *Journal) handleUnknown(a attemptResult) {
+	j.inFlight.maybeApplied = !j.skipRowRead
+	if a.rowRead && decodeNumber(a.own.Value) == j.number+1 {
 		event.JournalResolved.Log(j.config.Log, slog.Uint64("number", j.number+1))
 		j.applied(infra.CommitResult{Status: infra.CommitApplied, Version: a.own.Version})
 		return
 	}
-	j.delay()
+	j.scheduleRetry()
 }
 
-// conflicted fails the entries whose conditions did not hold; the rest go
-// again at once.
+// conflicted fails the entries whose conditions did not hold and retries the rest
+// at once.
 func (j *Journal) conflicted(r infra.CommitResult) {
 	failed := map[string]infra.Row{}
 	for _, row := range r.Conflicts {
@@ -207,7 +206,7 @@
 		return
 	}
 	j.recovered()
-	j.inFlight.tainted = false
+	j.inFlight.maybeApplied = false
 	before := len(j.inFlight.entries)
 	kept := j.inFlight.entries[:0:0]
 	for _, e := range j.inFlight.entries {
@@ -227,10 +226,10 @@
 	j.started = time.Time{}
 }
 
-// ownConflict handles a journal row other than expected: an earlier attempt of
-// this very commit took effect late, or nothing is known of the row yet.
+// ownConflict handles an unexpected version of the journal's row: either an earlier
+// attempt of the same commit was applied late, or the row hasn't been read yet.
 func (j *Journal) ownConflict(own infra.Row) {
-	if decodeNumber(own.Value) == j.number+1 && j.inFlight.tainted {
+	if decodeNumber(own.Value) == j.number+1 && j.inFlight.maybeApplied {
 		j.applied(infra.CommitResult{Status: infra.CommitApplied, Version: own.Version})
 		return
 	}
@@ -238,8 +237,8 @@
 	j.version = own.Version
 }
 
-// delay backs off before the next attempt.
-func (j *Journal) delay() {
+// scheduleRetry schedules the next attempt with exponential backoff.
+func (j *Journal) scheduleRetry() {
 	if !j.stalled {
 		j.stalled = true
 		event.JournalStalled.Log(j.config.Log)
@@ -249,12 +248,12 @@
 	j.mu.Unlock()
 	wait := j.backoff.NextBackOff()
 	if wait == backoff.Stop {
-		wait = largestBackoff
+		wait = maxBackoff
 	}
 	j.retryAt = j.config.Now().Add(wait)
 }
 
-// recovered notes that the table answers.
+// recovered resets the backoff and raises the row limit after a reply.
 func (j *Journal) recovered() {
 	j.backoff.Reset()
 	j.mu.Lock()
