--- a/gateway/digest.go
+++ b/gateway/digest.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/fireflygate/fireflygate/event"
-	"github.com/fireflygate/fireflygate/internal/standstill"
+	"github.com/fireflygate/fireflygate/internal/processpause"
 	"github.com/fireflygate/fireflygate/outcome"
 	"github.com/fireflygate/fireflygate/peer"
 )
@@ -17,7 +17,7 @@
 
 const (
 	// digestInterval is the interval at which changes of free slots are sent.
-	digestInterval = standstill.TickInterval
+	digestInterval = processpause.TickInterval
 	// digestRefresh is the interval at which all free slots are sent even if
 	// unchanged.
 	digestRefresh = time.Second
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/fireflygate/fireflygate/internal/standstill"
+	"github.com/fireflygate/fireflygate/internal/processpause"
 	"github.com/fireflygate/fireflygate/routing"
 	"github.com/fireflygate/fireflygate/settings"
 )
@@ -33,7 +33,7 @@
 	// unservedServices holds the services that no known host can serve.
 	unservedServices map[string]*unservedState
 	// pauses detects pauses of this process.
-	pauses standstill.Detector
+	pauses processpause.Detector
 	// active counts requests in progress, including forwarded ones.
 	active int
 	// stateChanged is closed and replaced whenever a slot is freed or a
--- a/integration/pauses.go
+++ b/integration/pauses.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"github.com/fireflygate/fireflygate/internal/standstill"
+	"github.com/fireflygate/fireflygate/internal/processpause"
 	"github.com/fireflygate/fireflygate/load"
 )
 
@@ -14,12 +14,12 @@
 // machine was paused or overloaded. It is safe for concurrent use.
 type pauseMonitor struct {
 	mu       sync.Mutex
-	detector standstill.Detector
+	detector processpause.Detector
 }
 
 // run updates the detector until stop is closed.
 func (m *pauseMonitor) run(stop <-chan struct{}) {
-	ticker := time.NewTicker(standstill.TickInterval)
+	ticker := time.NewTicker(processpause.TickInterval)
 	defer ticker.Stop()
 	for {
 		m.mu.Lock()
--- a/internal/standstill/detector.go
+++ b/internal/processpause/detector.go
@@ -1,8 +1,8 @@
-// Package standstill detects pauses of its own process: the process was
+// Package processpause detects pauses of its own process: the process was
 // stopped, its machine was suspended, or it got no processor time. Latencies
 // measured across a pause say nothing about the other side. The package reads
 // no clock; times are passed in and must be monotonic.
-package standstill
+package processpause
 
 import (
 	"slices"
--- a/internal/standstill/detector_test.go
+++ b/internal/processpause/detector_test.go
@@ -1,4 +1,4 @@
-package standstill
+package processpause
 
 import (
 	"testing"
--- a/load/run.go
+++ b/load/run.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"github.com/fireflygate/fireflygate/internal/standstill"
+	"github.com/fireflygate/fireflygate/internal/processpause"
 )
 
 // runner sends the traffic of one Config.
@@ -98,7 +98,7 @@
 // maxLateness is how long after it was due a request may be sent. Later ones are
 // skipped, so that a pause of the sender isn't followed by a burst of overdue
 // requests.
-const maxLateness = standstill.MinPause
+const maxLateness = processpause.MinPause
 
 // launch sends a request in the background, or skips it.
 func (r *runner) launch(ctx context.Context, p plannedRequest) {
