--- a/demo/callers.go
+++ b/demo/callers.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/fireflygate/fireflygate/check"
-	"github.com/fireflygate/fireflygate/internal/witness"
+	"github.com/fireflygate/fireflygate/internal/histories"
 	"github.com/fireflygate/fireflygate/load"
 )
 
@@ -41,8 +41,8 @@
 		MaxInFlight:       maxInFlight,
 		Seed:              o.Seed,
 		Prepare: func(r *http.Request, x load.Exchange) {
-			recorder.Add(witness.SentRecord(r, x, names[x.Target]))
+			recorder.Add(histories.SentRecord(r, x, names[x.Target]))
 		},
-		Observe: func(x load.Exchange) { recorder.Add(witness.AnsweredRecord(x)) },
+		Observe: func(x load.Exchange) { recorder.Add(histories.AnsweredRecord(x)) },
 	})
 }
--- a/integration/traffic.go
+++ b/integration/traffic.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/fireflygate/fireflygate/internal/witness"
+	"github.com/fireflygate/fireflygate/internal/histories"
 	"github.com/fireflygate/fireflygate/load"
 	"github.com/fireflygate/fireflygate/outcome"
 )
@@ -87,13 +87,13 @@
 		Duration:     time.Hour,
 		BookingShare: o.Bookings, RepeatProbability: o.Repeat, Timeout: o.Timeout, MaxInFlight: o.InFlight,
 		Prepare: func(r *http.Request, x load.Exchange) {
-			s.Recorder.Add(witness.SentRecord(r, x, names[x.Target]))
+			s.Recorder.Add(histories.SentRecord(r, x, names[x.Target]))
 		},
 	}
 }
 
 func (tr *Traffic) observe(x load.Exchange) {
-	tr.site.Recorder.Add(witness.AnsweredRecord(x))
+	tr.site.Recorder.Add(histories.AnsweredRecord(x))
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.exchanges = append(tr.exchanges, x)
--- a/internal/witness/witness.go
+++ b/internal/histories/histories.go
@@ -1,6 +1,6 @@
-// Package witness creates records of what callers observe of their requests,
+// Package histories creates records of what callers observe of their requests,
 // for package check.
-package witness
+package histories
 
 import (
 	"net/http"
