--- a/gate/gate.go
+++ b/gate/gate.go
@@ -20,12 +20,12 @@
 	"github.com/fireflygate/fireflygate/gateway"
 	"github.com/fireflygate/fireflygate/journal"
 	"github.com/fireflygate/fireflygate/outcome"
+	"github.com/fireflygate/fireflygate/ownerdriver"
 	"github.com/fireflygate/fireflygate/peer"
 	"github.com/fireflygate/fireflygate/placement"
 	"github.com/fireflygate/fireflygate/roster"
 	"github.com/fireflygate/fireflygate/settings"
 	"github.com/fireflygate/fireflygate/slo"
-	"github.com/fireflygate/fireflygate/tenure"
 )
 
 // Gate is one entry host.
@@ -49,7 +49,7 @@
 	peers           *peer.Client
 	peerServer      *peer.Server
 	journal         *journal.Journal
-	ownershipDriver *tenure.Driver
+	ownershipDriver *ownerdriver.Driver
 	gateway         *gateway.Gateway
 	bookings        *booking.Registry
 	batch           *batch.Manager
@@ -136,7 +136,7 @@
 }
 
 func (g *Gate) buildOwnership() {
-	g.ownershipDriver = tenure.New(tenure.Config{
+	g.ownershipDriver = ownerdriver.New(ownerdriver.Config{
 		Host: g.local.Host.Name, Incarnation: g.incarnation,
 		Table: g.deps.Table, Transport: g.peers, Mux: g.peerServer,
 		Lease: g.local.Lease, Log: g.deps.Log, Now: g.deps.Now,
--- a/tenure/driver.go
+++ b/ownerdriver/driver.go
@@ -1,4 +1,4 @@
-package tenure
+package ownerdriver
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 )
 
 // ErrStopped is returned by methods that need Run after it has returned.
-var ErrStopped = errors.New("tenure: not running")
+var ErrStopped = errors.New("ownerdriver: not running")
 
 // input is an event for the machine; it runs in the control goroutine.
 type input func(now time.Time, m *ownership.Machine) []ownership.Action
--- a/tenure/execute.go
+++ b/ownerdriver/execute.go
@@ -1,4 +1,4 @@
-package tenure
+package ownerdriver
 
 import (
 	"context"
@@ -32,7 +32,7 @@
 	case ownership.Drain:
 		go d.drain(ctx, a)
 	default:
-		panic("tenure: unknown action")
+		panic("ownerdriver: unknown action")
 	}
 }
 
--- a/tenure/report.go
+++ b/ownerdriver/report.go
@@ -1,4 +1,4 @@
-package tenure
+package ownerdriver
 
 import (
 	"log/slog"
