--- a/colocate/worker.go
+++ b/colocate/worker.go
@@ -60,9 +60,9 @@
 	Settled bool
 }
 
-// pressure returns the share of the worker's processors, 0 to 1, that the
-// task's effect is proportional to. The effect grows with the cube of the
-// utilization.
+// pressure estimates the task's interference with latency-critical tasks, from
+// 0 to 1: its CPU limit as a share of the worker's processors, times the cube
+// of its utilization. Until the task has settled, full utilization is assumed.
 func (t *BestEffortTask) pressure() float64 {
 	allowed := t.CPUShare * float64(t.CPULimit) / 100
 	if !t.Settled {
--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -47,7 +47,7 @@
 	s.releaseRun(r)
 	switch status {
 	case runner.NoPermit:
-		r.task.step.dropTicket(w)
+		r.task.step.dropPermit(w)
 	case runner.NoCapacity:
 		if !s.cfg.Disabled.Has(mechanism.NoCapacityPause) {
 			w.pausedUntil = now.Add(s.cfg.NoCapacityPause)
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -17,7 +17,7 @@
 	if c.reserved[w.index] || !c.allowed(st, w) || !st.spec.Reserved().Fits(w.free) {
 		return false
 	}
-	if _, ok := st.ticketFor(c.now, w); !ok {
+	if _, ok := st.permitFor(c.now, w); !ok {
 		return false
 	}
 	return c.hasUnusedCPU(st, w) && !c.atPerWorkerLimit(st, w)
--- a/dispatch/faultchecks_test.go
+++ b/dispatch/faultchecks_test.go
@@ -6,8 +6,8 @@
 	"github.com/fireflygate/fireflygate/workload"
 )
 
-// checkInvariants fails the test if a task runs on two workers or a worker
-// exceeds its capacity.
+// checkInvariants fails the test if a worker exceeds its capacity or a task runs
+// on two workers, which only tasks of speculative steps may.
 func (s *faultSim) checkInvariants() {
 	seen := map[workload.TaskID]string{}
 	for _, w := range s.alive() {
--- a/dispatch/loststop_test.go
+++ b/dispatch/loststop_test.go
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// stopForDrain returns a long-running run on a draining worker, and its stop.
+// stopForDrain returns a long-running run on a draining worker, and its
+// stop order.
 func stopForDrain(t *testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder) {
 	t.Helper()
 	r := newRig(t, 1)
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -24,16 +24,16 @@
 
 // permits holds the policy service's decisions on a step.
 type permits struct {
-	// tickets holds permits by worker. denied holds workers that may not run
+	// granted holds permits by worker. denied holds workers that may not run
 	// the step, which is final.
-	tickets map[string]ticket
+	granted map[string]permit
 	denied  map[string]bool
 	// nextRequest is when the next request may be made.
 	nextRequest time.Time
 }
 
-// ticket is one permit and the end of its validity.
-type ticket struct {
+// permit is the text of a permit and the end of its validity.
+type permit struct {
 	text  string
 	until time.Time
 }
@@ -48,13 +48,14 @@
 	return workload.StepID{Job: s.job.spec.ID, Occurrence: s.occurrence.index, Step: s.index}
 }
 
-// ticketFor returns the ticket that a start on the worker must carry, and
-// whether the step may start there.
-func (s *step) ticketFor(now time.Time, w *worker) (string, bool) {
+// permitFor returns the text of the permit that a start on the worker must
+// include, and whether the step may start there. The text is empty if the queue
+// needs no permits.
+func (s *step) permitFor(now time.Time, w *worker) (string, bool) {
 	if !s.job.queue.NeedsPermit {
 		return "", true
 	}
-	t, ok := s.permits.tickets[w.info.ID]
+	t, ok := s.permits.granted[w.info.ID]
 	return t.text, ok && now.Add(permitMargin).Before(t.until)
 }
 
@@ -108,7 +109,7 @@
 		if !c.allowed(st, w) || st.permits.denied[w.info.ID] {
 			continue
 		}
-		if _, ok := st.ticketFor(c.now, w); ok {
+		if _, ok := st.permitFor(c.now, w); ok {
 			if st.spec.Reserved().Fits(w.free) {
 				return PermitRequest{}, false // a start is possible already
 			}
@@ -143,18 +144,18 @@
 		st.permits.nextRequest = now.Add(permitRetry)
 		return
 	}
-	if st.permits.tickets == nil {
-		st.permits.tickets, st.permits.denied = map[string]ticket{}, map[string]bool{}
+	if st.permits.granted == nil {
+		st.permits.granted, st.permits.denied = map[string]permit{}, map[string]bool{}
 	}
 	st.allTriedAt = time.Time{} // it may fit where only a permit was missing
 	for _, id := range q.Workers {
 		if text, ok := p.Tickets[id]; ok {
-			st.permits.tickets[id] = ticket{text: text, until: now.Add(p.Valid)}
+			st.permits.granted[id] = permit{text: text, until: now.Add(p.Valid)}
 		} else {
 			st.permits.denied[id] = true
 		}
 	}
 }
 
-// dropTicket removes a permit that the worker refused.
-func (s *step) dropTicket(w *worker) { delete(s.permits.tickets, w.info.ID) }
+// dropPermit removes a permit that the worker refused.
+func (s *step) dropPermit(w *worker) { delete(s.permits.granted, w.info.ID) }
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -224,7 +224,7 @@
 	t.attach(r)
 	t.step.job.breakdown.Starts++
 	c.s.markDirty(t.step.job)
-	permit, _ := t.step.ticketFor(c.now, w)
+	permit, _ := t.step.permitFor(c.now, w)
 	c.starts = append(c.starts, StartOrder{
 		Worker: w.info, Snapshot: snapshot,
 		Start: runner.Start{
--- a/dispatch/state_test.go
+++ b/dispatch/state_test.go
@@ -238,9 +238,9 @@
 		t.Fatalf("%d stops, want one for the long-running task", len(p.Stops))
 	}
 	r.report(first.Worker.ID, nil, []runner.RunEnd{end(1, first, runner.EndStopped)})
-	again := r.plan()
-	if len(again) != 1 || again[0].Worker.ID == first.Worker.ID {
-		t.Fatalf("got %v, want a start on the other worker", again)
+	restarts := r.plan()
+	if len(restarts) != 1 || restarts[0].Worker.ID == first.Worker.ID {
+		t.Fatalf("got %v, want a start on the other worker", restarts)
 	}
 }
 
--- a/dispatch/waitcause.go
+++ b/dispatch/waitcause.go
@@ -103,7 +103,7 @@
 	if _, ok := c.impact(st, w); !ok {
 		return WouldInterfere
 	}
-	if _, ok := st.ticketFor(c.now, w); !ok {
+	if _, ok := st.permitFor(c.now, w); !ok {
 		return NoPermit
 	}
 	return Fits
