--- a/journal/journal.go
+++ b/journal/journal.go
@@ -59,8 +59,8 @@
 	number  uint64
 	version uint64
 	started time.Time
-	// lastDuration is the duration of the last attempt.
-	lastDuration time.Duration
+	// commitDuration is the duration of the last attempt.
+	commitDuration time.Duration
 	// attempting is set while an attempt is in flight.
 	attempting bool
 	retryAt    time.Time
--- a/journal/run.go
+++ b/journal/run.go
@@ -14,8 +14,8 @@
 
 // attemptResult is the result of one commit attempt.
 type attemptResult struct {
-	result   infra.CommitResult
-	duration time.Duration
+	result         infra.CommitResult
+	commitDuration time.Duration
 	// rowRead is set if the reply was lost and own, the journal's row, was read.
 	rowRead bool
 	own     infra.Row
@@ -69,7 +69,7 @@
 	gap := j.config.Settings.CommitDelay.D()
 	j.mu.Unlock()
 	if !immediate && j.inFlight == nil {
-		gap = max(gap, minInterval, min(j.lastDuration*intervalFactor, maxInterval))
+		gap = max(gap, minInterval, min(j.commitDuration*intervalFactor, maxInterval))
 	}
 	at := j.started.Add(gap)
 	if j.retryAt.After(at) {
@@ -139,8 +139,8 @@
 	limited, cancel := context.WithTimeout(ctx, j.config.Timeout)
 	a := attemptResult{result: j.config.Table.Commit(limited, tx)}
 	cancel()
-	a.duration = j.config.Now().Sub(begin)
-	j.metrics.latency.Observe(a.duration.Seconds())
+	a.commitDuration = j.config.Now().Sub(begin)
+	j.metrics.latency.Observe(a.commitDuration.Seconds())
 	j.metrics.rows.Observe(float64(len(tx.Writes)))
 	if a.result.Status == infra.CommitUnknown && !j.skipRowRead {
 		limited, cancel = context.WithTimeout(ctx, j.config.Timeout)
@@ -156,7 +156,7 @@
 // handleResult handles the result of the attempt in flight.
 func (j *Journal) handleResult(a attemptResult) {
 	j.attempting = false
-	j.lastDuration = a.duration
+	j.commitDuration = a.commitDuration
 	j.retryAt = time.Time{}
 	j.metrics.commits.WithLabelValues(statusName(a.result.Status)).Inc()
 	switch a.result.Status {
