--- a/standin/addresses.go
+++ b/standin/addresses.go
@@ -1,13 +1,13 @@
 package standin
 
-// Addresses says where the stand-ins of a Platform listen.
+// Addresses holds the listen addresses of a Platform.
 type Addresses struct {
 	// Table, Objects and Members are base URLs.
 	Table   string `json:"table"`
 	Objects string `json:"objects"`
 	Members string `json:"members"`
-	// Control is the base URL of what concerns several stand-ins at once.
+	// Control is the base URL of requests that affect several stand-ins.
 	Control string `json:"control"`
-	// Others holds IP:port by the name of an endpoint or a worker.
+	// Others maps the names of endpoints and workers to IP:port.
 	Others map[string]string `json:"others"`
 }
--- a/standin/behaviour.go
+++ b/standin/behaviour.go
@@ -2,25 +2,25 @@
 
 import "github.com/fireflygate/fireflygate/infra"
 
-// Behaviour is the hidden truth about job classes, which the system under
-// test can only learn from reports. A class that is not named behaves as
-// declared and disturbs nobody.
+// Behaviour defines how job classes actually behave. The system under test sees
+// only its effects in reports. An unlisted class uses the declared resources and
+// causes no interference.
 type Behaviour struct {
-	// Slowdown says how much the class of the outer key suffers from each
-	// neighbour of the class of the inner key: 0.5 makes it take half as
-	// long again on a fully loaded host. It scales with the host's load.
+	// Slowdown is how much a run of the class of the outer key is slowed by each
+	// colocated run of the class of the inner key: 0.5 adds 50 % to its run time
+	// on a fully loaded host. It scales with the host's CPU utilization.
 	Slowdown map[string]map[string]float64 `json:"slowdown,omitempty" toml:"slowdown"`
-	// Size is the real use of processors and memory by class, as a multiple
-	// of the declared.
+	// Size is the actual use of processors and memory by class, as a multiple of
+	// the declared resources.
 	Size map[string]float64 `json:"size,omitempty" toml:"size"`
-	// Work is the real run time by class, as a multiple of the declared.
+	// Work is the actual run time by class, as a multiple of the declared one.
 	Work map[string]float64 `json:"work,omitempty" toml:"work"`
-	// LatencyMS is the tail latency by latency-critical class on an idle
-	// host, in milliseconds. Other classes report none.
+	// LatencyMS is the tail latency of each latency-critical class on an idle
+	// host, in milliseconds. Other classes report no latency.
 	LatencyMS map[string]float64 `json:"latency_ms,omitempty" toml:"latency_ms"`
 }
 
-// factor returns the factor of a class, 1 if none is given.
+// factor returns the factor of a class; 1 if it is not listed.
 func factor(m map[string]float64, class string) float64 {
 	if f, ok := m[class]; ok {
 		return f
@@ -28,7 +28,7 @@
 	return 1
 }
 
-// use returns what a run of the class really uses.
+// use returns the actual resource use of a run of the class at full speed.
 func (b Behaviour) use(class string, declared infra.Resources) infra.Resources {
 	f := factor(b.Size, class)
 	return infra.Resources{
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,5 +1,5 @@
-// Package standin holds small stand-ins for what surrounds the entry hosts:
-// the platform's table, objects and members, endpoints and workers. Each
-// works in memory and over HTTP and takes faults at run time. They are for
-// tests and the demonstration and keep nothing.
+// Package standin provides stand-ins for the systems that entry hosts depend on:
+// the platform's table, object store and membership service, endpoints and workers.
+// They run in memory or over HTTP, support fault injection at run time and persist
+// nothing. Tests and the demonstration use them.
 package standin
--- a/standin/endpoint.go
+++ b/standin/endpoint.go
@@ -10,10 +10,9 @@
 	"github.com/fireflygate/fireflygate/check"
 )
 
-// Endpoint is a stand-in for one instance of an interactive service. It works
-// on every request to its end, also when the caller has gone, and records
-// what it did. It does not keep to its slots by itself: an overrun is what
-// its records are there to show.
+// Endpoint is a stand-in for one instance of an interactive service. It completes
+// every request, even if the caller disconnects, and records its work. It doesn't
+// enforce its slot limit, so that its records show overruns.
 type Endpoint struct {
 	config EndpointConfig
 	closed chan struct{}
@@ -29,7 +28,7 @@
 	conns   map[net.Conn]struct{}
 }
 
-// NewEndpoint returns a healthy endpoint.
+// NewEndpoint returns an endpoint without faults.
 func NewEndpoint(config EndpointConfig) *Endpoint {
 	return &Endpoint{
 		config:  config,
@@ -49,7 +48,7 @@
 	e.changed = make(chan struct{})
 }
 
-// Faults returns the faults as they are now.
+// Faults returns the current faults.
 func (e *Endpoint) Faults() EndpointFaults {
 	f, _ := e.get()
 	return f
@@ -61,26 +60,27 @@
 	return e.faults, e.changed
 }
 
-// SetLeaving tells the endpoint whether it is leaving; it goes on serving.
+// SetLeaving sets whether the endpoint is leaving. A leaving endpoint still serves;
+// requests that begin meanwhile are counted in AfterLeaving.
 func (e *Endpoint) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
 }
 
-// Stats returns the counts so far.
+// Stats returns the current statistics.
 func (e *Endpoint) Stats() EndpointStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stats
 }
 
-// Close ends all work at once, as a crash would.
+// Close aborts all requests, as a crash would.
 func (e *Endpoint) Close() {
 	e.once.Do(func() { close(e.closed) })
 }
 
-// begin takes a request in; ok is false if it is refused.
+// begin starts a request and records it; ok is false if it is refused.
 func (e *Endpoint) begin(in *endpointRequest) (ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,21 +104,21 @@
 	return true
 }
 
-// end frees the slot of a request.
-func (e *Endpoint) end(in *endpointRequest, callerGone bool) {
+// end releases the slot of a request and records its end.
+func (e *Endpoint) end(in *endpointRequest, callerDisconnected bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stats.Running--
 	e.stats.Ended++
-	if callerGone {
+	if callerDisconnected {
 		e.stats.Orphans++
 	}
 	e.config.Recorder.Add(check.Record{RequestEnded: &check.RequestEnded{
-		Endpoint: e.config.Name, Serial: in.serial, CallerDisconnected: callerGone,
+		Endpoint: e.config.Name, Serial: in.serial, CallerDisconnected: callerDisconnected,
 	}})
 }
 
-// workTime returns how long a request takes.
+// workTime returns the processing time of a request.
 func (e *Endpoint) workTime(in *endpointRequest) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,8 +135,8 @@
 	return d
 }
 
-// cuts draws whether the next answer is cut.
-func (e *Endpoint) cuts() bool {
+// truncateNext reports whether to truncate the next response, and counts it.
+func (e *Endpoint) truncateNext() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.CutNext == 0 {
@@ -146,7 +146,8 @@
 	return true
 }
 
-// work lasts as long as the request takes, whatever its caller does.
+// work blocks for d and while the Hang fault is set, or until the endpoint is
+// closed. It ignores the caller's disconnection.
 func (e *Endpoint) work(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -168,7 +169,7 @@
 	}
 }
 
-// ConnState counts connections; it is a hook of http.Server.
+// ConnState counts open connections, as the ConnState hook of http.Server.
 func (e *Endpoint) ConnState(c net.Conn, state http.ConnState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/endpoint_config.go
+++ b/standin/endpoint_config.go
@@ -8,13 +8,13 @@
 	Name    string
 	Service string
 	Zone    string
-	// Slots is how many requests it holds at once.
+	// Slots is the number of requests that may run at once.
 	Slots int
-	// Connections is how many connections it accepts by its word; more are
-	// accepted and counted.
+	// Connections is the advertised connection limit. It isn't enforced;
+	// EndpointStats.PeakConnections shows whether it was exceeded.
 	Connections int
-	// Work is how long a request takes that does not say it itself.
+	// Work is the processing time of requests without WorkHeader.
 	Work WorkTime
-	// Recorder takes its records; nil drops them.
+	// Recorder receives its records; nil discards them.
 	Recorder *check.Recorder
 }
--- a/standin/endpoint_faults.go
+++ b/standin/endpoint_faults.go
@@ -1,20 +1,19 @@
 package standin
 
-// EndpointFaults is what goes wrong at an endpoint. The zero value is a
-// healthy one.
+// EndpointFaults are the faults injected into an endpoint. The zero value injects
+// none.
 type EndpointFaults struct {
-	// SlowFactor multiplies the time of work begun from now on; 0 counts
-	// as 1.
+	// SlowFactor multiplies the processing time of new requests; 0 means 1.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// FailAll answers every request at once with status 500.
+	// FailAll responds to every request without delay with status 500.
 	FailAll bool `json:"fail_all,omitempty"`
-	// Hang keeps requests working until the fault is lifted.
+	// Hang blocks requests in progress until the fault is cleared.
 	Hang bool `json:"hang,omitempty"`
-	// CutNext is how many answers, from now on, are cut in the middle.
+	// CutNext is the number of following responses to truncate.
 	CutNext int `json:"cut_next,omitempty"`
-	// Refuse refuses every request unprocessed.
+	// Refuse rejects every request unprocessed.
 	Refuse bool `json:"refuse,omitempty"`
-	// RefuseOverrun refuses requests above the slots unprocessed, in place
-	// of working on them and recording the overrun.
+	// RefuseOverrun rejects requests above the slot limit unprocessed, instead of
+	// processing them and counting an overrun.
 	RefuseOverrun bool `json:"refuse_overrun,omitempty"`
 }
--- a/standin/endpoint_http.go
+++ b/standin/endpoint_http.go
@@ -12,8 +12,8 @@
 	Leaving bool `json:"leaving"`
 }
 
-// Handler serves the endpoint: requests under every path but /standin/,
-// where its faults, stats and leaving flag are.
+// Handler serves the endpoint's requests on all paths except /standin/, which
+// serves its faults, statistics and leaving flag.
 func (e *Endpoint) Handler() http.Handler {
 	control := http.NewServeMux()
 	serveFaults(control, e.Set, e.Faults)
@@ -27,11 +27,10 @@
 	return mux
 }
 
-// serve works on one request.
 func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	in, err := readRequest(w, r)
 	if err != nil {
-		// The request did not arrive whole, so it does not run.
+		// An incomplete request isn't processed.
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -40,20 +39,21 @@
 		return
 	}
 	e.work(e.workTime(in))
-	// The slot is free before the answer leaves, so that whoever reads the
-	// answer may use it.
+	// The slot is released before the response is sent, so that the receiver of
+	// the response can reuse it.
 	e.end(in, r.Context().Err() != nil)
-	e.answer(w, in)
+	e.reply(w, in)
 }
 
-// answer sends the answer, or cuts it as the faults ask.
-func (e *Endpoint) answer(w http.ResponseWriter, in *endpointRequest) {
+// reply writes the response, truncated or aborted if the faults or Close ask for
+// it.
+func (e *Endpoint) reply(w http.ResponseWriter, in *endpointRequest) {
 	select {
 	case <-e.closed:
-		loseAnswer()
+		abortResponse()
 	default:
 	}
-	body := in.answer()
+	body := in.reply()
 	h := w.Header()
 	h.Set("Content-Type", "application/octet-stream")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
@@ -65,11 +65,11 @@
 	if e.Faults().FailAll {
 		w.WriteHeader(http.StatusInternalServerError)
 	}
-	if e.cuts() {
-		// The caller may be gone; nothing is left to do then.
+	if e.truncateNext() {
+		// Write errors mean that the caller has disconnected.
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
-		loseAnswer()
+		abortResponse()
 	}
 	_, _ = w.Write(body)
 }
--- a/standin/endpoint_request.go
+++ b/standin/endpoint_request.go
@@ -12,29 +12,29 @@
 
 // Headers between callers, entry hosts and endpoints.
 const (
-	// RequestIDHeader is added by entry hosts.
+	// RequestIDHeader is the request's identifier, added by entry hosts.
 	RequestIDHeader = "Fireflygate-Request-Id"
 	// BookingKeyHeader is the caller's idempotency key.
 	BookingKeyHeader = "Idempotency-Key"
-	// CallHeader is the caller's own name for a request; it is echoed.
+	// CallHeader is an identifier chosen by the caller; responses echo it.
 	CallHeader = "Standin-Call"
-	// WorkHeader is how long a request takes, in milliseconds.
+	// WorkHeader is the processing time of the request, in milliseconds.
 	WorkHeader = "Standin-Work-Ms"
-	// SizeHeader is how many bytes the answer has; without it the answer's
-	// body is the request's.
+	// SizeHeader is the size of the response body in bytes; without it the
+	// response echoes the request's body.
 	SizeHeader = "Standin-Answer-Bytes"
 	// EchoHeader is the check.Digest of the request's body.
 	EchoHeader = "Standin-Echo"
-	// AnswerDigestHeader is the check.Digest of the answer's body.
+	// AnswerDigestHeader is the check.Digest of the response's body.
 	AnswerDigestHeader = "Standin-Answer-Digest"
-	// EndpointHeader is the name of the endpoint that answered.
+	// EndpointHeader is the name of the endpoint that responded.
 	EndpointHeader = "Standin-Endpoint"
 )
 
-// maxAnswerBytes bounds the answer that a request may ask for.
-const maxAnswerBytes = 16 << 20
+// maxResponseBytes is the largest response size that a request may ask for.
+const maxResponseBytes = 16 << 20
 
-// endpointRequest is one request as an endpoint reads it.
+// endpointRequest is a parsed request to an endpoint.
 type endpointRequest struct {
 	serial  uint64
 	request string
@@ -42,13 +42,13 @@
 	method  string
 	key     string
 	body    []byte
-	// work is the time asked for; negative if the request names none.
+	// work is the requested processing time; negative if unspecified.
 	work time.Duration
-	// size is the size of the answer's body; negative for an echo.
+	// size is the size of the response body in bytes; negative to echo body.
 	size int
 }
 
-// readRequest reads a whole request.
+// readRequest reads and parses a request. Malformed headers count as absent.
 func readRequest(w http.ResponseWriter, r *http.Request) (*endpointRequest, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequest))
 	if err != nil {
@@ -67,13 +67,13 @@
 		in.work = time.Duration(ms * float64(time.Millisecond))
 	}
 	if n, err := strconv.Atoi(r.Header.Get(SizeHeader)); err == nil && n >= 0 {
-		in.size = min(n, maxAnswerBytes)
+		in.size = min(n, maxResponseBytes)
 	}
 	return in, nil
 }
 
-// answer returns the body of the answer, which depends on the request alone.
-func (in *endpointRequest) answer() []byte {
+// reply returns the response body, which is a function of the request.
+func (in *endpointRequest) reply() []byte {
 	if in.size < 0 {
 		return in.body
 	}
@@ -81,7 +81,7 @@
 	return bytes.Repeat(seed, in.size/len(seed)+1)[:in.size]
 }
 
-// began returns the record of the request's beginning.
+// began returns the record of the request's start.
 func (in *endpointRequest) began(c EndpointConfig) *check.RequestBegan {
 	return &check.RequestBegan{
 		Endpoint:   c.Name,
--- a/standin/endpoint_stats.go
+++ b/standin/endpoint_stats.go
@@ -1,21 +1,22 @@
 package standin
 
-// EndpointStats counts what an endpoint saw.
+// EndpointStats are an endpoint's counters.
 type EndpointStats struct {
-	// Running and Peak are the requests being worked on, now and at most.
+	// Running and Peak are the current and the highest number of requests in
+	// progress.
 	Running int `json:"running"`
 	Peak    int `json:"peak"`
-	// Began and Ended count requests worked on.
+	// Began and Ended count started and finished requests.
 	Began uint64 `json:"began"`
 	Ended uint64 `json:"ended"`
-	// Overruns counts requests that began above the slots.
+	// Overruns counts requests started above the slot limit.
 	Overruns uint64 `json:"overruns"`
-	// Refused counts requests refused unprocessed.
+	// Refused counts requests rejected unprocessed.
 	Refused uint64 `json:"refused"`
-	// AfterLeaving counts requests that began while it was leaving.
+	// AfterLeaving counts requests started while the endpoint was leaving.
 	AfterLeaving uint64 `json:"after_leaving"`
-	// Orphans counts requests whose caller had gone before their end.
+	// Orphans counts requests whose caller disconnected before they finished.
 	Orphans uint64 `json:"orphans"`
-	// PeakConnections is the most connections open at once.
+	// PeakConnections is the highest number of open connections.
 	PeakConnections int `json:"peak_connections"`
 }
--- a/standin/http.go
+++ b/standin/http.go
@@ -13,32 +13,33 @@
 	maxRequest = 32 << 20
 )
 
-// refuse answers that nothing was done.
+// refuse responds that the request had no effect.
 func refuse(w http.ResponseWriter) {
 	w.Header().Set(unprocessedHeader, unprocessedValue)
 	http.Error(w, "refused unprocessed", http.StatusServiceUnavailable)
 }
 
-// loseAnswer cuts the connection without an answer.
-func loseAnswer() {
+// abortResponse aborts the connection without completing the response.
+func abortResponse() {
 	panic(http.ErrAbortHandler)
 }
 
-// respond writes v as the answer to a request that had verdict d.
-func respond(w http.ResponseWriter, d verdict, v any) {
+// respond responds with v as JSON, or refuses or drops the reply as d says.
+func respond(w http.ResponseWriter, d outcome, v any) {
 	switch d {
 	case refused:
 		refuse(w)
 	case lost:
-		loseAnswer()
+		abortResponse()
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		// The sender may be gone; nothing is left to do then.
+		// An error means that the client has disconnected.
 		_ = json.NewEncoder(w).Encode(v)
 	}
 }
 
-// readJSON decodes a bounded body into v; it answers 400 itself if it can't.
+// readJSON decodes a body of at most maxRequest bytes into v. On failure it responds
+// with status 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequest))
 	if err == nil {
@@ -51,8 +52,8 @@
 	return true
 }
 
-// serveFaults handles POST /faults, which replaces all faults, and GET
-// /faults, which shows them.
+// serveFaults registers POST /faults, which replaces the faults, and GET /faults,
+// which returns them.
 func serveFaults[F any](mux *http.ServeMux, set func(F), get func() F) {
 	mux.HandleFunc("POST /faults", func(w http.ResponseWriter, r *http.Request) {
 		var f F
--- a/standin/httpclient/client.go
+++ b/standin/httpclient/client.go
@@ -15,21 +15,20 @@
 )
 
 const (
-	// unprocessedHeader marks a 503 whose sender did nothing.
+	// unprocessedHeader marks a 503 response to a request that had no effect.
 	unprocessedHeader = "Fireflygate-Unprocessed"
 	unprocessedValue  = "1"
 	contentType       = "application/json"
-	// maxAnswer bounds the body of an answer, in bytes.
-	maxAnswer = 32 << 20
+	maxResponseBytes  = 32 << 20
 )
 
-// client sends single requests; it never repeats one by itself.
+// client sends requests without retries.
 type client struct {
 	http *http.Client
 }
 
-// newClient takes over c's transport, but follows no redirect, since that
-// would send a request twice.
+// newClient returns a client based on c that follows no redirects, since a redirect
+// would send the request twice.
 func newClient(c *http.Client) client {
 	own := *c
 	own.CheckRedirect = func(*http.Request, []*http.Request) error {
@@ -38,23 +37,22 @@
 	return client{http: &own}
 }
 
-// do sends one request and reads its whole answer.
-func (c client) do(ctx context.Context, method, url string, body []byte) answer {
-	return c.send(ctx, method, url, "", body)
+// do sends one request and reads the complete response.
+func (c client) do(ctx context.Context, method, url string, body []byte) response {
+	return c.doConditional(ctx, method, url, "", body)
 }
 
-// send is do, for an answer that differs from the one with the entity tag; any
-// if that is empty.
-func (c client) send(ctx context.Context, method, url, etag string, body []byte) answer {
+// doConditional is like do, with an If-None-Match header unless etag is empty.
+func (c client) doConditional(ctx context.Context, method, url, etag string, body []byte) response {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), method, url, bytes.NewReader(body))
 	if err != nil {
-		return answer{unprocessed: true, err: errors.Wrap(err, "make request")}
+		return response{unprocessed: true, err: errors.Wrap(err, "make request")}
 	}
-	// Without GetBody the transport can't send the body a second time.
+	// Without GetBody the transport can't resend the body on another connection.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", contentType)
 	if etag != "" {
@@ -62,18 +60,18 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		// No byte can have left before there was a connection.
-		return answer{unprocessed: !connected.Load(), err: unavailable(err)}
+		// Without a connection, nothing was sent.
+		return response{unprocessed: !connected.Load(), err: unavailable(err)}
 	}
 	defer resp.Body.Close()
-	return readAnswer(resp)
+	return readResponse(resp)
 }
 
-// call sends in as JSON and decodes the answer into out.
-func (c client) call(ctx context.Context, url string, in, out any) answer {
+// call posts in as JSON and decodes the response into out.
+func (c client) call(ctx context.Context, url string, in, out any) response {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return answer{unprocessed: true, err: errors.Wrap(err, "encode request")}
+		return response{unprocessed: true, err: errors.Wrap(err, "encode request")}
 	}
 	a := c.do(ctx, http.MethodPost, url, body)
 	if a.err != nil {
@@ -85,29 +83,29 @@
 	return a
 }
 
-// readAnswer reads a bounded body to its end.
-func readAnswer(resp *http.Response) answer {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+// readResponse reads the body, up to maxResponseBytes bytes, and maps the status code.
+func readResponse(resp *http.Response) response {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return answer{err: unavailable(err)}
+		return response{err: unavailable(err)}
 	}
-	if len(body) > maxAnswer {
-		return answer{err: unavailable(errors.Newf("answer is larger than %d bytes", maxAnswer))}
+	if len(body) > maxResponseBytes {
+		return response{err: unavailable(errors.Newf("response body exceeds %d bytes", maxResponseBytes))}
 	}
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusNoContent:
-		return answer{body: body, etag: resp.Header.Get("ETag")}
+		return response{body: body, etag: resp.Header.Get("ETag")}
 	case http.StatusNotModified:
-		return answer{unmodified: true}
+		return response{unmodified: true}
 	case http.StatusNotFound:
-		return answer{err: infra.ErrNotFound}
+		return response{err: infra.ErrNotFound}
 	}
 	refused := resp.StatusCode == http.StatusServiceUnavailable &&
 		resp.Header.Get(unprocessedHeader) == unprocessedValue
-	return answer{unprocessed: refused, err: unavailable(errors.Newf("status %d", resp.StatusCode))}
+	return response{unprocessed: refused, err: unavailable(errors.Newf("unexpected HTTP status %d", resp.StatusCode))}
 }
 
-// unavailable marks err as infra.ErrUnavailable and keeps its cause.
+// unavailable marks err as infra.ErrUnavailable and keeps its message.
 func unavailable(err error) error {
 	return errors.Mark(err, infra.ErrUnavailable)
 }
--- a/standin/httpclient/doc.go
+++ b/standin/httpclient/doc.go
@@ -1,4 +1,4 @@
-// Package httpclient speaks to the platform's services and to workers over
-// JSON and HTTP. Its types implement the interfaces of package platform and
-// are safe for concurrent use.
+// Package httpclient provides clients of the platform's services and of workers,
+// using JSON over HTTP. Its types implement the interfaces of package infra and are
+// safe for concurrent use.
 package httpclient
--- a/standin/httpclient/members.go
+++ b/standin/httpclient/members.go
@@ -11,8 +11,8 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Members is a client of the membership service. Where the service gives an
-// entity tag, a list that did not change is not transferred again.
+// Members is a client of the membership service. If the service sends entity tags,
+// an unchanged list isn't transferred again.
 type Members struct {
 	client client
 	base   string
@@ -29,18 +29,18 @@
 	return &Members{client: newClient(c), base: baseURL}
 }
 
-// List reads the newest list. Lists share their members while these do not
-// change; callers must not change them.
+// List returns the current list. Calls may return the same slice of members, which
+// callers must not modify.
 func (m *Members) List(ctx context.Context) (infra.MemberList, error) {
 	m.mu.Lock()
 	etag, last := m.etag, m.last
 	m.mu.Unlock()
-	a := m.client.send(ctx, http.MethodGet, m.base+"/members", etag, nil)
+	a := m.client.doConditional(ctx, http.MethodGet, m.base+"/members", etag, nil)
 	switch {
 	case a.err != nil:
 		return infra.MemberList{}, a.err
 	case a.unmodified && etag == "":
-		return infra.MemberList{}, unavailable(errors.New("not modified, though nothing was read before"))
+		return infra.MemberList{}, unavailable(errors.New("membership service answered 304 to an unconditional request"))
 	case a.unmodified:
 		return last, nil
 	}
--- a/standin/httpclient/messages.go
+++ b/standin/httpclient/messages.go
@@ -14,7 +14,7 @@
 	Limit  int    `json:"limit"`
 }
 
-// RowsReply is the answer to POST /get and POST /scan.
+// RowsReply is the response to POST /get and POST /scan.
 type RowsReply struct {
 	Rows []infra.Row `json:"rows"`
 }
--- a/standin/httpclient/objects.go
+++ b/standin/httpclient/objects.go
@@ -21,12 +21,12 @@
 	return &Objects{client: newClient(c), base: baseURL}
 }
 
-// Put stores an object.
+// Put stores data under key and replaces what was there.
 func (o *Objects) Put(ctx context.Context, key string, data []byte) error {
 	return o.client.do(ctx, http.MethodPut, o.url(key), data).err
 }
 
-// Get reads an object; infra.ErrNotFound if there is none.
+// Get returns the object stored under key, or infra.ErrNotFound.
 func (o *Objects) Get(ctx context.Context, key string) ([]byte, error) {
 	a := o.client.do(ctx, http.MethodGet, o.url(key), nil)
 	return a.body, a.err
--- a/standin/httpclient/response.go
+++ b/standin/httpclient/response.go
@@ -1,16 +1,16 @@
 package httpclient
 
-// answer is what became of one request.
-type answer struct {
-	// body is the whole answer, when err is nil.
+// replyOutcome is the outcome of one request.
+type response struct {
+	// body is the complete response body if err is nil.
 	body []byte
-	// etag is the entity tag of body, empty if the service gives none.
+	// etag is the entity tag of body; empty if the service sent none.
 	etag string
-	// unmodified is set when the service says that what it sent last, with
-	// the entity tag named, still holds. There is no body then.
+	// unmodified is set if the service answered 304: the content still has the
+	// entity tag of the request, and body is empty.
 	unmodified bool
-	// unprocessed is set when the request surely had no effect: no byte of
-	// it was sent, or the service refused it.
+	// unprocessed is set if the request certainly had no effect: no connection
+	// was made, or the service refused it.
 	unprocessed bool
 	err         error
 }
--- a/standin/httpclient/table.go
+++ b/standin/httpclient/table.go
@@ -21,7 +21,8 @@
 	return &Table{client: newClient(c), base: baseURL}
 }
 
-// Commit applies a transaction. It is sent at most once.
+// Commit applies a transaction. The request is sent at most once; the status is
+// infra.CommitUnknown if it may have taken effect.
 func (t *Table) Commit(ctx context.Context, tx infra.Transaction) infra.CommitResult {
 	var result infra.CommitResult
 	a := t.client.call(ctx, t.base+"/commit", tx, &result)
@@ -35,14 +36,15 @@
 	}
 }
 
-// Get reads rows at one version, in the order of keys.
+// Get returns the rows of keys, in that order, as of one version.
 func (t *Table) Get(ctx context.Context, keys ...string) ([]infra.Row, error) {
 	var reply RowsReply
 	a := t.client.call(ctx, t.base+"/get", GetRequest{Keys: keys}, &reply)
 	return reply.Rows, a.err
 }
 
-// Scan reads up to limit rows with the prefix that sort after the key after.
+// Scan returns up to limit rows, in key order, whose keys have the prefix and sort
+// after the key after.
 func (t *Table) Scan(ctx context.Context, prefix, after string, limit int) ([]infra.Row, error) {
 	var reply RowsReply
 	in := ScanRequest{Prefix: prefix, After: after, Limit: limit}
--- a/standin/httpclient/workers.go
+++ b/standin/httpclient/workers.go
@@ -7,19 +7,19 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Workers reaches the agents of worker hosts.
+// Workers is a client of the agents on worker hosts.
 type Workers struct {
 	client client
 }
 
 var _ infra.Workers = (*Workers)(nil)
 
-// NewWorkers returns a client of workers' control ports.
+// NewWorkers returns a client that sends its requests with c.
 func NewWorkers(c *http.Client) *Workers {
 	return &Workers{client: newClient(c)}
 }
 
-// Exchange sends one exchange to the worker at address, IP:port.
+// Exchange sends one exchange to the worker at address, an IP:port.
 func (w *Workers) Exchange(ctx context.Context, address string, x infra.Exchange) (infra.ExchangeReply, error) {
 	var reply infra.ExchangeReply
 	a := w.client.call(ctx, "http://"+address+"/exchange", x, &reply)
--- a/standin/injector.go
+++ b/standin/injector.go
@@ -12,7 +12,7 @@
 	mu     sync.Mutex
 	faults Faults
 	random *rand.Rand
-	// changed is closed at the next change of faults.
+	// changed is closed when the faults are replaced.
 	changed chan struct{}
 }
 
@@ -20,7 +20,7 @@
 	return &injector{changed: make(chan struct{}), random: rand.New(rand.NewPCG(0, 0))}
 }
 
-// Set replaces the faults and wakes the requests that they hold.
+// Set replaces the faults and wakes the requests that they block.
 func (i *injector) Set(f Faults) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -30,7 +30,7 @@
 	i.changed = make(chan struct{})
 }
 
-// Faults returns the faults as they are now.
+// Faults returns the current faults.
 func (i *injector) Faults() Faults {
 	f, _ := i.get()
 	return f
@@ -42,8 +42,8 @@
 	return i.faults, i.changed
 }
 
-// loses draws whether the next answer is lost.
-func (i *injector) loses() bool {
+// loseReply reports whether to drop the next reply, and counts it.
+func (i *injector) loseReply() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.faults.LoseNext > 0 {
@@ -53,15 +53,16 @@
 	return i.faults.LoseShare > 0 && i.random.Float64() < i.faults.LoseShare
 }
 
-// run passes one request through the faults; effect processes it.
-func (i *injector) run(ctx context.Context, effect func()) verdict {
+// run applies the faults to one request, which effect processes. With Paused or
+// DelayMS, effect may run after run has returned lost.
+func (i *injector) run(ctx context.Context, effect func()) outcome {
 	f, v := i.admit(ctx)
 	if v != processed {
 		return v
 	}
 	if !f.Paused && f.DelayMS <= 0 {
 		effect()
-		return i.answer()
+		return i.replyOutcome()
 	}
 	done := make(chan struct{})
 	go func() {
@@ -71,14 +72,14 @@
 	}()
 	select {
 	case <-done:
-		return i.answer()
+		return i.replyOutcome()
 	case <-ctx.Done():
 		return lost
 	}
 }
 
-// admit holds or refuses a request as Hang and Down ask.
-func (i *injector) admit(ctx context.Context) (Faults, verdict) {
+// admit rejects the request if Down is set and blocks it while Hang is.
+func (i *injector) admit(ctx context.Context) (Faults, outcome) {
 	for {
 		f, changed := i.get()
 		if f.Down {
@@ -95,8 +96,8 @@
 	}
 }
 
-// wait lasts as long as Paused, then DelayMS, whatever the sender does. A
-// change of faults ends a delay.
+// wait blocks while Paused is set and then for DelayMS; a change of faults ends the
+// delay early.
 func (i *injector) wait() {
 	for {
 		f, changed := i.get()
@@ -114,8 +115,8 @@
 	}
 }
 
-func (i *injector) answer() verdict {
-	if i.loses() {
+func (i *injector) replyOutcome() outcome {
+	if i.loseReply() {
 		return lost
 	}
 	return processed
--- a/standin/lag.go
+++ b/standin/lag.go
@@ -1,10 +1,10 @@
 package standin
 
-// Lag says how the published membership list lags behind the true one. The
-// zero value publishes at once.
+// Lag is the delay between a change of the membership and its publication. The zero
+// value publishes immediately.
 type Lag struct {
-	// Held publishes nothing until Publish is called.
+	// Held disables publication until Publish is called.
 	Held bool `json:"held,omitempty"`
-	// DelayMS publishes each change that much later, in milliseconds.
+	// DelayMS is the publication delay of each change, in milliseconds.
 	DelayMS int64 `json:"delay_ms,omitempty"`
 }
--- a/standin/machine.go
+++ b/standin/machine.go
@@ -16,58 +16,59 @@
 	reasonStopped     = "stopped_before"
 )
 
-// machine is a worker without locks and clocks: every method is given the
-// time, which never goes back.
+// machine simulates a worker. It has no lock and no clock: callers pass the time,
+// which must not decrease.
 type machine struct {
 	config WorkerConfig
 	faults WorkerFaults
 	now    time.Time
 
-	owner      uint64
+	ownerEpoch uint64
 	leaseUntil time.Time
 	seq        uint64
-	// runs is in the order of their starts.
+	// runs lists the runs in the order in which they were added.
 	runs []*run
-	// highest is the highest epoch of each job named in any order; closed
-	// is the highest that may not start any more.
-	highest map[string]uint64
-	closed  map[string]uint64
-	// first is seq at the last restart; a Since before it is unknown. born is
-	// when that was.
-	first      uint64
-	born       time.Time
-	nextSample time.Time
-	// sampled and reported are tail latencies, which lag as usage does.
+	// highestEpochs holds the highest epoch of each job in any order received,
+	// closedEpochs the highest epoch of each job that may no longer start.
+	highestEpochs map[string]uint64
+	closedEpochs  map[string]uint64
+	// firstSeq is the value of seq at the last restart, restartedAt its time. A
+	// Since below firstSeq belongs to an earlier incarnation.
+	firstSeq    uint64
+	restartedAt time.Time
+	nextSample  time.Time
+	// sampled and reported are the tail latencies of the last and of the previous
+	// sample; the previous one is reported.
 	sampled, reported map[string]float64
 }
 
-// newMachine returns an idle worker. Its sequence numbers begin at the time,
-// so that one of an earlier life is not taken for its own.
+// newMachine returns an idle worker. Its sequence numbers start at the current time
+// in microseconds, which distinguishes them from those of earlier incarnations.
 func newMachine(config WorkerConfig, now time.Time) *machine {
 	seq := uint64(max(now.UnixMicro(), 1))
 	return &machine{
-		config:     config,
-		now:        now,
-		seq:        seq,
-		first:      seq,
-		born:       now,
-		highest:    map[string]uint64{},
-		closed:     map[string]uint64{},
-		nextSample: now.Add(config.Lag),
+		config:        config,
+		now:           now,
+		seq:           seq,
+		firstSeq:      seq,
+		restartedAt:   now,
+		highestEpochs: map[string]uint64{},
+		closedEpochs:  map[string]uint64{},
+		nextSample:    now.Add(config.Lag),
 	}
 }
 
-// setFaults replaces the faults at now.
+// setFaults replaces the faults at the time now.
 func (m *machine) setFaults(now time.Time, f WorkerFaults) {
 	m.advance(now)
 	if f.Dead && !m.faults.Dead {
-		m.die()
+		m.crash()
 	}
 	m.faults = f
 }
 
-// die loses all runs and all memory of them.
-func (m *machine) die() {
+// crash simulates a crash: all runs end and the state is reset.
+func (m *machine) crash() {
 	for _, r := range m.runs {
 		if r.running() {
 			m.recordEnd(r, infra.RunExpired)
@@ -75,31 +76,31 @@
 	}
 	fresh := newMachine(m.config, m.now)
 	fresh.seq = max(fresh.seq, m.seq+1)
-	fresh.first = fresh.seq
+	fresh.firstSeq = fresh.seq
 	*m = *fresh
 }
 
-// touch marks a run as changed.
-func (m *machine) touch(r *run) {
+// markChanged assigns a new sequence number to a changed run.
+func (m *machine) markChanged(r *run) {
 	m.seq++
 	r.seq = m.seq
 }
 
-// finish ends a running run.
+// finish ends a run and prevents its epoch from starting again.
 func (m *machine) finish(r *run, state infra.RunState, reason string) {
 	r.state = state
 	r.reason = reason
-	m.close(r.id)
-	m.touch(r)
+	m.closeEpoch(r.id)
+	m.markChanged(r)
 	m.recordEnd(r, state)
 }
 
-// close keeps a run's epoch and all below from starting.
-func (m *machine) close(id infra.RunID) {
-	m.closed[id.Job] = max(m.closed[id.Job], id.Epoch)
+// closeEpoch prevents starts of the run's epoch and of lower ones.
+func (m *machine) closeEpoch(id infra.RunID) {
+	m.closedEpochs[id.Job] = max(m.closedEpochs[id.Job], id.Epoch)
 }
 
-// find returns the run listed under id, nil if there is none.
+// find returns the run with the id, or nil.
 func (m *machine) find(id infra.RunID) *run {
 	for _, r := range m.runs {
 		if r.id == id {
@@ -111,7 +112,7 @@
 
 func (m *machine) recordBegin(r *run) {
 	m.config.Recorder.Add(check.Record{At: m.now, RunBegan: &check.RunBegan{
-		Worker: m.config.Name, Run: r.id, Resources: r.reserve,
+		Worker: m.config.Name, Run: r.id, Resources: r.reserved,
 		Capacity: m.config.Capacity, Checkpoint: r.checkpoint,
 	}})
 }
--- a/standin/machine_advance.go
+++ b/standin/machine_advance.go
@@ -6,17 +6,17 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// fullPercent is a run that is not throttled.
+// fullPercent is the CPU limit of a run that isn't throttled.
 const fullPercent = 100
 
-// advance lets time pass until now, from event to event: the end of a run, a
-// sample of usage, the lapse of the lease.
+// advance simulates the time until now, event by event: completion of a run, a
+// usage sample, expiry of the lease.
 func (m *machine) advance(now time.Time) {
 	if !now.After(m.now) {
 		return
 	}
 	if m.faults.Paused {
-		m.freeze(now)
+		m.advancePaused(now)
 		return
 	}
 	for m.now.Before(now) {
@@ -24,22 +24,22 @@
 		m.progress(next.Sub(m.now))
 		m.now = next
 		m.completeRuns()
-		m.lapse()
+		m.expireLease()
 		m.sample()
 	}
 }
 
-// freeze lets time pass without progress. The lease lapses all the same.
-func (m *machine) freeze(now time.Time) {
+// advancePaused simulates the time until now without progress; the lease can expire.
+func (m *machine) advancePaused(now time.Time) {
 	if !m.leaseUntil.After(now) && m.leaseUntil.After(m.now) {
 		m.now = m.leaseUntil
 	}
-	m.lapse()
+	m.expireLease()
 	m.now = now
 	m.nextSample = now.Add(m.config.Lag)
 }
 
-// nextEvent returns the earliest event up to now.
+// nextEvent returns the time of the next event, at most now.
 func (m *machine) nextEvent(now time.Time) time.Time {
 	next := earliest(now, m.now, m.leaseUntil)
 	if m.config.Lag > 0 {
@@ -56,8 +56,7 @@
 	return next
 }
 
-// earliest returns at if it is after the time after and before next, else
-// next.
+// earliest returns at if it lies between after and next, otherwise next.
 func earliest(next, after, at time.Time) time.Time {
 	if at.After(after) && at.Before(next) {
 		return at
@@ -65,7 +64,7 @@
 	return next
 }
 
-// progress adds the work done in d.
+// progress advances all running runs by the duration d.
 func (m *machine) progress(d time.Duration) {
 	ms := float64(d) / float64(time.Millisecond)
 	for i, speed := range m.speeds() {
@@ -73,7 +72,7 @@
 	}
 }
 
-// completeRuns ends the runs whose work is done.
+// completeRuns finishes the runs that have done all their work.
 func (m *machine) completeRuns() {
 	for _, r := range m.runs {
 		if r.running() && r.workMS > 0 && r.doneMS >= r.workMS {
@@ -82,8 +81,8 @@
 	}
 }
 
-// lapse stops all runs once their lease is over.
-func (m *machine) lapse() {
+// expireLease ends all runs if the lease has expired.
+func (m *machine) expireLease() {
 	if m.now.Before(m.leaseUntil) {
 		return
 	}
@@ -94,8 +93,8 @@
 	}
 }
 
-// sample publishes the last sample of usage and takes the next one. Without
-// a lag both happen at each step.
+// sample reports the previous usage sample and takes a new one, every config.Lag.
+// Without a lag it does so at each step.
 func (m *machine) sample() {
 	if m.config.Lag > 0 && m.now.Before(m.nextSample) {
 		return
@@ -111,7 +110,7 @@
 		r.reported = r.sampled
 		r.sampled = usageSample{doneMS: r.doneMS, use: load.used(r)}
 		if changed {
-			m.touch(r)
+			m.markChanged(r)
 		}
 	}
 }
--- a/standin/machine_exchange.go
+++ b/standin/machine_exchange.go
@@ -12,23 +12,23 @@
 // exchange processes one exchange that arrived at now.
 func (m *machine) exchange(now time.Time, x infra.Exchange) infra.ExchangeReply {
 	m.advance(now)
-	if x.OwnerEpoch < m.owner {
-		return m.head(infra.ExchangeReply{Refused: true})
+	if x.OwnerEpoch < m.ownerEpoch {
+		return m.withHeader(infra.ExchangeReply{Refused: true})
 	}
 	if m.stale(x) {
-		return m.head(infra.ExchangeReply{Stale: true})
+		return m.withHeader(infra.ExchangeReply{Stale: true})
 	}
-	m.owner = x.OwnerEpoch
+	m.ownerEpoch = x.OwnerEpoch
 	m.leaseUntil = m.now.Add(time.Duration(x.LeaseMS) * time.Millisecond)
 	for _, o := range x.Orders {
 		m.order(o)
 	}
-	m.guardMemory()
+	m.enforceMemory()
 	return m.reply(x.Since)
 }
 
-// stale reports whether the exchange was made for an earlier life or came after
-// its time. A start needs to name the life that it is for.
+// stale reports whether the exchange is for another incarnation or arrived after
+// ValidUntilMS. An exchange without an incarnation must not start runs.
 func (m *machine) stale(x infra.Exchange) bool {
 	if x.Incarnation == "" {
 		return x.Starts()
@@ -36,22 +36,23 @@
 	return x.Incarnation != m.incarnation() || m.clockMS() > x.ValidUntilMS
 }
 
-// incarnation names this life.
-func (m *machine) incarnation() string { return strconv.FormatUint(m.first, 36) }
+// incarnation identifies the period since the last restart.
+func (m *machine) incarnation() string { return strconv.FormatUint(m.firstSeq, 36) }
 
-// clockMS is the time since the machine was born.
-func (m *machine) clockMS() int64 { return m.now.Sub(m.born).Milliseconds() }
+// clockMS returns the time since the last restart, in milliseconds.
+func (m *machine) clockMS() int64 { return m.now.Sub(m.restartedAt).Milliseconds() }
 
-// head fills in what every reply tells.
-func (m *machine) head(r infra.ExchangeReply) infra.ExchangeReply {
+// withHeader sets the fields that all replies have.
+func (m *machine) withHeader(r infra.ExchangeReply) infra.ExchangeReply {
 	r.Seq, r.Incarnation, r.ClockMS = m.seq, m.incarnation(), m.clockMS()
 	return r
 }
 
-// reply returns the changes since a sequence number, or the whole list.
+// reply returns the runs that changed after the sequence number since, or all runs
+// if since is of another incarnation.
 func (m *machine) reply(since uint64) infra.ExchangeReply {
-	whole := since < m.first || since > m.seq
-	reply := m.head(infra.ExchangeReply{FullList: whole, LatencyMS: maps.Clone(m.reported)})
+	whole := since < m.firstSeq || since > m.seq
+	reply := m.withHeader(infra.ExchangeReply{FullList: whole, LatencyMS: maps.Clone(m.reported)})
 	for _, r := range m.runs {
 		if whole || r.seq > since {
 			reply.Runs = append(reply.Runs, r.report())
@@ -60,7 +61,7 @@
 	return reply
 }
 
-// order carries out one order; each is idempotent.
+// order executes one order. Orders are idempotent.
 func (m *machine) order(o infra.Order) {
 	r := m.find(o.Run)
 	switch o.Kind {
@@ -70,7 +71,7 @@
 		}
 	case infra.OrderThrottle:
 		if r != nil && r.running() && o.Percent > 0 {
-			r.percent = min(o.Percent, fullPercent)
+			r.cpuLimit = min(o.Percent, fullPercent)
 		}
 	case infra.OrderCheckpoint:
 		m.stop(o.Run, r, true)
@@ -79,24 +80,24 @@
 	case infra.OrderForget:
 		m.forget(r)
 	}
-	m.highest[o.Run.Job] = max(m.highest[o.Run.Job], o.Run.Epoch)
+	m.highestEpochs[o.Run.Job] = max(m.highestEpochs[o.Run.Job], o.Run.Epoch)
 }
 
-// start begins a run, or lists it as refused.
+// start adds a run, which starts or is refused.
 func (m *machine) start(o infra.Order) {
 	r := &run{
 		id:         o.Run,
 		class:      o.Class,
 		state:      infra.RunRunning,
-		reserve:    o.Resources,
+		reserved:   o.Resources,
 		use:        m.config.Behaviour.use(o.Class, declared(o)),
 		workMS:     float64(o.WorkMS) * factor(m.config.Behaviour.Work, o.Class),
 		doneMS:     checkpointProgress(o.Checkpoint),
 		checkpoint: o.Checkpoint,
-		percent:    fullPercent,
+		cpuLimit:   fullPercent,
 	}
 	m.runs = append(m.runs, r)
-	m.touch(r)
+	m.markChanged(r)
 	if reason := m.refusal(o.Run); reason != "" {
 		r.state = infra.RunRefused
 		r.reason = reason
@@ -104,14 +105,14 @@
 	}
 	m.supersede(o.Run)
 	m.recordBegin(r)
-	// What it resumed from is not progress that it saved.
+	// The checkpoint that the run resumed from isn't one that it saved.
 	r.checkpoint = ""
 	if m.faults.FailStarts {
 		m.finish(r, infra.RunFailed, reasonStartFailed)
 	}
 }
 
-// declared is what a start's job was declared to need.
+// declared returns the declared resources of the order's job.
 func declared(o infra.Order) infra.Resources {
 	if o.Declared == (infra.Resources{}) {
 		return o.Resources
@@ -119,12 +120,12 @@
 	return o.Declared
 }
 
-// refusal returns why a run may not start, empty if it may.
+// refusal returns the reason why a run may not start; empty if it may.
 func (m *machine) refusal(id infra.RunID) string {
 	switch {
-	case m.highest[id.Job] > id.Epoch:
+	case m.highestEpochs[id.Job] > id.Epoch:
 		return reasonSuperseded
-	case m.closed[id.Job] >= id.Epoch:
+	case m.closedEpochs[id.Job] >= id.Epoch:
 		return reasonStopped
 	case m.faults.RefuseStarts:
 		return reasonRefusing
@@ -133,7 +134,7 @@
 	}
 }
 
-// supersede stops the runs of lower epochs of a job that is about to start.
+// supersede stops the job's runs with lower epochs.
 func (m *machine) supersede(id infra.RunID) {
 	for _, r := range m.runs {
 		if r.running() && r.id.Job == id.Job && r.id.Epoch < id.Epoch {
@@ -142,14 +143,14 @@
 	}
 }
 
-// stop ends a run, with its progress if save is set. A run that is not known
-// is listed as stopped, so that whoever asked learns that it does not run.
+// stop stops a run and, if save is set, checkpoints its progress. An unknown run
+// (r is nil) is added as stopped, so that the next reply confirms the order.
 func (m *machine) stop(id infra.RunID, r *run, save bool) {
 	if r == nil {
 		r = &run{id: id, state: infra.RunStopped}
 		m.runs = append(m.runs, r)
-		m.close(id)
-		m.touch(r)
+		m.closeEpoch(id)
+		m.markChanged(r)
 		return
 	}
 	if !r.running() {
@@ -161,11 +162,11 @@
 	m.finish(r, infra.RunStopped, "")
 }
 
-// forget drops a finished run. Its epoch stays closed.
+// forget removes a finished run. Its epoch still can't start again.
 func (m *machine) forget(r *run) {
 	if r == nil || r.running() {
 		return
 	}
-	m.close(r.id)
+	m.closeEpoch(r.id)
 	m.runs = slices.DeleteFunc(m.runs, func(other *run) bool { return other == r })
 }
--- a/standin/machine_speed.go
+++ b/standin/machine_speed.go
@@ -4,61 +4,63 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// load is how busy a worker's processors are.
+// load describes the contention for a worker's processors.
 type load struct {
-	// share is the part of what it wants that each run gets, 0 to 1.
+	// share is the fraction of its CPU demand that each run gets, 0 to 1.
 	share float64
-	// busy is the part of the processors in use, 0 to 1.
-	busy float64
+	// utilization is the CPU utilization, 0 to 1.
+	utilization float64
 }
 
-// wanted returns how many thousandths of a core a run wants.
-func (r *run) wanted() float64 {
-	return float64(r.use.MilliCPU) * float64(r.percent) / fullPercent
+// cpuDemand returns the CPU demand of a run under its CPU limit, in thousandths of a
+// core.
+func (r *run) cpuDemand() float64 {
+	return float64(r.use.MilliCPU) * float64(r.cpuLimit) / fullPercent
 }
 
-// used returns what a run uses under the load.
+// used returns the resource use of a run under the load.
 func (l load) used(r *run) infra.Resources {
 	use := r.use
-	use.MilliCPU = int64(r.wanted() * l.share)
+	use.MilliCPU = int64(r.cpuDemand() * l.share)
 	return use
 }
 
-// loads returns the load of the worker as it is now.
+// loads returns the worker's current load.
 func (m *machine) loads() load {
 	total := 0.0
 	for _, r := range m.runs {
 		if r.running() {
-			total += r.wanted()
+			total += r.cpuDemand()
 		}
 	}
 	capacity := float64(m.config.Capacity.MilliCPU)
 	if total <= 0 || capacity <= 0 {
 		return load{share: 1}
 	}
-	return load{share: min(1, capacity/total), busy: min(1, total/capacity)}
+	return load{share: min(1, capacity/total), utilization: min(1, total/capacity)}
 }
 
-// speeds returns the speed of every run, 1 being full; 0 if it does not run.
+// speeds returns the speed of every run: 1 is full speed, 0 isn't running.
 func (m *machine) speeds() []float64 {
 	speeds := make([]float64, len(m.runs))
 	l := m.loads()
 	for i, r := range m.runs {
 		if r.running() {
-			speeds[i] = l.share * float64(r.percent) / fullPercent / m.slowdown(r, l)
+			speeds[i] = l.share * float64(r.cpuLimit) / fullPercent / m.slowdown(r, l)
 		}
 	}
 	return speeds
 }
 
-// slowdown returns by how much its neighbours slow a run, 1 being not at all.
+// slowdown returns the factor, 1 or more, by which colocated runs slow a run down,
+// times the SlowFactor of the faults.
 func (m *machine) slowdown(r *run, l load) float64 {
 	slow := 1.0
 	table := m.config.Behaviour.Slowdown[r.class]
 	for _, other := range m.runs {
 		if other != r && other.running() {
-			throttled := float64(other.percent) / fullPercent
-			slow *= 1 + table[other.class]*l.busy*throttled
+			throttled := float64(other.cpuLimit) / fullPercent
+			slow *= 1 + table[other.class]*l.utilization*throttled
 		}
 	}
 	if m.faults.SlowFactor > 0 {
@@ -67,8 +69,8 @@
 	return slow
 }
 
-// latencies returns the tail latency by latency-critical class: the worst of
-// its runs.
+// latencies returns the highest tail latency among the runs of each
+// latency-critical class, in milliseconds.
 func (m *machine) latencies() map[string]float64 {
 	latencies := map[string]float64{}
 	l := m.loads()
@@ -82,9 +84,9 @@
 	return latencies
 }
 
-// guardMemory kills runs until the memory in use fits: each time the one
-// that is furthest above its reservation.
-func (m *machine) guardMemory() {
+// enforceMemory kills runs until the memory in use fits the capacity, those that
+// exceed their reservation most first.
+func (m *machine) enforceMemory() {
 	for {
 		var total int64
 		var worst *run
@@ -104,7 +106,7 @@
 	}
 }
 
-// excessMB is how much memory a run uses above its reservation.
+// excessMB returns the memory use above the run's reservation, in megabytes.
 func (r *run) excessMB() int64 {
-	return r.use.MemoryMB - r.reserve.MemoryMB
+	return r.use.MemoryMB - r.reserved.MemoryMB
 }
--- a/standin/members.go
+++ b/standin/members.go
@@ -13,35 +13,35 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Members is a stand-in for the membership service. Operators change the
-// true list; readers see the published one, which may lag. It implements
+// Members is a stand-in for the membership service. Changes apply to the current
+// list; readers get the published list, which may lag behind. It implements
 // infra.Members.
 type Members struct {
 	*injector
 	recorder *check.Recorder
-	// instance tells this list from that of another process in entity tags.
-	instance string
+	// instanceID distinguishes the entity tags of different processes.
+	instanceID string
 
 	mu        sync.Mutex
-	truth     map[string]infra.Member
+	current   map[string]infra.Member
 	published infra.MemberList
 	lag       Lag
 }
 
 var _ infra.Members = (*Members)(nil)
 
-// NewMembers returns an empty list that is published at each change.
+// NewMembers returns an empty list that is published on each change.
 func NewMembers(recorder *check.Recorder) *Members {
 	return &Members{
-		injector:  newInjector(),
-		recorder:  recorder,
-		instance:  uuid.NewString(),
-		truth:     map[string]infra.Member{},
-		published: infra.MemberList{Revision: 1},
+		injector:   newInjector(),
+		recorder:   recorder,
+		instanceID: uuid.NewString(),
+		current:    map[string]infra.Member{},
+		published:  infra.MemberList{Revision: 1},
 	}
 }
 
-// List reads the published list.
+// List returns the published list.
 func (m *Members) List(ctx context.Context) (infra.MemberList, error) {
 	var list infra.MemberList
 	if m.run(ctx, func() { list = m.list() }) != processed {
@@ -52,32 +52,32 @@
 
 // Put adds or replaces a member.
 func (m *Members) Put(member infra.Member) {
-	m.change(func() { m.truth[member.Name] = member })
+	m.change(func() { m.current[member.Name] = member })
 }
 
-// SetState changes the state of a member, if there is one of that name.
+// SetState changes the state of a member; an unknown name has no effect.
 func (m *Members) SetState(name string, state infra.MemberState) {
 	m.change(func() {
-		if member, ok := m.truth[name]; ok {
+		if member, ok := m.current[name]; ok {
 			member.State = state
-			m.truth[name] = member
+			m.current[name] = member
 		}
 	})
 }
 
-// Remove drops a member.
+// Remove removes a member.
 func (m *Members) Remove(name string) {
-	m.change(func() { delete(m.truth, name) })
+	m.change(func() { delete(m.current, name) })
 }
 
-// SetLag says how publication lags behind changes from now on.
+// SetLag sets the publication lag of later changes.
 func (m *Members) SetLag(lag Lag) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lag = lag
 }
 
-// Publish makes the published list the true one at once.
+// Publish publishes the current list.
 func (m *Members) Publish() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,10 +97,11 @@
 	}
 }
 
-// publish needs m.mu. A list that did not change keeps its revision.
+// publish publishes the current list; an unchanged list keeps its revision. The
+// caller holds m.mu.
 func (m *Members) publish() {
-	members := make([]infra.Member, 0, len(m.truth))
-	for _, member := range m.truth {
+	members := make([]infra.Member, 0, len(m.current))
+	for _, member := range m.current {
 		members = append(members, member)
 	}
 	slices.SortFunc(members, func(a, b infra.Member) int { return strings.Compare(a.Name, b.Name) })
@@ -111,7 +112,7 @@
 	m.published = infra.MemberList{Revision: m.published.Revision + 1, Members: members}
 }
 
-// recordLeaving records the members whose published state changes.
+// recordLeaving records which members start or stop leaving with this publication.
 func (m *Members) recordLeaving(members []infra.Member) {
 	before := map[string]infra.MemberState{}
 	for _, member := range m.published.Members {
--- a/standin/members_http.go
+++ b/standin/members_http.go
@@ -7,7 +7,7 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// StateChange is the body of POST /state: an operator's change of a member.
+// StateChange is the body of POST /state, which sets the state of a member.
 type StateChange struct {
 	Name  string            `json:"name"`
 	State infra.MemberState `json:"state"`
@@ -18,14 +18,14 @@
 	Name string `json:"name"`
 }
 
-// Handler serves the list over HTTP, operators' changes under /put, /state,
-// /remove, /lag and /publish, and the faults under /faults.
+// Handler serves the published list on /members, changes on /put, /state, /remove,
+// /lag and /publish, and the faults on /faults.
 func (m *Members) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /members", func(w http.ResponseWriter, r *http.Request) {
 		var list infra.MemberList
 		d := m.run(r.Context(), func() { list = m.list() })
-		etag := fmt.Sprintf("%q", fmt.Sprint(m.instance, "-", list.Revision))
+		etag := fmt.Sprintf("%q", fmt.Sprint(m.instanceID, "-", list.Revision))
 		if d == processed && r.Header.Get("If-None-Match") == etag {
 			w.WriteHeader(http.StatusNotModified)
 			return
@@ -42,7 +42,7 @@
 	return mux
 }
 
-// serveChange handles one kind of operators' change.
+// serveChange registers a handler that decodes a change and applies it.
 func serveChange[C any](mux *http.ServeMux, pattern string, apply func(C)) {
 	mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		var c C
--- a/standin/objects.go
+++ b/standin/objects.go
@@ -10,8 +10,7 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Objects is a stand-in for the object store. It implements
-// infra.Objects.
+// Objects is a stand-in for the object store. It implements infra.Objects.
 type Objects struct {
 	*injector
 	mu   sync.Mutex
@@ -25,7 +24,7 @@
 	return &Objects{injector: newInjector(), data: map[string][]byte{}}
 }
 
-// Put stores an object.
+// Put stores data under key and replaces what was there.
 func (o *Objects) Put(ctx context.Context, key string, data []byte) error {
 	if o.run(ctx, func() { o.put(key, data) }) != processed {
 		return infra.ErrUnavailable
@@ -33,7 +32,7 @@
 	return nil
 }
 
-// Get reads an object; infra.ErrNotFound if there is none.
+// Get returns the object stored under key, or infra.ErrNotFound.
 func (o *Objects) Get(ctx context.Context, key string) ([]byte, error) {
 	var data []byte
 	var found bool
@@ -59,7 +58,7 @@
 	return slices.Clone(data), found
 }
 
-// Handler serves the store over HTTP, with its faults under /faults.
+// Handler serves the store on /objects/ and the faults on /faults.
 func (o *Objects) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /objects/{key...}", o.servePut)
@@ -91,6 +90,6 @@
 		http.NotFound(w, r)
 		return
 	}
-	// The sender may be gone; nothing is left to do then.
+	// An error means that the client has disconnected.
 	_, _ = w.Write(data)
 }
--- a/standin/outcome.go
+++ b/standin/outcome.go
@@ -1,14 +1,14 @@
 package standin
 
-// verdict is what became of a request at a faulty service.
-type verdict uint8
+// outcome is the outcome of a request under injected faults.
+type outcome uint8
 
 const (
-	// processed: the request took effect and is answered.
-	processed verdict = iota
-	// refused: nothing took effect, and the sender is told.
+	// processed means that the request took effect and gets a reply.
+	processed outcome = iota
+	// refused means that the request had no effect, as its reply says.
 	refused
-	// lost: the sender gets no answer; the request may have taken effect or
-	// may do so later.
+	// lost means that there is no reply; the request may have taken effect or may
+	// do so later.
 	lost
 )
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -15,11 +15,11 @@
 
 const (
 	loopback = "127.0.0.1"
-	// driveStep is how often a worker's time passes without an exchange.
+	// driveStep is the interval at which workers advance their simulated time.
 	driveStep = 20 * time.Millisecond
 )
 
-// Platform runs a whole surrounding of the entry hosts on listeners: the
+// Platform runs all stand-ins that entry hosts need, each on its own listener: the
 // platform's three services, endpoints and workers.
 type Platform struct {
 	Table     *Table
@@ -31,10 +31,10 @@
 	config  Config
 	servers map[string]*server
 	cancel  context.CancelFunc
-	driving sync.WaitGroup
+	drivers sync.WaitGroup
 }
 
-// Names of the platform's servers, beside those of endpoints and workers.
+// Names of the servers that aren't endpoints or workers.
 const (
 	tableServer   = "table"
 	objectsServer = "objects"
@@ -42,7 +42,7 @@
 	controlServer = "control"
 )
 
-// Start starts a surrounding. Close stops it.
+// Start starts all stand-ins of the configuration. Close stops them.
 func Start(config Config) (*Platform, error) {
 	if config.Listen == "" {
 		config.Listen = loopback
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	p.driving.Go(func() { w.Drive(ctx, driveStep) })
+	p.drivers.Go(func() { w.Drive(ctx, driveStep) })
 	p.Members.Put(infra.Member{
 		Kind: infra.Worker, Name: c.Name, Address: address,
 		Region: p.config.Region, Zone: c.Zone, Rack: c.Rack,
@@ -129,10 +129,11 @@
 	return nil
 }
 
-// serve starts a server under a name and returns its address.
+// serve starts a server, registers it under name and returns its address. Port 0
+// selects a free port.
 func (p *Platform) serve(name string, s *server, port int) (string, error) {
 	if _, dup := p.servers[name]; dup {
-		return "", errors.Newf("two stand-ins are named %q", name)
+		return "", errors.Newf("duplicate stand-in name %q", name)
 	}
 	if err := s.start(net.JoinHostPort(p.config.Listen, strconv.Itoa(port))); err != nil {
 		return "", errors.Wrap(err, name)
@@ -149,9 +150,8 @@
 	})
 }
 
-// SetUnreachable closes the listener of an endpoint, a worker or a service
-// ("table", "objects", "members"), so that connections are refused, or opens
-// it again on the same address.
+// SetUnreachable closes the listener and the connections of an endpoint, a worker or
+// a service ("table", "objects", "members"), or listens again on the same address.
 func (p *Platform) SetUnreachable(name string, down bool) error {
 	s, ok := p.servers[name]
 	if !ok {
@@ -160,13 +160,13 @@
 	return s.setDown(down)
 }
 
-// KillWorker ends a worker host: its runs are lost and it refuses
+// KillWorker simulates the crash of a worker host: its runs are lost and it refuses
 // connections until ReviveWorker.
 func (p *Platform) KillWorker(name string) error {
 	return p.setDead(name, true)
 }
 
-// ReviveWorker starts a killed worker host again, without memory.
+// ReviveWorker restarts a killed worker host with no state.
 func (p *Platform) ReviveWorker(name string) error {
 	return p.setDead(name, false)
 }
@@ -183,7 +183,7 @@
 	return errors.Newf("no worker is named %q", name)
 }
 
-// Addresses returns where everything listens.
+// Addresses returns the addresses of all stand-ins.
 func (p *Platform) Addresses() Addresses {
 	a := Addresses{
 		Table:   p.url(tableServer),
@@ -206,7 +206,7 @@
 	return fmt.Sprintf("http://%s", p.servers[name].address)
 }
 
-// Close stops all listeners and all work at once.
+// Close stops all stand-ins and aborts their requests.
 func (p *Platform) Close() error {
 	p.cancel()
 	for _, e := range p.Endpoints {
@@ -216,6 +216,6 @@
 	for _, s := range p.servers {
 		err = errors.CombineErrors(err, s.close())
 	}
-	p.driving.Wait()
+	p.drivers.Wait()
 	return err
 }
--- a/standin/platform_config.go
+++ b/standin/platform_config.go
@@ -8,33 +8,34 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Config describes a whole surrounding of the entry hosts.
+// Config configures a Platform.
 type Config struct {
-	// Region and Zones are where members are; they go to zones in turn.
+	// Region and Zones locate the members, which are assigned to zones round-robin.
 	Region string   `toml:"region"`
 	Zones  []string `toml:"zones"`
 	// Services are the interactive services.
 	Services []ServiceConfig `toml:"services"`
 	// Workers are the worker hosts.
 	Workers WorkersConfig `toml:"workers"`
-	// EntryHosts are listed as members; they are run by somebody else.
+	// EntryHosts are listed as members; the Platform doesn't run them.
 	EntryHosts []EntryHostConfig `toml:"entry_hosts"`
-	// Behaviour is the hidden truth about job classes.
+	// Behaviour defines how job classes actually behave.
 	Behaviour Behaviour `toml:"behaviour"`
 	// Listen is the IP address of all listeners; loopback if empty.
 	Listen string `toml:"listen"`
-	// TablePort, ObjectsPort and MembersPort fix ports; 0 takes any.
+	// TablePort, ObjectsPort and MembersPort are listen ports; 0 selects a free
+	// one.
 	TablePort   int `toml:"table_port"`
 	ObjectsPort int `toml:"objects_port"`
 	MembersPort int `toml:"members_port"`
-	// Recorder takes the records of all stand-ins; nil drops them.
+	// Recorder receives the records of all stand-ins; nil discards them.
 	Recorder *check.Recorder `toml:"-"`
 }
 
 // ServiceConfig describes the endpoints of one service.
 type ServiceConfig struct {
 	Name string `toml:"name"`
-	// Endpoints is how many there are.
+	// Endpoints is the number of endpoints.
 	Endpoints   int      `toml:"endpoints"`
 	Slots       int      `toml:"slots"`
 	Connections int      `toml:"connections"`
@@ -43,27 +44,27 @@
 
 // WorkersConfig describes the worker hosts.
 type WorkersConfig struct {
-	// Count is how many there are.
+	// Count is the number of worker hosts.
 	Count int `toml:"count"`
-	// PerRack is how many share a rack.
+	// PerRack is the number of workers in one rack.
 	PerRack  int   `toml:"per_rack"`
 	MilliCPU int64 `toml:"milli_cpu"`
 	MemoryMB int64 `toml:"memory_mb"`
-	// Accelerators is how many each has.
+	// Accelerators is the number of accelerators of each worker.
 	Accelerators int64 `toml:"accelerators"`
-	// LagMS is how late usage is reported, in milliseconds.
+	// LagMS is the delay of usage reports, in milliseconds.
 	LagMS int64 `toml:"lag_ms"`
 }
 
-// EntryHostConfig is an entry host as the membership list shows it.
+// EntryHostConfig describes an entry host for the membership list.
 type EntryHostConfig struct {
 	Name string `toml:"name" json:"name"`
-	// Peer is the IP:port of its peer port.
+	// Peer is the IP:port on which it serves its peers.
 	Peer string `toml:"peer" json:"peer"`
 	Zone string `toml:"zone" json:"zone"`
 }
 
-// DefaultConfig returns a small surrounding: four zones, 8 endpoints of the
+// DefaultConfig returns a small configuration: four zones, 8 endpoints of the
 // service dispatch and 8 workers.
 func DefaultConfig() Config {
 	return Config{
@@ -85,13 +86,13 @@
 	return c.Zones[i%len(c.Zones)]
 }
 
-// rack returns the rack of the i-th worker: racks stay within a zone.
+// rack returns the rack of the i-th worker. A rack lies within one zone.
 func (c Config) rack(i int) string {
 	within := i / max(len(c.Zones), 1)
 	return fmt.Sprintf("%s-rack%d", c.zone(i), within/max(c.Workers.PerRack, 1))
 }
 
-// worker returns the description of the i-th worker.
+// worker returns the configuration of the i-th worker.
 func (c Config) worker(i int) WorkerConfig {
 	return WorkerConfig{
 		Name: fmt.Sprintf("worker-%d", i),
@@ -108,7 +109,7 @@
 	}
 }
 
-// endpoint returns the description of the i-th endpoint of a service.
+// endpoint returns the configuration of the i-th endpoint of a service.
 func (c Config) endpoint(s ServiceConfig, i int) EndpointConfig {
 	work := s.Work
 	work.Seed += uint64(i)
--- a/standin/platform_control.go
+++ b/standin/platform_control.go
@@ -8,15 +8,15 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Target is the body of a control request: a stand-in by its name.
+// Target is the body of a control request and names the stand-in to act on.
 type Target struct {
 	Name string `json:"name"`
-	// Down is whether /unreachable closes its port.
+	// Down selects whether /unreachable closes or reopens the listener.
 	Down bool `json:"down,omitempty"`
 }
 
-// SetLeaving lists an endpoint as leaving, or as live again, and tells the
-// endpoint itself.
+// SetLeaving marks an endpoint as leaving, or as live again, both in the membership
+// list and in the endpoint.
 func (p *Platform) SetLeaving(name string, leaving bool) error {
 	for _, e := range p.Endpoints {
 		if e.config.Name != name {
@@ -46,7 +46,8 @@
 	return mux
 }
 
-// serveControl handles one kind of control request.
+// serveControl registers a handler that applies a control request; an error of apply
+// is returned with status 404.
 func serveControl(mux *http.ServeMux, pattern string, apply func(Target) error) {
 	mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		var t Target
--- a/standin/platform_test.go
+++ b/standin/platform_test.go
@@ -16,7 +16,7 @@
 	"github.com/fireflygate/fireflygate/standin/httpclient"
 )
 
-// start runs a small surrounding and a client of it.
+// start starts a platform with one endpoint and one worker.
 func start(t *testing.T) (*standin.Platform, *check.Recorder, *http.Client) {
 	t.Helper()
 	recorder := check.NewRecorder(nil)
@@ -56,21 +56,21 @@
 	}
 	first := put("a", 0)
 	if first.Status != infra.CommitApplied || first.Version == 0 {
-		t.Fatalf("first: %+v", first)
+		t.Fatalf("first commit: %+v, want applied", first)
 	}
 	again := put("a", 0)
 	if again.Status != infra.CommitConflict || len(again.Conflicts) != 1 || again.Conflicts[0].Version != first.Version {
-		t.Errorf("conflict: %+v", again)
+		t.Errorf("second commit: %+v, want a conflict with the first", again)
 	}
 	put("b", 0)
 	rows, err := table.Scan(ctx, "x", "xa", 9)
 	if err != nil || len(rows) != 1 || rows[0].Key != "xb" {
-		t.Errorf("scan: %+v: %v", rows, err)
+		t.Errorf("scan: rows %+v, error %v, want row xb only", rows, err)
 	}
 	table.Commit(ctx, infra.Transaction{Writes: []infra.Write{{Key: "a", Delete: true}}})
 	rows, err = table.Get(ctx, "b", "a")
 	if err != nil || len(rows) != 2 || string(rows[0].Value) != "b" || rows[1].Version != 0 {
-		t.Errorf("get: %+v: %v", rows, err)
+		t.Errorf("get: rows %+v, error %v, want row b and an absent row a", rows, err)
 	}
 }
 
@@ -78,7 +78,7 @@
 	p, _, client := start(t)
 	remote := httpclient.NewTable(p.Addresses().Table, client)
 	tx := infra.Transaction{Writes: []infra.Write{{Key: "k"}}}
-	given, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, tc := range []struct {
 		faults  standin.Faults
@@ -89,22 +89,22 @@
 		{standin.Faults{Down: true}, t.Context(), infra.CommitNotApplied, 0},
 		{standin.Faults{LoseNext: 1}, t.Context(), infra.CommitUnknown, 1},
 		{standin.Faults{LoseShare: 1}, t.Context(), infra.CommitUnknown, 1},
-		{standin.Faults{Hang: true}, given, infra.CommitUnknown, 0},
+		{standin.Faults{Hang: true}, canceled, infra.CommitUnknown, 0},
 	} {
 		p.Table.Set(tc.faults)
 		before := p.Table.Commits()
 		var got infra.CommitResult
-		if tc.ctx == given {
+		if tc.ctx == canceled {
 			got = p.Table.Commit(tc.ctx, tx)
 		} else {
 			got = remote.Commit(tc.ctx, tx)
 		}
 		if got.Status != tc.want || p.Table.Commits()-before != tc.applied {
-			t.Errorf("%+v: status %d, %d applied", tc.faults, got.Status, p.Table.Commits()-before)
+			t.Errorf("faults %+v: commit status %d, %d applied", tc.faults, got.Status, p.Table.Commits()-before)
 		}
 		if tc.faults.LoseNext > 0 {
 			if got := remote.Commit(t.Context(), tx); got.Status != infra.CommitApplied {
-				t.Errorf("after the lost answer: status %d", got.Status)
+				t.Errorf("commit after the lost reply: status %d, want applied", got.Status)
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 	endpoint := p.Endpoints[0]
 	endpoint.Set(standin.EndpointFaults{Hang: true})
 	url := "http://" + p.Addresses().Others["dispatch-0"] + "/plan"
-	answers := make(chan string)
+	responses := make(chan string)
 	for _, call := range []string{"a", "b"} {
 		go func() {
 			r, _ := http.NewRequestWithContext(t.Context(), http.MethodPost, url, strings.NewReader("body "+call))
@@ -123,28 +123,28 @@
 			r.Header.Set(standin.WorkHeader, "0")
 			resp, err := client.Do(r)
 			if err != nil {
-				answers <- err.Error()
+				responses <- err.Error()
 				return
 			}
 			defer resp.Body.Close()
 			body, _ := io.ReadAll(resp.Body)
-			answers <- resp.Header.Get(standin.CallHeader) + ":" + string(body)
+			responses <- resp.Header.Get(standin.CallHeader) + ":" + string(body)
 		}()
 	}
 	for endpoint.Stats().Running < 2 {
 		runtime.Gosched()
 	}
 	endpoint.Set(standin.EndpointFaults{})
-	got := map[string]bool{<-answers: true, <-answers: true}
+	got := map[string]bool{<-responses: true, <-responses: true}
 	if !got["a:body a"] || !got["b:body b"] {
-		t.Errorf("answers %v", got)
+		t.Errorf("responses %v, want the echo of both requests", got)
 	}
 	if n := endpoint.Stats().Overruns; n != 1 {
-		t.Errorf("%d overruns", n)
+		t.Errorf("%d overruns, want 1", n)
 	}
 	report := check.Run(recorder.Records())
 	if len(report.Violations) != 1 || report.Violations[0].Promise != check.SlotLimit {
-		t.Errorf("violations %+v", report.Violations)
+		t.Errorf("violations %+v, want one of the slot limit", report.Violations)
 	}
 }
 
@@ -160,20 +160,20 @@
 	x.Incarnation, x.ValidUntilMS = first.Incarnation, first.ClockMS+60000
 	x.Orders = []infra.Order{order(infra.OrderStart, "a", 1, "")}
 	if reply, err := workers.Exchange(t.Context(), address, x); err != nil || len(reply.Runs) != 1 {
-		t.Fatalf("%+v: %v", reply, err)
+		t.Fatalf("exchange with a start: reply %+v, error %v", reply, err)
 	}
 	if err := p.KillWorker("worker-0"); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := workers.Exchange(t.Context(), address, x); !errors.Is(err, infra.ErrUnavailable) {
-		t.Errorf("dead worker: %v", err)
+		t.Errorf("exchange with a dead worker: error %v, want ErrUnavailable", err)
 	}
 	if err := p.ReviveWorker("worker-0"); err != nil {
 		t.Fatal(err)
 	}
 	reply, err := workers.Exchange(t.Context(), address, infra.Exchange{OwnerEpoch: 1, LeaseMS: 60000})
 	if err != nil || len(reply.Runs) != 0 {
-		t.Errorf("revived worker: %+v: %v", reply, err)
+		t.Errorf("exchange with a revived worker: reply %+v, error %v, want no runs", reply, err)
 	}
 }
 
@@ -182,7 +182,7 @@
 	members := httpclient.NewMembers(p.Addresses().Members, client)
 	before, err := members.List(t.Context())
 	if err != nil || len(before.Members) != 2 {
-		t.Fatalf("%+v: %v", before, err)
+		t.Fatalf("list %+v, error %v, want 2 members", before, err)
 	}
 	p.Members.SetLag(standin.Lag{Held: true})
 	p.Members.Remove("dispatch-0")
@@ -190,6 +190,6 @@
 	p.Members.Publish()
 	after, _ := members.List(t.Context())
 	if held.Revision != before.Revision || after.Revision <= before.Revision || len(after.Members) != 1 {
-		t.Errorf("revisions %d, %d, %d", before.Revision, held.Revision, after.Revision)
+		t.Errorf("revisions %d before the change, %d while held, %d after publication", before.Revision, held.Revision, after.Revision)
 	}
 }
--- a/standin/run.go
+++ b/standin/run.go
@@ -8,28 +8,29 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// run is one run on a worker.
+// run is the state of one run on a worker.
 type run struct {
-	id      infra.RunID
-	class   string
-	state   infra.RunState
-	reason  string
-	reserve infra.Resources
-	// use is what it really uses at full speed.
+	id       infra.RunID
+	class    string
+	state    infra.RunState
+	reason   string
+	reserved infra.Resources
+	// use is the actual resource use at full speed.
 	use infra.Resources
-	// workMS is the real work, in milliseconds at full speed; 0 if endless.
+	// workMS is the actual work, in milliseconds at full speed; 0 if unbounded.
 	workMS float64
 	doneMS float64
-	// percent is the share of its processors that it may use.
-	percent    int
+	// cpuLimit is the CPU limit, in percent of its processors.
+	cpuLimit   int
 	checkpoint string
-	// seq is the sequence number of its last change that is reported.
+	// seq is the sequence number of the last change.
 	seq uint64
-	// sampled is what the next report says of its use; it lags.
+	// sampled is the last usage sample, reported the previous one, which reports
+	// contain.
 	sampled, reported usageSample
 }
 
-// usageSample is what a run used at one time.
+// usageSample is the progress and resource use of a run at one time.
 type usageSample struct {
 	doneMS float64
 	use    infra.Resources
@@ -37,8 +38,8 @@
 
 func (r *run) running() bool { return r.state == infra.RunRunning }
 
-// report returns what an exchange says of the run. A final state tells the
-// true progress; a running one lags.
+// report returns the run's report. The progress is exact if the run has ended;
+// otherwise it lags.
 func (r *run) report() infra.RunReport {
 	done := r.reported.doneMS
 	if !r.running() {
@@ -51,18 +52,19 @@
 		Checkpoint: r.checkpoint,
 		DoneMS:     int64(done),
 		Usage:      r.reported.use,
-		Resources:  r.reserve,
+		Resources:  r.reserved,
 		Class:      r.class,
 	}
 }
 
-// checkpointName names the progress of a run; the name holds the progress
-// itself, so that any worker can resume from it.
+// checkpointName returns the name of a checkpoint. It encodes the progress, so that
+// any worker can resume from it.
 func checkpointName(id infra.RunID, doneMS float64) string {
 	return fmt.Sprintf("%s@%d@%d", id.Job, id.Epoch, int64(doneMS))
 }
 
-// checkpointProgress reads the progress that a checkpoint's name holds.
+// checkpointProgress returns the progress encoded in a checkpoint's name, in
+// milliseconds; 0 if there is none.
 func checkpointProgress(name string) float64 {
 	at := strings.LastIndexByte(name, '@')
 	ms, err := strconv.ParseInt(name[at+1:], 10, 64)
--- a/standin/server.go
+++ b/standin/server.go
@@ -9,11 +9,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// readHeaderTimeout bounds how long a stand-in waits for a request's header.
 const readHeaderTimeout = 10 * time.Second
 
-// server serves one stand-in on a loopback address that it keeps while it is
-// down.
+// server serves one stand-in over HTTP and keeps its address across setDown.
 type server struct {
 	handler   http.Handler
 	connState func(net.Conn, http.ConnState)
@@ -24,14 +22,14 @@
 	serving sync.WaitGroup
 }
 
-// start listens on address, "127.0.0.1:0" for any port.
+// start listens on address; port 0 selects a free port.
 func (s *server) start(address string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listen(address)
 }
 
-// listen needs s.mu.
+// listen starts serving. The caller holds s.mu.
 func (s *server) listen(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -45,14 +43,14 @@
 	}
 	server := s.http
 	s.serving.Go(func() {
-		// It returns once the server is closed; nothing else ends it.
+		// Serve returns when the server is closed.
 		_ = server.Serve(listener)
 	})
 	return nil
 }
 
-// setDown closes the listener and every connection, so that connections are
-// refused, or listens again on the same address.
+// setDown closes the listener and all connections, or listens again on the same
+// address.
 func (s *server) setDown(down bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,23 +58,23 @@
 		return s.listen(s.address)
 	}
 	if down && s.http != nil {
-		return s.shut()
+		return s.stop()
 	}
 	return nil
 }
 
-// close stops serving for good.
+// closeEpoch stops the server.
 func (s *server) close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.http == nil {
 		return nil
 	}
-	return s.shut()
+	return s.stop()
 }
 
-// shut needs s.mu.
-func (s *server) shut() error {
+// stop stops serving and waits for the listener. The caller holds s.mu.
+func (s *server) stop() error {
 	err := s.http.Close()
 	s.serving.Wait()
 	s.http = nil
--- a/standin/table.go
+++ b/standin/table.go
@@ -25,7 +25,7 @@
 	return &Table{injector: newInjector(), rows: map[string]infra.Row{}}
 }
 
-// Commit applies a transaction.
+// Commit applies a transaction if all its conditions hold.
 func (t *Table) Commit(ctx context.Context, tx infra.Transaction) infra.CommitResult {
 	var result infra.CommitResult
 	switch t.run(ctx, func() { result = t.commit(tx) }) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Get reads rows at one version.
+// Get returns the rows of keys, in that order, as of one version.
 func (t *Table) Get(ctx context.Context, keys ...string) ([]infra.Row, error) {
 	var rows []infra.Row
 	if t.run(ctx, func() { rows = t.get(keys) }) != processed {
@@ -47,7 +47,8 @@
 	return rows, nil
 }
 
-// Scan reads rows in key order.
+// Scan returns up to limit rows, in key order, whose keys have the prefix and sort
+// after the key after.
 func (t *Table) Scan(ctx context.Context, prefix, after string, limit int) ([]infra.Row, error) {
 	var rows []infra.Row
 	if t.run(ctx, func() { rows = t.scan(prefix, after, limit) }) != processed {
@@ -56,7 +57,7 @@
 	return rows, nil
 }
 
-// Commits returns how many transactions were applied.
+// Commits returns the number of applied transactions.
 func (t *Table) Commits() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,7 +83,7 @@
 	return infra.CommitResult{Status: infra.CommitApplied, Version: t.commits}
 }
 
-// write puts or deletes one row at the version t.commits.
+// write stores or deletes one row, at version t.commits.
 func (t *Table) write(w infra.Write) {
 	at := sort.SearchStrings(t.keys, w.Key)
 	_, exists := t.rows[w.Key]
@@ -102,7 +103,7 @@
 	t.rows[w.Key] = infra.Row{Key: w.Key, Value: value, Version: t.commits}
 }
 
-// row returns a row, with version 0 if it is absent.
+// row returns a row; its version is 0 if it doesn't exist.
 func (t *Table) row(key string) infra.Row {
 	if row, ok := t.rows[key]; ok {
 		return row
--- a/standin/table_http.go
+++ b/standin/table_http.go
@@ -7,7 +7,7 @@
 	"github.com/fireflygate/fireflygate/standin/httpclient"
 )
 
-// Handler serves the table over HTTP, with its faults under /faults.
+// Handler serves the table on /commit, /get and /scan, and the faults on /faults.
 func (t *Table) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /commit", t.serveCommit)
--- a/standin/work_time.go
+++ b/standin/work_time.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// WorkTime is a log-normal distribution of the time of work.
+// WorkTime is a log-normal distribution of processing times.
 type WorkTime struct {
-	// MedianMS is its median in milliseconds.
+	// MedianMS is the median in milliseconds.
 	MedianMS float64 `json:"median_ms" toml:"median_ms"`
-	// Sigma is its shape; 0 is a constant time.
+	// Sigma is the shape parameter; 0 gives a constant time.
 	Sigma float64 `json:"sigma" toml:"sigma"`
-	// Seed seeds the draws.
+	// Seed seeds the random generator.
 	Seed uint64 `json:"seed" toml:"seed"`
 }
 
-// draw returns one time.
+// draw returns a random processing time.
 func (w WorkTime) draw(random *rand.Rand) time.Duration {
 	ms := w.MedianMS * math.Exp(w.Sigma*random.NormFloat64())
 	return time.Duration(ms * float64(time.Millisecond))
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -8,9 +8,9 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Worker is a stand-in for the agent of one worker host. Time passes only by
-// the times that it is given, so that tests are deterministic; Drive gives it
-// the clock's.
+// Worker is a stand-in for the agent of one worker host. Simulated time advances
+// only to the times passed to its methods, which makes tests deterministic; Drive
+// advances it with the system clock.
 type Worker struct {
 	config WorkerConfig
 
@@ -19,7 +19,7 @@
 	changed chan struct{}
 }
 
-// NewWorker returns an idle worker at the time now.
+// NewWorker returns an idle worker whose simulated time is now.
 func NewWorker(config WorkerConfig, now time.Time) *Worker {
 	return &Worker{config: config, machine: newMachine(config, now), changed: make(chan struct{})}
 }
@@ -27,7 +27,7 @@
 // Name returns the worker's name in the membership list.
 func (w *Worker) Name() string { return w.config.Name }
 
-// Advance lets time pass until now.
+// Advance advances the simulated time to now.
 func (w *Worker) Advance(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,10 +43,10 @@
 	w.changed = make(chan struct{})
 }
 
-// Set replaces the faults at the clock's time.
+// Set replaces the faults at the system clock's time.
 func (w *Worker) Set(f WorkerFaults) { w.SetAt(time.Now(), f) }
 
-// Faults returns the faults as they are now.
+// Faults returns the current faults.
 func (w *Worker) Faults() WorkerFaults {
 	f, _ := w.get()
 	return f
@@ -58,8 +58,8 @@
 	return w.machine.faults, w.changed
 }
 
-// ExchangeAt processes an exchange that arrives at now. A worker that is
-// paused, dead or hanging gives infra.ErrUnavailable at once.
+// ExchangeAt processes an exchange that arrives at the time now. With the Paused,
+// Dead or Hang fault it returns infra.ErrUnavailable without waiting.
 func (w *Worker) ExchangeAt(now time.Time, x infra.Exchange) (infra.ExchangeReply, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -75,8 +75,8 @@
 	return reply, nil
 }
 
-// Exchange processes an exchange at the clock's time. It waits while the
-// worker is paused or hangs.
+// Exchange processes an exchange at the system clock's time. It blocks while the
+// Paused or Hang fault is set, at most until ctx is done.
 func (w *Worker) Exchange(ctx context.Context, x infra.Exchange) (infra.ExchangeReply, error) {
 	for {
 		f, changed := w.get()
@@ -91,14 +91,15 @@
 	}
 }
 
-// Runs returns every run that the worker lists, as it is at its last time.
+// Runs returns reports of all runs as of the last simulated time.
 func (w *Worker) Runs() []infra.RunReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.machine.reply(0).Runs
 }
 
-// Drive lets time pass by the clock, in steps, until ctx is done.
+// Drive advances the simulated time with the system clock, every step, until ctx is
+// done.
 func (w *Worker) Drive(ctx context.Context, step time.Duration) {
 	ticker := time.NewTicker(step)
 	defer ticker.Stop()
--- a/standin/worker_config.go
+++ b/standin/worker_config.go
@@ -14,10 +14,10 @@
 	Zone     string
 	Rack     string
 	Capacity infra.Resources
-	// Lag is how late usage and latency are reported.
+	// Lag is the delay of usage and latency reports.
 	Lag time.Duration
-	// Behaviour is the hidden truth about classes.
+	// Behaviour defines how job classes actually behave.
 	Behaviour Behaviour
-	// Recorder takes its records; nil drops them.
+	// Recorder receives its records; nil discards them.
 	Recorder *check.Recorder
 }
--- a/standin/worker_faults.go
+++ b/standin/worker_faults.go
@@ -1,21 +1,22 @@
 package standin
 
-// WorkerFaults is what goes wrong at a worker. The zero value is a healthy
-// one.
+// WorkerFaults are the faults injected into a worker. The zero value injects none.
 type WorkerFaults struct {
-	// Paused freezes the host: no exchange is answered and no run
-	// progresses. Its leases lapse meanwhile.
+	// Paused pauses the host: exchanges get no reply and runs make no progress,
+	// while leases keep expiring.
 	Paused bool `json:"paused,omitempty"`
-	// Dead loses every run and every memory of them; nothing answers.
+	// Dead crashes the host: all runs and their state are lost, and exchanges get
+	// no reply.
 	Dead bool `json:"dead,omitempty"`
-	// Hang answers no exchange and processes none, while runs go on.
+	// Hang blocks exchanges unprocessed while runs continue.
 	Hang bool `json:"hang,omitempty"`
-	// LoseNext is how many answers are lost after the exchange took effect.
+	// LoseNext is the number of following replies to drop after the exchange took
+	// effect.
 	LoseNext int `json:"lose_next,omitempty"`
-	// FailStarts makes every run fail as it starts.
+	// FailStarts makes every run fail when it starts.
 	FailStarts bool `json:"fail_starts,omitempty"`
 	// RefuseStarts refuses every start.
 	RefuseStarts bool `json:"refuse_starts,omitempty"`
-	// SlowFactor divides the speed of all runs; 0 counts as 1.
+	// SlowFactor divides the speed of all runs; 0 means 1.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 }
--- a/standin/worker_http.go
+++ b/standin/worker_http.go
@@ -6,8 +6,8 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Handler serves the worker over HTTP, with its faults under /faults and its
-// runs under /runs.
+// Handler serves exchanges on /exchange, the runs on /runs and the faults on
+// /faults.
 func (w *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /exchange", w.serveExchange)
@@ -25,7 +25,7 @@
 	}
 	reply, err := w.Exchange(r.Context(), x)
 	if err != nil {
-		loseAnswer()
+		abortResponse()
 	}
 	respond(rw, processed, &reply)
 }
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -30,8 +30,9 @@
 	}
 }
 
-// named has an exchange name the worker's life and be valid for a second.
-func named(t *testing.T, w *standin.Worker, now time.Time, x infra.Exchange) infra.Exchange {
+// withIncarnation adds the worker's current incarnation to the exchange and makes it valid for
+// one second.
+func withIncarnation(t *testing.T, w *standin.Worker, now time.Time, x infra.Exchange) infra.Exchange {
 	t.Helper()
 	reply, err := w.ExchangeAt(now, infra.Exchange{OwnerEpoch: x.OwnerEpoch, LeaseMS: x.LeaseMS})
 	if err != nil {
@@ -41,10 +42,10 @@
 	return x
 }
 
-// exchange sends orders of owner 1 with a lease of 5 s and returns the list.
+// exchange sends orders with owner epoch 1 and a lease of 5 s and returns all runs.
 func exchange(t *testing.T, w *standin.Worker, now time.Time, orders ...infra.Order) map[infra.RunID]infra.RunReport {
 	t.Helper()
-	reply, err := w.ExchangeAt(now, named(t, w, now, infra.Exchange{OwnerEpoch: 1, LeaseMS: 5000, Orders: orders}))
+	reply, err := w.ExchangeAt(now, withIncarnation(t, w, now, infra.Exchange{OwnerEpoch: 1, LeaseMS: 5000, Orders: orders}))
 	if err != nil || reply.Refused || !reply.FullList {
 		t.Fatalf("reply %+v: %v", reply, err)
 	}
@@ -55,18 +56,18 @@
 	return runs
 }
 
-func TestWorkerRunsToTheEndAndLeaseLapses(t *testing.T) {
+func TestWorkerCompletesRunsAndExpiresLease(t *testing.T) {
 	w := newWorker()
 	exchange(t, w, at(0), order(infra.OrderStart, "a", 1, ""))
 	runs := exchange(t, w, at(1001), order(infra.OrderStart, "b", 1, ""))
 	if got := runs[infra.RunID{Job: "a", Epoch: 1}]; got.State != infra.RunDone {
-		t.Errorf("a: %+v", got)
+		t.Errorf("run of a: %+v, want done", got)
 	}
 	w.SetAt(at(1500), standin.WorkerFaults{Paused: true})
 	w.SetAt(at(9000), standin.WorkerFaults{})
 	runs = exchange(t, w, at(9001))
 	if got := runs[infra.RunID{Job: "b", Epoch: 1}]; got.State != infra.RunExpired || got.DoneMS > 500 {
-		t.Errorf("b: %+v", got)
+		t.Errorf("run of b: %+v, want expired without progress while paused", got)
 	}
 }
 
@@ -77,7 +78,7 @@
 	runs := exchange(t, w, at(1), order(infra.OrderStart, "a", 1, ""), order(infra.OrderStart, "b", 1, ""))
 	for _, job := range []string{"a", "b"} {
 		if got := runs[infra.RunID{Job: job, Epoch: 1}]; got.State != infra.RunRefused {
-			t.Errorf("%s: %+v", job, got)
+			t.Errorf("run of %s: %+v, want refused", job, got)
 		}
 	}
 }
@@ -93,10 +94,10 @@
 	}
 }
 
-// TestWorkerRefusesStartsForAnotherLife delivers one exchange with a start
-// again, late or to a life of the worker that remembers nothing.
-func TestWorkerRefusesStartsForAnotherLife(t *testing.T) {
-	for name, spoil := range map[string]func(*standin.Worker, *infra.Exchange) int64{
+// TestWorkerRefusesStartsForAnotherIncarnation checks that a start isn't executed if it
+// arrives after a restart, after its validity or without an incarnation.
+func TestWorkerRefusesStartsForAnotherIncarnation(t *testing.T) {
+	for name, invalidate := range map[string]func(*standin.Worker, *infra.Exchange) int64{
 		"restarted": func(w *standin.Worker, _ *infra.Exchange) int64 {
 			w.SetAt(at(1), standin.WorkerFaults{Dead: true})
 			w.SetAt(at(2), standin.WorkerFaults{})
@@ -107,16 +108,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorker()
-			x := named(t, w, at(0), infra.Exchange{
+			x := withIncarnation(t, w, at(0), infra.Exchange{
 				OwnerEpoch: 1, LeaseMS: 5000, Orders: []infra.Order{order(infra.OrderStart, "a", 1, "")},
 			})
-			reply, _ := w.ExchangeAt(at(spoil(w, &x)), x)
+			reply, _ := w.ExchangeAt(at(invalidate(w, &x)), x)
 			if !reply.Stale || len(w.Runs()) != 0 {
 				t.Errorf("reply %+v, runs %v", reply, w.Runs())
 			}
-			again, _ := w.ExchangeAt(at(1002), named(t, w, at(1002), x))
+			again, _ := w.ExchangeAt(at(1002), withIncarnation(t, w, at(1002), x))
 			if again.Stale || len(w.Runs()) != 1 {
-				t.Errorf("made again: reply %+v, runs %v", again, w.Runs())
+				t.Errorf("exchange for the current incarnation: reply %+v, runs %v, want one run", again, w.Runs())
 			}
 		})
 	}
@@ -128,35 +129,35 @@
 	runs := exchange(t, w, at(400), order(infra.OrderCheckpoint, "a", 1, ""))
 	stopped := runs[infra.RunID{Job: "a", Epoch: 1}]
 	if stopped.State != infra.RunStopped || stopped.Checkpoint == "" {
-		t.Fatalf("stopped: %+v", stopped)
+		t.Fatalf("run after the checkpoint order: %+v, want stopped with a checkpoint", stopped)
 	}
 	again := order(infra.OrderStart, "a", 2, "")
 	again.Checkpoint = stopped.Checkpoint
 	exchange(t, w, at(500), again)
 	runs = exchange(t, w, at(1101))
 	if got := runs[infra.RunID{Job: "a", Epoch: 2}]; got.State != infra.RunDone {
-		t.Errorf("resumed: %+v", got)
+		t.Errorf("resumed run: %+v, want done", got)
 	}
 }
 
-func TestWorkerDiffsGuardAndSlowdown(t *testing.T) {
+func TestWorkerReportsChangesMemoryKillsAndSlowdown(t *testing.T) {
 	w := newWorker()
-	first, _ := w.ExchangeAt(at(0), named(t, w, at(0), infra.Exchange{
+	first, _ := w.ExchangeAt(at(0), withIncarnation(t, w, at(0), infra.Exchange{
 		OwnerEpoch: 1, LeaseMS: 5000,
 		Orders: []infra.Order{order(infra.OrderStart, "v", 1, "victim"), order(infra.OrderStart, "n", 1, "noisy")},
 	}))
 	none, _ := w.ExchangeAt(at(0), infra.Exchange{OwnerEpoch: 1, LeaseMS: 5000, Since: first.Seq})
 	if none.FullList || len(none.Runs) != 0 {
-		t.Errorf("no change: %+v", none)
+		t.Errorf("reply without changes: %+v, want no runs", none)
 	}
 	runs := exchange(t, w, at(1001), order(infra.OrderStart, "big", 1, "big"))
 	if got := runs[infra.RunID{Job: "v", Epoch: 1}]; got.State != infra.RunRunning {
-		t.Errorf("victim next to noisy ended as if alone: %+v", got)
+		t.Errorf("run of the victim class: %+v, want running: slowed by the noisy class", got)
 	}
 	if got := runs[infra.RunID{Job: "n", Epoch: 1}]; got.State != infra.RunDone {
-		t.Errorf("noisy: %+v", got)
+		t.Errorf("run of the noisy class: %+v, want done", got)
 	}
 	if got := runs[infra.RunID{Job: "big", Epoch: 1}]; got.State != infra.RunKilled {
-		t.Errorf("big: %+v", got)
+		t.Errorf("run above its memory reservation: %+v, want killed", got)
 	}
 }
--- a/standin/workers.go
+++ b/standin/workers.go
@@ -7,8 +7,8 @@
 	"github.com/fireflygate/fireflygate/infra"
 )
 
-// Workers reaches stand-in workers in memory by address. It implements
-// infra.Workers.
+// Workers dispatches exchanges to stand-in workers in memory, by address. It
+// implements infra.Workers.
 type Workers struct {
 	mu      sync.Mutex
 	workers map[string]*Worker
@@ -28,7 +28,8 @@
 	s.workers[address] = w
 }
 
-// Exchange sends one exchange to the worker at address.
+// Exchange sends one exchange to the worker at address; infra.ErrUnavailable if there
+// is none.
 func (s *Workers) Exchange(ctx context.Context, address string, x infra.Exchange) (infra.ExchangeReply, error) {
 	s.mu.Lock()
 	w, ok := s.workers[address]
