--- a/journal/batch.go
+++ b/journal/batch.go
@@ -70,7 +70,7 @@
 	return true
 }
 
-// moved reports whether the row is written by the group or by an earlier,
+// writePending reports whether the row is written by the group or by an earlier,
 // deferred entry.
 func (g *group) writePending(key string) bool {
 	if _, ok := g.written[key]; ok {
--- a/standin/httpclient/response.go
+++ b/standin/httpclient/response.go
@@ -1,6 +1,6 @@
 package httpclient
 
-// replyOutcome is the outcome of one request.
+// response is the outcome of one request.
 type response struct {
 	// body is the complete response body if err is nil.
 	body []byte
--- a/standin/machine.go
+++ b/standin/machine.go
@@ -90,13 +90,13 @@
 func (m *machine) finish(r *run, state infra.RunState, reason string) {
 	r.state = state
 	r.reason = reason
-	m.closeEpoch(r.id)
+	m.close(r.id)
 	m.markChanged(r)
 	m.recordEnd(r, state)
 }
 
-// closeEpoch prevents starts of the run's epoch and of lower ones.
-func (m *machine) closeEpoch(id infra.RunID) {
+// close prevents starts of the run's epoch and of lower ones.
+func (m *machine) close(id infra.RunID) {
 	m.closedEpochs[id.Job] = max(m.closedEpochs[id.Job], id.Epoch)
 }
 
--- a/standin/machine_exchange.go
+++ b/standin/machine_exchange.go
@@ -149,7 +149,7 @@
 	if r == nil {
 		r = &run{id: id, state: infra.RunStopped}
 		m.runs = append(m.runs, r)
-		m.closeEpoch(id)
+		m.close(id)
 		m.markChanged(r)
 		return
 	}
@@ -167,6 +167,6 @@
 	if r == nil || r.running() {
 		return
 	}
-	m.closeEpoch(r.id)
+	m.close(r.id)
 	m.runs = slices.DeleteFunc(m.runs, func(other *run) bool { return other == r })
 }
--- a/standin/server.go
+++ b/standin/server.go
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// closeEpoch stops the server.
+// close stops the server.
 func (s *server) close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
