--- a/settings/batch.go
+++ b/settings/batch.go
@@ -4,9 +4,9 @@
 type Batch struct {
 	// Exchange is how often a worker is polled when nothing is urgent.
 	Exchange Duration `toml:"exchange"`
-	// CommitDelay is the minimum time between two commits. It applies if
-	// urgent entries or enough rows for a full commit are waiting. Other
-	// entries wait at least 100 ms, and up to 250 ms if the table is slow.
+	// CommitDelay is the minimum time between two commits. If neither urgent
+	// entries nor enough rows for a full commit are waiting, the minimum is
+	// at least 100 ms, and up to 250 ms if the table is slow.
 	CommitDelay Duration `toml:"commit_delay"`
 	// CommitRows is the largest number of rows in one commit.
 	CommitRows int `toml:"commit_rows"`
--- a/settings/service.go
+++ b/settings/service.go
@@ -7,6 +7,6 @@
 	Slots       int `toml:"slots"`
 	Connections int `toml:"connections"`
 	// IdempotentMethods are the HTTP methods of requests that may safely run
-	// more than once; GET and HEAD if not set.
+	// more than once, and so may be retried after they were sent.
 	IdempotentMethods []string `toml:"idempotent_methods"`
 }
