--- a/control/node.go
+++ b/control/node.go
@@ -149,8 +149,9 @@
 // ready. It spans a takeover.
 const leaderFreshness = 3 * time.Second
 
-// current returns the owner if this host owns the domain, the leader's row, and
-// a channel that is closed when either changes.
+// current returns this host's Owner, or nil if this host doesn't own the domain;
+// the owner's row as last known, empty if no owner is known; and a channel that
+// is closed when either changes.
 func (n *Node) current() (*Owner, election.Record, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/dispatch/loststop_test.go
+++ b/dispatch/loststop_test.go
@@ -72,7 +72,7 @@
 }
 
 // stopForTail returns a best-effort run next to a serving task whose tail has
-// been over its target for too long, and its stop.
+// been over its target for too long, and its stop order.
 func stopForTail(t *testing.T) (*rig, dispatch.StartOrder, *dispatch.StopOrder) {
 	t.Helper()
 	r, serving, bestEffort := startBestEffort(t)
--- a/dispatch/permit.go
+++ b/dispatch/permit.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// permitBatch is how many workers a request names, and maxPermitBatch how
-	// many for a step with many tasks; the policy service accepts no more than
-	// 100.
+	// permitBatch is how many workers a permit request names, and
+	// maxPermitBatch how many for a step with many tasks; the policy service
+	// accepts no more than 100.
 	permitBatch    = 30
 	maxPermitBatch = 100
 	// permitMargin is the remaining validity that a permit needs to reach the
 	// worker.
 	permitMargin = 300 * time.Millisecond
-	// permitRetry is the wait after a request that failed.
+	// permitRetry is the wait after a permit request that failed.
 	permitRetry = 200 * time.Millisecond
 )
 
@@ -128,8 +128,8 @@
 	return q, true
 }
 
-// HandlePermits applies the answer to a request; err is set if the request
-// failed.
+// HandlePermits applies the answer to a permit request; err is set if the
+// request failed.
 func (s *State) HandlePermits(now time.Time, q PermitRequest, p runner.Permits, err error) {
 	j := s.jobs[q.Step.Job]
 	if j == nil {
--- a/dispatch/permit_test.go
+++ b/dispatch/permit_test.go
@@ -15,7 +15,7 @@
 }
 
 // TestPermits checks that tasks start only on permitted workers and with the
-// ticket, and that permits for the next step are requested in advance.
+// permit, and that permits for the next step are requested in advance.
 func TestPermits(t *testing.T) {
 	r := newRig(t, 3)
 	r.submit(queuePermit, "job", step(1, 4), step(1, 4, func(s *workload.Step) { s.After = []int{0} }))
@@ -35,7 +35,7 @@
 	r.state.HandlePermits(r.now, q, runner.Permits{Tickets: map[string]string{worker(1): "ticket"}, Valid: 2 * time.Second}, nil)
 	starts := r.plan()
 	if len(starts) != 1 || starts[0].Worker.ID != worker(1) || starts[0].Start.Permit != "ticket" {
-		t.Fatalf("got %v, want one start with the ticket", starts)
+		t.Fatalf("got %v, want one start with the permit", starts)
 	}
 	next, ok := r.state.NextPermitRequest(r.now)
 	if !ok || next.Step.Step != 1 {
@@ -61,10 +61,10 @@
 	r.state.HandlePermits(r.now, q, runner.Permits{Tickets: map[string]string{worker(0): "b"}, Valid: time.Second}, nil)
 	p := r.state.Plan(r.now)
 	if len(p.Starts) != 1 || p.Starts[0].Start.Permit != "b" {
-		t.Fatalf("got %v, want a start with the new ticket", p.Starts)
+		t.Fatalf("got %v, want a start with the new permit", p.Starts)
 	}
 	r.state.HandleStartAnswer(r.now, p.Starts[0], runner.Answer{Status: runner.NoPermit, ClockMS: r.clock()})
 	if p := r.state.Plan(r.now); len(p.Starts) != 0 {
-		t.Errorf("started %v with a ticket that the worker refused", p.Starts)
+		t.Errorf("started %v with a permit that the worker refused", p.Starts)
 	}
 }
--- a/gate/events.go
+++ b/gate/events.go
@@ -80,7 +80,7 @@
 	verdict, s.Reason = eventVerdict(now, time.UnixMilli(start.UnixMS), w)
 	s.Forecast = string(verdict)
 	if len(unresponsive) > 0 {
-		s.Reason += fmt.Sprintf("; no response from %v", unresponsive)
+		s.Reason += fmt.Sprintf("; not heard from %v", unresponsive)
 	}
 	return s
 }
@@ -101,7 +101,7 @@
 	case w.Remaining() == 0:
 		return forecast.Met, "all work is done"
 	case w.Verdict == "":
-		return forecast.AtRisk, fmt.Sprintf("%d jobs left; their shards have no forecast yet", w.Remaining())
+		return forecast.AtRisk, fmt.Sprintf("%d jobs left, and their shards foresee nothing yet", w.Remaining())
 	default:
 		return w.Verdict, w.Reason
 	}
--- a/ownership/commit.go
+++ b/ownership/commit.go
@@ -56,12 +56,12 @@
 		m.sessionCommitted(now, p, result)
 		return m.step(now)
 	}
-	m.shardCommitted(now, m.shard(p.shard), p, result)
+	m.handleShardCommit(now, m.shard(p.shard), p, result)
 	return m.step(now)
 }
 
-// shardCommitted handles the result of a write of a shard's row.
-func (m *Machine) shardCommitted(now time.Time, s *shardState, p pendingCommit, result infra.CommitResult) {
+// handleShardCommit handles the result of a write of a shard's row.
+func (m *Machine) handleShardCommit(now time.Time, s *shardState, p pendingCommit, result infra.CommitResult) {
 	s.commit = 0
 	switch result.Status {
 	case infra.CommitApplied:
--- a/ownership/flaws.go
+++ b/ownership/flaws.go
@@ -22,7 +22,8 @@
 	neverPromise bool
 	// noSecondWait seizes a shard whose previous owner is unconfirmed.
 	noSecondWait bool
-	// noDropWait doesn't wait for hosts that read the list later.
+	// noDropWait takes over a shard whose owner has been dropped from the
+	// membership list without waiting dropWait.
 	noDropWait bool
 	// resumePaused resumes the use of shards immediately after a pause.
 	resumePaused bool
